--- a/src/libbulrush/connection/servicetimeestimate.cpp
+++ b/src/libbulrush/connection/servicetimeestimate.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/** Weight of a new measurement. */
+/** Weight of a new measurement in the running mean and deviation. */
 constexpr double gain = 1.0 / 16.0;
 constexpr double cautiousDeviations = 5.0;
 
--- a/src/libbulrush/connection/servicetimeestimate.h
+++ b/src/libbulrush/connection/servicetimeestimate.h
@@ -5,23 +5,25 @@
 namespace bulrush {
 
 /**
- * Running mean and mean deviation of a backend server's service times, from own measurements.
+ * Running mean and mean deviation of the service times of a backend server, as measured by this
+ * daemon.
+ *
  * Not thread safe.
  */
 class ServiceTimeEstimate
 {
 public:
-    /** \a first stands in until something was measured. \pre \a first > 0. */
+    /** \a first is the initial estimate before any measurement. \pre \a first > 0. */
     explicit ServiceTimeEstimate(Duration first);
 
-    /** Takes in one measured time. */
     void record(Duration measured);
 
-    /** \returns the running mean. */
     Duration mean() const;
 
-    /** \returns a time that 99 of 100 exponential services end within: the mean and five
-     * deviations. */
+    /**
+     * \returns an upper estimate: the mean plus five deviations. 99 of 100 exponentially
+     * distributed service times are below it.
+     */
     Duration cautious() const;
 
 private:
--- a/src/libbulrush/process/clock.h
+++ b/src/libbulrush/process/clock.h
@@ -5,14 +5,13 @@
 
 namespace bulrush {
 
-/**
- * Spans of time, in nanoseconds.
- */
+/** Duration in nanoseconds. */
 using Duration = std::chrono::nanoseconds;
 
 /**
- * Tag of the clock that decisions reckon with: steady, and running on while a host is suspended.
- * Decisions never read it; every event carries its instant.
+ * Tag type of the clock on which all decisions are based. The clock is monotonic and continues to
+ * run while a host is suspended. Decision code never reads the clock; every event carries its own
+ * instant.
  */
 struct SteadyClock
 {
@@ -22,20 +21,18 @@
     using time_point = std::chrono::time_point<SteadyClock>;
 };
 
-/**
- * An instant on one process's own clock. Instants of two processes don't compare.
- */
+/** Instant on the clock of one process. Instants of different processes must not be compared. */
 using Instant = SteadyClock::time_point;
 
 /**
- * Bound on how much two hosts' clocks differ in rate, in parts per million.
- * Leases, promises and waits are stretched or cut by it.
+ * Maximum difference in rate between the clocks of two hosts, in parts per million. Leases,
+ * promises and waiting times are lengthened or shortened accordingly.
  */
 constexpr std::int64_t defaultDriftPpm = 1000;
 
 /**
- * \returns \a span lengthened so that it has passed on every clock within \a driftPpm.
- * Used by whoever waits for another's span to end.
+ * \returns \a span lengthened so that it has passed on every clock that drifts by at most
+ * \a driftPpm. Used to wait for the end of a period that is measured by another host.
  */
 constexpr Duration stretched(Duration span, std::int64_t driftPpm)
 {
@@ -43,8 +40,8 @@
 }
 
 /**
- * \returns \a span shortened so that it ends here before it ends on any clock within \a driftPpm.
- * Used by whoever relies on a span that another granted.
+ * \returns \a span shortened so that it ends on the local clock before it ends on any clock that
+ * drifts by at most \a driftPpm. Used to rely on a period that another host has granted.
  */
 constexpr Duration shortened(Duration span, std::int64_t driftPpm)
 {
--- a/src/libbulrush/process/endpoint.h
+++ b/src/libbulrush/process/endpoint.h
@@ -6,12 +6,10 @@
 
 namespace bulrush {
 
-/**
- * An IP address with a port. Port 0 where something listens means any free port.
- */
+/** IP address and port. Port 0 in a listen address means any free port. */
 struct Endpoint
 {
-    /** IPv4, or IPv6 without brackets; never a name. */
+    /** IPv4 address, or IPv6 address without brackets; never a host name. */
     std::string address;
     std::uint16_t port = 0;
 
--- a/src/libbulrush/process/serverload.h
+++ b/src/libbulrush/process/serverload.h
@@ -4,7 +4,7 @@
 
 namespace bulrush {
 
-/** A backend server's word on its load, as it answered a request. */
+/** Load that a backend server reports in its answer to a request. */
 struct ServerLoad
 {
     std::uint32_t running = 0;
--- a/src/libbulrush/process/serverrecord.h
+++ b/src/libbulrush/process/serverrecord.h
@@ -9,31 +9,33 @@
 
 namespace bulrush {
 
-/** What one run of a backend server says of itself in the directory. */
+/** Record that one run of a backend server publishes about itself in the directory. */
 struct ServerRecord
 {
-    /** Names this run of the server: a restarted one has another. */
+    /** Identifies this run of the server; it changes with each restart. */
     ServerName id;
     ServiceName service;
     Endpoint address;
     DomainName domain;
-    /** Work that it does at once. */
+    /** Number of requests that it processes concurrently. */
     std::uint32_t slots = 1;
     bool isDraining = false;
-    /** For how much longer it is slow after its start. */
+    /** Remaining time for which it is slow after its start. */
     Duration coldRemaining{};
     /**
-     * The name that its record bears, which a later run of the server may bear as well; empty where
-     * that is \a id.
+     * Name of its record in the store, which a later run of the server may reuse. Empty if the name
+     * is \a id.
      */
     ServerName recordName = {};
 
     bool operator==(const ServerRecord &) const = default;
 
-    /** \returns the name that the record of this run bears. */
+    /** \returns the name of this run's record in the store. */
     const ServerName &nameInRecord() const;
 
-    /** \returns whether this run and \a other are of the same server: one ended before the other.
+    /**
+     * \returns whether this run and \a other are different runs of the same server, of which one
+     * stopped before the other started.
      */
     bool isOtherRunOf(const ServerRecord &other) const;
 };
--- a/src/libbulrush/request/requestfingerprint.h
+++ b/src/libbulrush/request/requestfingerprint.h
@@ -8,7 +8,10 @@
 
 namespace bulrush {
 
-/** What makes two requests the same one, sent again: not its id, its deadline or its caller. */
+/**
+ * The parts of a request that identify a repetition of it. The request id, the deadline and the
+ * caller are not among them.
+ */
 struct RequestIdentity
 {
     std::string_view method;
@@ -19,18 +22,18 @@
 };
 
 /**
- * Stands for a request's identity. Two of a million different requests meet at one value by chance
- * once in some 40 million times.
+ * 64-bit hash of a request's identity. The probability that any two of a million different requests
+ * have the same fingerprint is about 1 in 40 million.
  */
 class RequestFingerprint
 {
 public:
     RequestFingerprint() = default;
 
-    /** The fingerprint of \a identity. Each part counts with its length. */
+    /** Hashes each part of \a identity together with its length. */
     explicit RequestFingerprint(const RequestIdentity &identity);
 
-    /** \returns the fingerprint that toString() wrote, or nothing if \a text is none. */
+    /** \returns the fingerprint that toString() wrote, or nothing if \a text is not valid. */
     static std::optional<RequestFingerprint> fromString(std::string_view text);
 
     /** \returns 16 hexadecimal digits. */
--- a/src/libbulrush/request/requestpolicy.h
+++ b/src/libbulrush/request/requestpolicy.h
@@ -4,21 +4,19 @@
 
 namespace bulrush {
 
-/** What is shed first when not all can be served. */
+/** Order in which requests are shed under overload. */
 enum class RequestClass {
     Ordinary, ///< shed first
-    Priority, ///< shed only when no ordinary work is left to shed
+    Priority, ///< shed only if no ordinary requests are left to shed
 };
 
-/**
- * What the contract says of one request, as far as its handling depends on it.
- */
+/** Properties of a request that the contract defines and that affect its handling. */
 struct RequestPolicy
 {
     RequestClass requestClass = RequestClass::Ordinary;
-    /** Whether running it twice does no harm. */
+    /** Whether the request may safely be executed more than once. */
     bool isIdempotent = false;
-    /** After this instant the caller has no use for an answer. */
+    /** After this instant an answer is of no use to the caller. */
     Instant deadline;
 };
 
--- a/src/libbulrush/version/assignment.h
+++ b/src/libbulrush/version/assignment.h
@@ -8,23 +8,19 @@
 
 namespace bulrush {
 
-/**
- * One slice of a service and the backend server that owns it.
- */
+/** Slice of a service and the backend server that owns it. */
 struct SliceOwner
 {
     ServiceName service;
     SliceRange range;
     ServerName server;
-    /** Fence of the grant that the server holds, or is to hold, for this slice. */
+    /** Fencing token of the grant that the server has, or is to receive, for this slice. */
     Fence fence;
 
     bool operator==(const SliceOwner &) const = default;
 };
 
-/**
- * The daemon that keeps a backend server's connections and counts its work in flight.
- */
+/** Daemon that manages the connections of a backend server and counts its work in flight. */
 struct Attendance
 {
     ServerName server;
@@ -34,15 +30,16 @@
 };
 
 /**
- * What the steward of a failure domain has decided: who owns which slice, and which daemon attends
- * which server. A higher version replaces a lower one whole; a router never goes back.
+ * Decisions of the leader of a failure domain: the owner of each slice, and the daemon that manages
+ * the connections of each backend server. A higher version replaces a lower one completely; a
+ * router never returns to a lower version.
  */
 struct Assignment
 {
     DomainName domain;
-    /** Epoch of the steward and its count of changes. */
+    /** Epoch of the domain leader and the number of changes that it has made. */
     Fence version;
-    /** Sorted by service, then by range; the ranges of a service don't overlap. */
+    /** Sorted by service, then by range. The ranges of a service do not overlap. */
     std::vector<SliceOwner> slices;
     /** Sorted by server. */
     std::vector<Attendance> attendances;
--- a/src/libbulrush/version/fence.h
+++ b/src/libbulrush/version/fence.h
@@ -6,8 +6,9 @@
 namespace bulrush {
 
 /**
- * Orders the grants of a slice: the higher one is the later one.
- * The epoch is the steward row's, so that a new steward outranks all that the one before it gave.
+ * Fencing token that orders the grants of a slice: a higher token belongs to a later grant. The
+ * epoch is that of the domain leader's row, so that every token of a new leader is higher than all
+ * tokens of its predecessor.
  */
 struct Fence
 {
--- a/src/libbulrush/version/fieldproblem.h
+++ b/src/libbulrush/version/fieldproblem.h
@@ -5,17 +5,14 @@
 
 namespace bulrush {
 
-/**
- * Something wrong with one field of a contract or of settings, as a check of their meaning finds
- * it.
- */
+/** Validation error in one field of a contract or of the settings. */
 struct FieldProblem
 {
-    /** Path of the field as it is written, such as "operations[2].deadline". */
+    /** Path of the field in the file, such as "operations[2].deadline". */
     std::string field;
-    /** What is wrong, with its reason. */
+    /** Description of the error, with the reason. */
     std::string what;
-    /** What the field may hold. */
+    /** Allowed values. */
     std::string allowed;
 
     bool operator==(const FieldProblem &) const = default;
--- a/src/libbulrush/version/forwarddecay.cpp
+++ b/src/libbulrush/version/forwarddecay.cpp
@@ -8,11 +8,11 @@
 
 namespace {
 
-/** Far below the largest double, so that sums of counts stay finite. */
-constexpr double largestWeight = 1e100;
+/** Far below the largest double, so that sums of counts remain finite. */
+constexpr double maxWeight = 1e100;
 
-/** After as many half-lives without a count, what was counted before is nothing. */
-constexpr double longestSilence = 1000.0;
+/** After this many half-lives without events, earlier counts have decayed to zero. */
+constexpr double maxHalfLives = 1000.0;
 
 double seconds(Duration span)
 {
@@ -31,9 +31,9 @@
 {
     if (now > m_latest) {
         m_latest = now;
-        // Without a count there is no rescaling, and the weight would become infinite.
+        // No rescaling takes place without events, so an unbounded weight would become infinite.
         const double halfLives = seconds(m_latest - m_start) / seconds(m_halfLife);
-        m_weight = std::exp2(std::min(halfLives, longestSilence));
+        m_weight = std::exp2(std::min(halfLives, maxHalfLives));
     }
     return m_weight;
 }
@@ -50,7 +50,7 @@
 
 bool ForwardDecay::isRescaleDue() const
 {
-    return m_weight > largestWeight;
+    return m_weight > maxWeight;
 }
 
 double ForwardDecay::rescale()
--- a/src/libbulrush/version/forwarddecay.h
+++ b/src/libbulrush/version/forwarddecay.h
@@ -5,8 +5,8 @@
 namespace bulrush {
 
 /**
- * Exponential decay for many counters at once: instead of shrinking all that was counted, what
- * comes later weighs more. A count divided by the weight of now is the decayed count.
+ * Exponential decay of many counters at once. Instead of reducing all existing counts, it gives
+ * later events a higher weight. A count divided by the current weight is the decayed count.
  *
  * Not thread safe.
  */
@@ -17,21 +17,22 @@
     ForwardDecay(Duration halfLife, Instant start);
 
     /**
-     * \returns what one event at \a now adds to a count. An instant before the latest one counts
-     * as the latest.
+     * \returns the weight that one event at \a now adds to a count. An instant before the latest
+     * one is treated as the latest one.
      */
     double weightAt(Instant now);
 
-    /** \returns the rate, in events a second, that the decayed \a count stands for at \a now. */
+    /** \returns the event rate at \a now, per second, that corresponds to the decayed \a count. */
     double rate(double count, Instant now);
 
-    /** \returns the decayed count that stands for \a rate at \a now; the inverse of rate(). */
+    /** \returns the decayed count that corresponds to \a rate at \a now. Inverse of rate(). */
     double count(double rate, Instant now);
 
-    /** \returns whether counts should be scaled before they grow too large for their type. */
+    /** \returns whether the counts must be rescaled before they exceed the range of their type. */
     bool isRescaleDue() const;
 
-    /** Starts over with weight 1. \returns the factor for all counts kept so far. */
+    /** Resets the weight to 1. \returns the factor by which all existing counts must be multiplied.
+     */
     double rescale();
 
 private:
--- a/src/libbulrush/version/identifier.h
+++ b/src/libbulrush/version/identifier.h
@@ -8,7 +8,7 @@
 namespace bulrush {
 
 /**
- * A name that can't be taken for a name of another kind.
+ * Name with a type of its own, so that names of different kinds cannot be mixed up.
  */
 template<typename Tag>
 class Identifier
@@ -26,19 +26,19 @@
     std::string m_value;
 };
 
-/** The name of a failure domain. */
+/** Name of a failure domain. */
 using DomainName = Identifier<struct DomainNameTag>;
-/** The name of an entry host; it outlives the daemons that run there. */
+/** Name of an entry host. It stays the same across restarts of the daemon on that host. */
 using HostName = Identifier<struct HostNameTag>;
-/** One run of a daemon: never used by another, not even on the same host. */
+/** Identifies one run of a daemon. It is never reused, not even on the same host. */
 using Incarnation = Identifier<struct IncarnationTag>;
-/** The name of a backend server. */
+/** Name of a backend server. */
 using ServerName = Identifier<struct ServerNameTag>;
-/** The name of a service, such as "catalogue". */
+/** Name of a service, such as "catalogue". */
 using ServiceName = Identifier<struct ServiceNameTag>;
-/** The name of a customer organisation, which is also that of its contract. */
+/** Name of a customer organisation, which is also the name of its contract. */
 using OrganisationName = Identifier<struct OrganisationNameTag>;
-/** The name of an operation in a contract, such as "deposit". */
+/** Name of an operation in a contract, such as "deposit". */
 using OperationName = Identifier<struct OperationNameTag>;
 
 template<typename Tag>
--- a/src/libbulrush/version/routetable.h
+++ b/src/libbulrush/version/routetable.h
@@ -10,9 +10,9 @@
 namespace bulrush {
 
 /**
- * Finds the route of a request: by its host, then by the longest prefix that begins its path.
+ * Finds the route of a request by its host and then by the longest matching path prefix.
  *
- * Never changes once made. Thread safe.
+ * Immutable; thread safe.
  */
 class RouteTable
 {
@@ -21,19 +21,19 @@
     explicit RouteTable(RoutingConfig config);
 
     /**
-     * \returns the route of a request with the Host field \a host and the \a target, path and
-     * query, or null if there is none. Valid as long as this table.
+     * \returns the route of a request with the Host field \a host and the \a target (path and
+     * query), or null if no route matches. Valid during the lifetime of this table.
      */
     const Route *find(std::string_view host, std::string_view target) const;
 
-    /** \returns the service \a name, or null. Valid as long as this table. */
+    /** \returns the service \a name, or null. Valid during the lifetime of this table. */
     const RoutedService *service(const ServiceName &name) const;
 
     const RoutingConfig &config() const;
 
 private:
     RoutingConfig m_config;
-    /** Routes by lower-case host, those with the longest prefix first. */
+    /** Routes by lower-case host, longest prefix first. */
     std::map<std::string, std::vector<const Route *>, std::less<>> m_routes;
 };
 
@@ -43,8 +43,9 @@
 }
 
 /**
- * \returns which of the services in the split of \a route a request with \a hash goes to, so that
- * evenly spread hashes divide by the weights. \pre the split has a service of some weight
+ * \returns the service in the traffic split of \a route that receives a request with \a hash.
+ * Uniformly distributed hashes are divided in proportion to the weights.
+ * \pre at least one service in the split has a weight above 0
  */
 const ServiceName &serviceOf(const Route &route, std::uint64_t hash);
 
--- a/src/libbulrush/version/routingconfig.h
+++ b/src/libbulrush/version/routingconfig.h
@@ -10,14 +10,14 @@
 
 namespace bulrush {
 
-/** What may be repeated of a route's requests. */
+/** Determines whether the requests of a route may be retried. */
 enum class RequestKind {
-    Idempotent, ///< may run more than once
-    RunOnce,    ///< runs at most once for each attempt of a caller
-    Upload,     ///< as RunOnce, with a large body
+    Idempotent, ///< may be executed more than once
+    RunOnce,    ///< is executed at most once for each attempt of a caller
+    Upload,     ///< like RunOnce, with a large body
 };
 
-/** A service that gets a part of a route's requests. */
+/** Service that receives a share of the requests of a route. */
 struct WeightedService
 {
     ServiceName service;
@@ -26,28 +26,28 @@
     bool operator==(const WeightedService &) const = default;
 };
 
-/** Where requests go whose path begins with a prefix. */
+/** Destination of requests whose path begins with a prefix. */
 struct Route
 {
     std::string name;
     /** Begins and ends with a slash. */
     std::string prefix;
     RequestKind kind = RequestKind::RunOnce;
-    /** The longest time that a caller is kept waiting, if the route sets one. */
+    /** Maximum time that a caller waits for an answer, if the route sets one. */
     std::optional<Duration> timeout;
-    /** Time within which an answer is worth most to its caller. */
+    /** Time within which an answer has its full value to the caller. */
     Duration targetLatency = std::chrono::seconds{1};
-    /** Rank of its requests; 0 is the highest. */
+    /** Priority of its requests; 0 is the highest. */
     std::uint32_t priority = 0;
-    /** At least one service. */
+    /** Contains at least one service. */
     std::vector<WeightedService> split;
-    /** Servers that one attempt of a caller may be sent to. */
+    /** Maximum number of servers to which one attempt of a caller may be sent. */
     std::uint32_t maxAttempts = 1;
 
     bool operator==(const Route &) const = default;
 };
 
-/** The routes of one value of the Host field. */
+/** Routes for one value of the Host field. */
 struct RoutedHost
 {
     std::string host;
@@ -56,33 +56,33 @@
     bool operator==(const RoutedHost &) const = default;
 };
 
-/** A service that requests are routed to. */
+/** Service to which requests are routed. */
 struct RoutedService
 {
     ServiceName name;
     bool isDividedByKey = false;
-    /** Connections that one of its servers takes from all callers together. */
+    /** Maximum number of connections that one of its servers accepts, over all callers. */
     std::uint32_t connectionLimit = 0;
 
     bool operator==(const RoutedService &) const = default;
 };
 
-/** What a caller may send, and how long it may take over it. */
+/** Limits on the size and duration of callers' requests. */
 struct RoutingLimits
 {
     std::uint64_t headerBytes = std::uint64_t{16} << 10;
     std::uint64_t bodyBytes = std::uint64_t{64} << 20;
     Duration headerTime = std::chrono::seconds{3};
-    /** How long a caller's connection may stay without a request. */
+    /** Maximum time that a caller's connection may stay idle. */
     Duration idleTime = std::chrono::seconds{15};
 
     bool operator==(const RoutingLimits &) const = default;
 };
 
-/** One version of the operators' configuration, whole. */
+/** One complete version of the operators' configuration. */
 struct RoutingConfig
 {
-    /** Later configurations have higher versions. */
+    /** Increases with each configuration. */
     std::uint64_t version = 0;
     std::vector<RoutedService> services;
     std::vector<RoutedHost> hosts;
--- a/src/libbulrush/version/slice.h
+++ b/src/libbulrush/version/slice.h
@@ -9,12 +9,10 @@
 
 namespace bulrush {
 
-/** A place on the line that the keys of a service hash onto. */
+/** Hash of a key: a position in the hash space over which the keys of a service are distributed. */
 using KeyHash = std::uint64_t;
 
-/**
- * A part of the line, both ends included.
- */
+/** Range of the hash space, both ends included. */
 struct SliceRange
 {
     KeyHash begin = 0;
@@ -23,22 +21,15 @@
     auto operator<=>(const SliceRange &) const = default;
 };
 
-/**
- * \returns the place of \a key on the line: its XXH3 hash, the same on every host.
- */
+/** \returns the XXH3 hash of \a key, which is the same on every host. */
 KeyHash hashOfKey(std::string_view key);
 
-/**
- * \returns whether \a hash lies in \a range.
- */
 constexpr bool contains(SliceRange range, KeyHash hash)
 {
     return range.begin <= hash && hash <= range.end;
 }
 
-/**
- * \returns whether two ranges share a place.
- */
+/** \returns whether the two ranges have at least one hash in common. */
 constexpr bool overlaps(SliceRange first, SliceRange second)
 {
     return first.begin <= second.end && second.begin <= first.end;
