--- a/src/libbulrush/process/answeredrequests.cpp
+++ b/src/libbulrush/process/answeredrequests.cpp
@@ -9,14 +9,14 @@
     , m_currentSince(start)
 { }
 
-bool AnsweredRequests::isPopularityKnown(Instant now) const
+bool AnsweredRequests::hasMinHistory(Instant now) const
 {
-    return now - m_start >= enough;
+    return now - m_start >= minHistory;
 }
 
 void AnsweredRequests::note(const RequestFingerprint &request, Instant now)
 {
-    if (now - m_currentSince >= memory || m_current.size() >= mostOfAGeneration) {
+    if (now - m_currentSince >= retention || m_current.size() >= maxGenerationSize) {
         m_previous = std::exchange(m_current, {});
         m_currentSince = now;
     }
@@ -26,9 +26,9 @@
 bool AnsweredRequests::contains(const RequestFingerprint &request, Instant now) const
 {
     const Duration age = now - m_currentSince;
-    if (age < 2 * memory && m_current.contains(request))
+    if (age < 2 * retention && m_current.contains(request))
         return true;
-    return age < memory && m_previous.contains(request);
+    return age < retention && m_previous.contains(request);
 }
 
 } // namespace bulrush
--- a/src/libbulrush/process/crashledger.cpp
+++ b/src/libbulrush/process/crashledger.cpp
@@ -8,8 +8,8 @@
 
 CrashLedger::CrashLedger(const HostName &self)
     : m_self(self)
-    , m_pause(firstPause, longestPause, self.value())
-    , m_trials(self)
+    , m_pause(minWriteBackoff, maxWriteBackoff, self.value())
+    , m_probes(self)
 { }
 
 void CrashLedger::reported(std::span<const CrashReport> reports, Instant now)
@@ -21,32 +21,32 @@
         });
         if (isKnown || m_retracted.contains({report.request, report.server}))
             continue;
-        if (m_reports.size() >= mostReports) {
-            // One that came again is worth more than one that was there once.
+        if (m_reports.size() >= maxReports) {
+            // Reports of repeated requests are more valuable than those of requests sent once.
             const auto single = std::ranges::find_if(
                 m_reports, [](const OwnReport &own) { return own.report.after.empty(); });
             m_reports.erase(single == m_reports.end() ? m_reports.begin() : single);
         }
         m_reports.push_back({report, now});
-        m_isUntold = true;
-        changedHere();
+        m_hasUnpublished = true;
+        invalidate();
     }
 }
 
 void CrashLedger::answered(const RequestFingerprint &request, Instant now)
 {
-    if (retractSuspect(request) && endsToOthers(request) >= tellingCrashes)
-        m_tellAt.try_emplace(request, tellAt(request, now));
+    if (retractSuspect(request) && publishedCrashCount(request) >= answerPublishThreshold)
+        m_publishAt.try_emplace(request, publicationTime(request, now));
 }
 
 bool CrashLedger::lift(const RequestFingerprint &request)
 {
     const bool isKnown = retractSuspect(request);
-    m_isUntold = m_isUntold || isKnown;
+    m_hasUnpublished = m_hasUnpublished || isKnown;
     return isKnown;
 }
 
-/** Takes back all that counts against \a request. \returns whether there was anything. */
+/** Retracts all reports that count against \a request. \returns whether there were any. */
 bool CrashLedger::retractSuspect(const RequestFingerprint &request)
 {
     const auto suspect = suspects().find(request);
@@ -58,57 +58,58 @@
 
 void CrashLedger::retract(const RequestFingerprint &request, const std::vector<ServerName> &servers)
 {
-    auto place = std::ranges::find(m_retractions, request, &CrashRetraction::request);
-    if (place == m_retractions.end()) {
-        if (m_retractions.size() >= mostRetractions)
+    auto found = std::ranges::find(m_retractions, request, &CrashRetraction::request);
+    if (found == m_retractions.end()) {
+        if (m_retractions.size() >= maxRetractions)
             m_retractions.erase(m_retractions.begin());
-        place = m_retractions.insert(m_retractions.end(), {request, {}});
+        found = m_retractions.insert(m_retractions.end(), {request, {}});
     }
     for (const ServerName &server : servers) {
-        if (std::ranges::find(place->servers, server) == place->servers.end())
-            place->servers.push_back(server);
+        if (std::ranges::find(found->servers, server) == found->servers.end())
+            found->servers.push_back(server);
     }
-    changedHere();
+    invalidate();
 }
 
 void CrashLedger::rowSeen(const HostName &host, std::uint64_t version, std::optional<CrashRow> row,
                           Instant now)
 {
     if (host == m_self) {
-        ownRowSeen(version, row, now);
+        applyOwnRow(version, row, now);
         return;
     }
-    const auto place = m_others.find(host);
+    const auto found = m_others.find(host);
     if (!row) {
-        if (place == m_others.end())
+        if (found == m_others.end())
             return;
-        m_others.erase(place);
-    } else if (place == m_others.end() || place->second.version < version) {
+        m_others.erase(found);
+    } else if (found == m_others.end() || found->second.version < version) {
         m_others[host] = {version, std::move(*row), now};
     } else {
         return;
     }
-    changedHere();
+    invalidate();
 }
 
-void CrashLedger::ownRowSeen(std::uint64_t version, const std::optional<CrashRow> &row, Instant now)
+void CrashLedger::applyOwnRow(std::uint64_t version, const std::optional<CrashRow> &row,
+                              Instant now)
 {
     if (version < m_ownVersion)
-        return; // as it was before the last write
+        return; // read before the last write
     m_ownVersion = row ? version : 0;
     if (!row || std::exchange(m_hasOwnRow, true))
         return;
-    // What an earlier run of this daemon saw still holds, and others know of it.
-    const bool wasUntold = m_isUntold;
+    // The reports of an earlier run of this daemon are still valid, and are already published.
+    const bool hadUnpublished = m_hasUnpublished;
     reported(row->reports, now);
     for (const CrashRetraction &retraction : row->retractions)
         retract(retraction.request, retraction.servers);
-    m_isUntold = wasUntold;
+    m_hasUnpublished = hadUnpublished;
 }
 
 void CrashLedger::setDaemons(std::vector<HostName> daemons)
 {
-    if (m_trials.setDaemons(std::move(daemons)) && !suspects().empty())
+    if (m_probes.setDaemons(std::move(daemons)) && !suspects().empty())
         m_isChanged = true;
 }
 
@@ -127,43 +128,43 @@
 
 std::optional<CrashRowWrite> CrashLedger::dueWrite(Instant now)
 {
-    forgetOld(now);
-    m_isUntold = isTellingDue(now) || m_isUntold;
-    if (!m_isUntold || m_isWriting || !m_hasRows || !m_pause.isOver(now))
+    removeExpired(now);
+    m_hasUnpublished = isPublicationDue(now) || m_hasUnpublished;
+    if (!m_hasUnpublished || m_isWriting || !m_hasRows || !m_pause.isOver(now))
         return std::nullopt;
-    forgetNeedless();
+    removeRedundant();
     m_isWriting = true;
-    m_isUntold = false;
+    m_hasUnpublished = false;
     m_hasOwnRow = true;
     m_written = ownRow();
     return CrashRowWrite{m_ownVersion, m_written};
 }
 
-/** \returns whether an answer is to be told now, which nobody else has told meanwhile. */
-bool CrashLedger::isTellingDue(Instant now)
+/** \returns whether an answer is due for publication that no other daemon has published yet. */
+bool CrashLedger::isPublicationDue(Instant now)
 {
     std::vector<RequestFingerprint> due;
-    for (const auto &[request, at] : m_tellAt) {
+    for (const auto &[request, at] : m_publishAt) {
         if (now >= at)
             due.push_back(request);
     }
     if (due.empty())
         return false;
     for (const RequestFingerprint &request : due)
-        m_tellAt.erase(request);
+        m_publishAt.erase(request);
     return std::ranges::any_of(due, [this](const RequestFingerprint &request) {
-        return endsToOthers(request) >= tellingCrashes;
+        return publishedCrashCount(request) >= answerPublishThreshold;
     });
 }
 
-/** \returns how many servers ended under \a request by all that daemons have told each other. */
-std::size_t CrashLedger::endsToOthers(const RequestFingerprint &request) const
+/** \returns the number of servers that crashed under \a request according to the published rows. */
+std::size_t CrashLedger::publishedCrashCount(const RequestFingerprint &request) const
 {
-    Retracted told = retractedByOthers();
-    addTo(told, m_written.retractions);
+    Retracted published = retractedByOthers();
+    addTo(published, m_written.retractions);
     std::set<ServerName> servers;
     for (const CrashReport *report : allReports()) {
-        if (report->request == request && !told.contains({request, report->server}))
+        if (report->request == request && !published.contains({request, report->server}))
             servers.insert(report->server);
     }
     return servers.size();
@@ -177,36 +178,37 @@
         m_pause.succeeded();
         return;
     }
-    m_isUntold = true;
+    m_hasUnpublished = true;
     m_pause.failed(now);
 }
 
 std::shared_ptr<const Quarantine> CrashLedger::changed(Instant now)
 {
-    if (!std::exchange(m_isChanged, false) && !m_trials.isEndDue(now))
+    if (!std::exchange(m_isChanged, false) && !m_probes.hasExpiredProbe(now))
         return nullptr;
-    return std::make_shared<const Quarantine>(suspects(), m_trials.leftToOthers(suspects(), now));
+    return std::make_shared<const Quarantine>(suspects(),
+                                              m_probes.probedElsewhere(suspects(), now));
 }
 
-void CrashLedger::forgetOld(Instant now)
+void CrashLedger::removeExpired(Instant now)
 {
-    const auto forgotten =
-        std::erase_if(m_reports, [now](const OwnReport &own) { return now - own.since > memory; });
-    if (forgotten > 0) {
-        m_isUntold = true;
-        changedHere();
+    const auto removedCount = std::erase_if(
+        m_reports, [now](const OwnReport &own) { return now - own.since > reportRetention; });
+    if (removedCount > 0) {
+        m_hasUnpublished = true;
+        invalidate();
     }
     for (auto &[host, other] : m_others) {
-        // Who is gone for good can't take its reports back.
-        if (now - other.seenAt <= memory || other.row == CrashRow{})
+        // A daemon that was removed permanently cannot remove its reports itself.
+        if (now - other.receivedAt <= reportRetention || other.row == CrashRow{})
             continue;
         other.row = {};
-        changedHere();
+        invalidate();
     }
 }
 
-/** Leaves out own reports that an answer took back, and answers that nobody's report needs. */
-void CrashLedger::forgetNeedless()
+/** Removes own reports that were retracted, and retractions that match no other daemon's report. */
+void CrashLedger::removeRedundant()
 {
     suspects();
     std::erase_if(m_reports, [this](const OwnReport &own) {
@@ -221,20 +223,20 @@
     });
 }
 
-void CrashLedger::changedHere()
+void CrashLedger::invalidate()
 {
-    m_isJudged = false;
+    m_isEvaluated = false;
     m_isChanged = true;
 }
 
 const CrashLedger::Suspects &CrashLedger::suspects()
 {
-    if (!std::exchange(m_isJudged, true))
-        judge();
+    if (!std::exchange(m_isEvaluated, true))
+        evaluate();
     return m_suspects;
 }
 
-void CrashLedger::judge()
+void CrashLedger::evaluate()
 {
     m_retracted = retractedByOthers();
     addTo(m_retracted, m_retractions);
@@ -286,12 +288,12 @@
     }
 }
 
-Instant CrashLedger::tellAt(const RequestFingerprint &request, Instant now) const
+Instant CrashLedger::publicationTime(const RequestFingerprint &request, Instant now) const
 {
     constexpr std::uint64_t steps = 1000;
     const std::string name = m_self.value() + request.toString();
     const auto step = static_cast<std::int64_t>(XXH3_64bits(name.data(), name.size()) % steps);
-    return now + longestScatter * step / static_cast<std::int64_t>(steps);
+    return now + maxPublishDelay * step / static_cast<std::int64_t>(steps);
 }
 
 CrashRow CrashLedger::ownRow() const
--- a/src/libbulrush/process/crashledger.h
+++ b/src/libbulrush/process/crashledger.h
@@ -5,7 +5,7 @@
 #include "process/plannerlease.h"
 #include "process/quarantine.h"
 #include "process/retrypause.h"
-#include "process/suspecttrials.h"
+#include "process/suspectprobes.h"
 
 #include <cstddef>
 #include <cstdint>
@@ -20,73 +20,80 @@
 namespace bulrush {
 
 /**
- * What all daemons have seen of requests under which servers ended. A request that crashes servers
- * comes again at any daemon, as a new one; none of them sees enough alone. Each tells what it saw
- * in a row of its own, in a table that all follow, and all judge by all rows, in the same way:
- * nobody has to be asked, and a daemon that starts knows what was known before.
+ * Crash reports of all daemons: which requests were in flight at backend servers that crashed. A
+ * request that crashes servers is repeated at any daemon, as a new request, so that no daemon alone
+ * sees enough crashes to detect it. Each daemon publishes its reports in a row of its own in a
+ * table that all daemons follow, and each evaluates all rows by the same rules. The daemons need no
+ * further agreement, and a daemon that restarts obtains the known state from the table.
  *
- * A server ends under all requests that it was at, of which one is to blame at most. So as soon as
- * any server answers a request, reports of ends before that count no more. Calls to the store are
- * made for ends of servers, and for answers to requests under which several servers have ended.
+ * A crash counts against every request that was in flight at the server, although at most one of
+ * them caused it. As soon as any server answers a request, earlier crash reports against it
+ * therefore no longer count. The store is only called for crashes of servers, and for answers to
+ * requests under which several servers have crashed.
  *
- * Not thread safe. Instants never go back.
+ * Not thread safe. Instants never decrease.
  */
 class CrashLedger
 {
 public:
     /**
-     * How long a report counts. Until then a blocked request reaches nobody; after it the cause may
-     * have been mended, and one that was not takes three servers again.
+     * Time for which a report counts. During it, a blocked request is not sent to any server.
+     * Afterwards the cause may have been fixed; if it has not, the request crashes three servers
+     * before it is blocked again.
      */
-    static constexpr Duration memory = std::chrono::hours{1};
-    /** Of a row: some 80 bytes each, so that 195 full rows have half a megabyte. */
-    static constexpr std::size_t mostReports = 32;
-    static constexpr std::size_t mostRetractions = 32;
-    /** An answer is told at once where as many servers have ended: one more blocks the request. */
-    static constexpr std::size_t tellingCrashes = 2;
+    static constexpr Duration reportRetention = std::chrono::hours{1};
+    /** Limits of one row. An entry has about 80 bytes, so 195 full rows take half a megabyte. */
+    static constexpr std::size_t maxReports = 32;
+    static constexpr std::size_t maxRetractions = 32;
     /**
-     * Answers are told after up to this time, unless another daemon has told the same meanwhile: a
-     * popular request is answered at all of them at once.
+     * An answer to a request is published without waiting for the next report if this many servers
+     * have crashed under the request, because one more crash would block it.
      */
-    static constexpr Duration longestScatter = std::chrono::milliseconds{600};
-    /** Pauses between tries of a write that was not done. */
-    static constexpr Duration firstPause = std::chrono::milliseconds{150};
-    static constexpr Duration longestPause = std::chrono::seconds{2};
+    static constexpr std::size_t answerPublishThreshold = 2;
+    /**
+     * Maximum delay of the publication of an answer. It is not published if another daemon
+     * publishes an answer to the same request during the delay, because all daemons receive answers
+     * to a popular request at the same time.
+     */
+    static constexpr Duration maxPublishDelay = std::chrono::milliseconds{600};
+    /** Backoff between attempts of a write that was not done. */
+    static constexpr Duration minWriteBackoff = std::chrono::milliseconds{150};
+    static constexpr Duration maxWriteBackoff = std::chrono::seconds{2};
 
     explicit CrashLedger(const HostName &self);
 
-    /** Takes in what this daemon saw. */
+    /** Records crashes that this daemon has detected. */
     void reported(std::span<const CrashReport> reports, Instant now);
 
-    /** Takes in that this daemon got a server's answer to \a request. */
+    /** Records that this daemon received a server's answer to \a request. */
     void answered(const RequestFingerprint &request, Instant now);
 
     /**
-     * Takes back all reports of \a request, as an operator wants it.
+     * Retracts all reports against \a request, on behalf of an operator.
      * \returns whether there were any.
      */
     bool lift(const RequestFingerprint &request);
 
-    /** Takes in the row of \a host as of \a version of the store; nothing if it has none. */
+    /** Applies the row of \a host as of \a version of the store; no value if there is no row. */
     void rowSeen(const HostName &host, std::uint64_t version, std::optional<CrashRow> row,
                  Instant now);
 
-    /** Takes in the daemons that have rows of any kind. */
+    /** Sets the daemons that have rows of any kind. */
     void setDaemons(std::vector<HostName> daemons);
 
-    /** Notes that all rows there are have been seen. */
+    /** Records that all existing rows have been applied. */
     void rowsSeen();
 
-    /** \returns the hosts whose rows are known. */
+    /** \returns the other hosts whose rows are stored here. */
     std::vector<HostName> hosts() const;
 
-    /** \returns a write of this daemon's row that is due, and notes that it has begun. */
+    /** \returns a write of this daemon's row if one is due, and records that it has started. */
     std::optional<CrashRowWrite> dueWrite(Instant now);
 
-    /** Takes in the end of the last write. \pre dueWrite() returned one that has not ended */
+    /** Handles the result of the last write. \pre a write from dueWrite() has no result yet */
     void written(RowWriteEnd end, std::uint64_t version, Instant now);
 
-    /** \returns what is known, if it has changed since the last call, or null. */
+    /** \returns the quarantine if it differs from that of the last call, or null. */
     std::shared_ptr<const Quarantine> changed(Instant now);
 
 private:
@@ -100,51 +107,51 @@
     {
         std::uint64_t version = 0;
         CrashRow row;
-        Instant seenAt;
+        Instant receivedAt;
     };
 
     using Suspects = Quarantine::Suspects;
     using Retracted = std::set<std::pair<RequestFingerprint, ServerName>>;
 
-    void ownRowSeen(std::uint64_t version, const std::optional<CrashRow> &row, Instant now);
+    void applyOwnRow(std::uint64_t version, const std::optional<CrashRow> &row, Instant now);
     bool retractSuspect(const RequestFingerprint &request);
     void retract(const RequestFingerprint &request, const std::vector<ServerName> &servers);
-    bool isTellingDue(Instant now);
-    void forgetOld(Instant now);
-    void forgetNeedless();
-    void changedHere();
+    bool isPublicationDue(Instant now);
+    void removeExpired(Instant now);
+    void removeRedundant();
+    void invalidate();
     const Suspects &suspects();
-    void judge();
+    void evaluate();
     std::vector<const CrashReport *> allReports() const;
     Retracted retractedByOthers() const;
     static void addTo(Retracted &retracted, const std::vector<CrashRetraction> &retractions);
-    std::size_t endsToOthers(const RequestFingerprint &request) const;
-    Instant tellAt(const RequestFingerprint &request, Instant now) const;
+    std::size_t publishedCrashCount(const RequestFingerprint &request) const;
+    Instant publicationTime(const RequestFingerprint &request, Instant now) const;
     CrashRow ownRow() const;
 
     HostName m_self;
     std::vector<OwnReport> m_reports;
     std::vector<CrashRetraction> m_retractions;
     std::map<HostName, OtherRow> m_others;
-    /** What this daemon's row says, as it was written last. */
+    /** This daemon's row as of the last write. */
     CrashRow m_written;
-    /** Requests whose answers are told then, unless another daemon has told by then. */
-    std::map<RequestFingerprint, Instant> m_tellAt;
-    /** Of this daemon's own row; 0: there is none. */
+    /** When to publish the answers to requests, unless another daemon publishes them before. */
+    std::map<RequestFingerprint, Instant> m_publishAt;
+    /** Version of this daemon's own row; 0 if there is none. */
     std::uint64_t m_ownVersion = 0;
     RetryPause m_pause;
-    /** What others should know is not in the row. */
-    bool m_isUntold = false;
+    /** There are changes that this daemon's row does not contain yet. */
+    bool m_hasUnpublished = false;
     bool m_isWriting = false;
     bool m_hasRows = false;
-    /** The own row was seen or written: it says nothing that is not known here. */
+    /** The own row was received or a write of it was started; it contains nothing unknown here. */
     bool m_hasOwnRow = false;
-    SuspectTrials m_trials;
-    /** By all rows; judged anew when it is asked for. */
+    SuspectProbes m_probes;
+    /** Result of the evaluation of all rows; updated on demand. */
     Suspects m_suspects;
     Retracted m_retracted;
-    bool m_isJudged = true;
-    /** What is known has changed since it was last handed on. */
+    bool m_isEvaluated = true;
+    /** The quarantine may differ from the one that was last returned. */
     bool m_isChanged = false;
 };
 
--- a/src/libbulrush/process/crashrecord.h
+++ b/src/libbulrush/process/crashrecord.h
@@ -8,29 +8,30 @@
 
 namespace bulrush {
 
-/** A server ended while a request was under way there, or right after it was given up. */
+/** Reports that a server crashed while a request was in flight there, or right after its
+ * abandonment. */
 struct CrashReport
 {
     RequestFingerprint request;
-    /** The run that ended. */
+    /** The run of the server that crashed. */
     ServerName server;
-    /** Runs that were known to have ended under the request before it was sent to this one. */
+    /** Runs that were known to have crashed under the request before it was sent to this server. */
     std::vector<ServerName> after = {};
 
     bool operator==(const CrashReport &) const = default;
 };
 
-/** A request was answered by a server, after others had ended under it. */
+/** Reports that a server answered a request under which other servers had crashed before. */
 struct CrashRetraction
 {
     RequestFingerprint request;
-    /** Those that had ended: not for this request. */
+    /** Servers that had crashed, but not because of this request. */
     std::vector<ServerName> servers;
 
     bool operator==(const CrashRetraction &) const = default;
 };
 
-/** What one daemon has seen, as it tells the others. */
+/** Reports and retractions that one daemon publishes to the others. */
 struct CrashRow
 {
     std::vector<CrashReport> reports;
@@ -39,7 +40,10 @@
     bool operator==(const CrashRow &) const = default;
 };
 
-/** Write this daemon's own row, if it still has the version; 0: if there is none. */
+/**
+ * Request to write this daemon's own row, on condition that the stored row still has the expected
+ * version. Version 0 means that no row may exist.
+ */
 struct CrashRowWrite
 {
     std::uint64_t expectedVersion = 0;
--- a/src/libbulrush/process/crashwatch.cpp
+++ b/src/libbulrush/process/crashwatch.cpp
@@ -6,10 +6,10 @@
 
 std::optional<CrashReport> CrashWatch::lost(const CrashReport &report, Loss loss, Instant now)
 {
-    if (m_ended.contains(report.server))
+    if (m_crashedAt.contains(report.server))
         return report;
     std::vector<Entry> &entries = m_entries[report.server];
-    if (entries.size() >= mostOfServer)
+    if (entries.size() >= maxRequestsPerServer)
         entries.erase(entries.begin());
     entries.push_back({report, loss, now});
     return std::nullopt;
@@ -17,14 +17,14 @@
 
 std::vector<CrashReport> CrashWatch::serverEnded(const ServerName &server, Instant now)
 {
-    m_ended[server] = now;
-    m_lookedAt.erase(server);
+    m_crashedAt[server] = now;
+    m_checkedAt.erase(server);
     std::vector<CrashReport> reports;
-    const auto place = m_entries.find(server);
-    if (place == m_entries.end())
+    const auto found = m_entries.find(server);
+    if (found == m_entries.end())
         return reports;
-    for (const Entry &entry : place->second) {
-        if (now - entry.since > memory)
+    for (const Entry &entry : found->second) {
+        if (now - entry.since > requestRetention)
             continue;
         const auto known = std::ranges::find(reports, entry.report.request, &CrashReport::request);
         if (known == reports.end())
@@ -32,13 +32,13 @@
         else if (known->after.size() < entry.report.after.size())
             known->after = entry.report.after;
     }
-    m_entries.erase(place);
+    m_entries.erase(found);
     return reports;
 }
 
 void CrashWatch::serverAnswered(const ServerName &server)
 {
-    m_ended.erase(server);
+    m_crashedAt.erase(server);
 }
 
 bool CrashWatch::takeLook(const ServerName &server, Instant now)
@@ -46,10 +46,10 @@
     const auto entries = m_entries.find(server);
     if (entries == m_entries.end() || entries->second.empty())
         return false;
-    const auto [looked, isFirst] = m_lookedAt.try_emplace(server, now);
-    if (!isFirst && now - looked->second < lookAgain)
+    const auto [checked, isFirst] = m_checkedAt.try_emplace(server, now);
+    if (!isFirst && now - checked->second < livenessCheckInterval)
         return false;
-    looked->second = now;
+    checked->second = now;
     return true;
 }
 
@@ -66,11 +66,13 @@
 void CrashWatch::forget(Instant now)
 {
     for (auto &[server, entries] : m_entries)
-        std::erase_if(entries, [now](const Entry &entry) { return now - entry.since > memory; });
+        std::erase_if(entries,
+                      [now](const Entry &entry) { return now - entry.since > requestRetention; });
     std::erase_if(m_entries, [](const auto &entry) { return entry.second.empty(); });
-    std::erase_if(m_lookedAt,
+    std::erase_if(m_checkedAt,
                   [this](const auto &entry) { return !m_entries.contains(entry.first); });
-    std::erase_if(m_ended, [now](const auto &entry) { return now - entry.second > endMemory; });
+    std::erase_if(m_crashedAt,
+                  [now](const auto &entry) { return now - entry.second > crashRetention; });
 }
 
 } // namespace bulrush
--- a/src/libbulrush/process/crashwatch.h
+++ b/src/libbulrush/process/crashwatch.h
@@ -11,52 +11,53 @@
 namespace bulrush {
 
 /**
- * Which requests were under way at a server that has ended. A connection that breaks is no end of
- * its server: it may be a cut, a reset or an answer that was lost. So requests that broke, or were
- * given up there, are remembered for a while, and reported if the server turns out to have ended.
+ * Determines which requests were in flight at a server that has crashed. A broken connection does
+ * not prove a crash: the cause may also be a network cut, a reset or a missing answer. Requests
+ * whose connection broke, or that were abandoned, are therefore stored for a while and reported if
+ * the server turns out to have crashed.
  *
- * Not thread safe. Instants never go back.
+ * Not thread safe. Instants never decrease.
  */
 class CrashWatch
 {
 public:
     /**
-     * How long a request is remembered that got no answer: a server that reaches nobody is taken
-     * for gone after three heartbeats, some 4.5 s.
+     * Time for which a request without an answer is stored. A server that reaches nobody is
+     * considered stopped after three missed heartbeats, which take about 4.5 s.
      */
-    static constexpr Duration memory = std::chrono::seconds{6};
-    /** How long an end is remembered, for requests whose break is noticed after it. */
-    static constexpr Duration endMemory = std::chrono::seconds{30};
-    /** Requests that are remembered of one server: more than its slots and its queue hold. */
-    static constexpr std::size_t mostOfServer = 16;
-    /** A server is connected to again after this, to see whether it has ended. */
-    static constexpr Duration lookAgain = std::chrono::seconds{1};
+    static constexpr Duration requestRetention = std::chrono::seconds{6};
+    /** Time for which a crash is stored, for requests whose broken connection is detected later. */
+    static constexpr Duration crashRetention = std::chrono::seconds{30};
+    /** Maximum number of requests stored for one server: more than its slots and queue hold. */
+    static constexpr std::size_t maxRequestsPerServer = 16;
+    /** Interval of the connection attempts that check whether a server has crashed. */
+    static constexpr Duration livenessCheckInterval = std::chrono::seconds{1};
 
-    /** How a request came to have no answer of a server that it was sent to. */
+    /** Reason why a request received no answer from the server to which it was sent. */
     enum class Loss {
-        Broke,     ///< the connection ended
-        Abandoned, ///< it was given up, as its time was over or its caller had left
+        Broke,     ///< the connection broke
+        Abandoned, ///< the deadline passed or the caller disconnected
     };
 
-    /** Notes that a request got no answer. \returns a report if the server had ended already. */
+    /** Records a request without an answer. \returns a report if its server has crashed already. */
     std::optional<CrashReport> lost(const CrashReport &report, Loss loss, Instant now);
 
-    /** Notes that a server has ended. \returns what is to be reported. */
+    /** Records that a server has crashed. \returns the reports of the requests in flight there. */
     std::vector<CrashReport> serverEnded(const ServerName &server, Instant now);
 
-    /** Notes that \a server answered, so that it has not ended, whatever it looked like. */
+    /** Records that \a server answered, which revokes any assumption that it has crashed. */
     void serverAnswered(const ServerName &server);
 
     /**
-     * \returns whether to look now if \a server still listens, and notes that it is looked:
-     * requests broke there, and it was not looked just before.
+     * \returns whether to check now if \a server still listens, and records that check. A check is
+     * due if requests got no answer there and the last check was at least one interval ago.
      */
     bool takeLook(const ServerName &server, Instant now);
 
-    /** \returns the servers that requests broke at. */
+    /** \returns the servers at which the connections of requests broke. */
     std::vector<ServerName> doubted() const;
 
-    /** Forgets what is too old. To be called now and then. */
+    /** Removes expired entries. To be called periodically. */
     void forget(Instant now);
 
 private:
@@ -68,8 +69,8 @@
     };
 
     std::map<ServerName, std::vector<Entry>> m_entries;
-    std::map<ServerName, Instant> m_lookedAt;
-    std::map<ServerName, Instant> m_ended;
+    std::map<ServerName, Instant> m_checkedAt;
+    std::map<ServerName, Instant> m_crashedAt;
 };
 
 } // namespace bulrush
--- a/src/libbulrush/process/quarantine.cpp
+++ b/src/libbulrush/process/quarantine.cpp
@@ -6,33 +6,34 @@
 
 bool SuspectRequest::isBlocked() const
 {
-    // Servers that fall together, by a power loss or a release, end under whatever is popular. Only
-    // a request that was sent again after one had ended, and ended another, is to blame.
+    // When servers stop together, after a power loss or for a release, popular requests are in
+    // flight at all of them. Only a request that was sent to a server after another had crashed
+    // under it, and then crashed that server too, is considered the cause.
     return isRepeated && servers.size() >= Quarantine::blockingCrashes;
 }
 
-Quarantine::Quarantine(Suspects suspects, std::set<RequestFingerprint> leftToOthers)
+Quarantine::Quarantine(Suspects suspects, std::set<RequestFingerprint> probedElsewhere)
     : m_suspects(std::move(suspects))
-    , m_leftToOthers(std::move(leftToOthers))
+    , m_probedElsewhere(std::move(probedElsewhere))
 { }
 
-bool Quarantine::isLeftToOthers(const RequestFingerprint &request) const
+bool Quarantine::isProbedElsewhere(const RequestFingerprint &request) const
 {
-    return m_leftToOthers.contains(request);
+    return m_probedElsewhere.contains(request);
 }
 
 bool Quarantine::blocks(const RequestFingerprint &request) const
 {
-    const auto place = m_suspects.find(request);
-    return place != m_suspects.end() && place->second.isBlocked();
+    const auto found = m_suspects.find(request);
+    return found != m_suspects.end() && found->second.isBlocked();
 }
 
 std::span<const ServerName> Quarantine::endedUnder(const RequestFingerprint &request) const
 {
-    const auto place = m_suspects.find(request);
-    if (place == m_suspects.end())
+    const auto found = m_suspects.find(request);
+    if (found == m_suspects.end())
         return {};
-    return place->second.servers;
+    return found->second.servers;
 }
 
 } // namespace bulrush
--- a/src/libbulrush/process/quarantine.h
+++ b/src/libbulrush/process/quarantine.h
@@ -11,58 +11,57 @@
 
 namespace bulrush {
 
-/** A request under which servers have ended, and that was not answered since. */
+/** A request under which servers have crashed, and that has not been answered since. */
 struct SuspectRequest
 {
-    /** The runs that ended. */
+    /** The runs of servers that crashed. */
     std::vector<ServerName> servers;
-    /** The request was sent to one of them after another of them was known to have ended. */
+    /** The request was sent to one of the servers after another was known to have crashed. */
     bool isRepeated = false;
 
-    /** \returns whether the request is kept from all servers. */
+    /** \returns whether the request must not be sent to any server. */
     bool isBlocked() const;
 };
 
 /**
- * The requests under which servers have ended, by what all daemons saw: those that crash servers
- * are kept from them, whoever sends them again and wherever.
+ * The requests under which servers have crashed, according to the reports of all daemons. Requests
+ * that crash servers are blocked for all callers, at every daemon.
  *
- * Made by the control thread, never changed, read by those that carry traffic.
+ * Immutable. Created by the control thread and read by the traffic threads.
  */
 class Quarantine
 {
 public:
     /**
-     * Servers that have to end under a request before it is blocked. One or two may end for another
-     * reason while a request is there.
+     * Number of servers that must crash under a request before it is blocked. One or two may crash
+     * for another reason while the request is in flight there.
      */
     static constexpr std::size_t blockingCrashes = 3;
 
     using Suspects = std::map<RequestFingerprint, SuspectRequest>;
 
     Quarantine() = default;
-    /** \a leftToOthers are those that another daemon is to try. */
-    explicit Quarantine(Suspects suspects, std::set<RequestFingerprint> leftToOthers = {});
+    /** \a probedElsewhere are the suspects that another daemon probes. */
+    explicit Quarantine(Suspects suspects, std::set<RequestFingerprint> probedElsewhere = {});
 
-    /** \returns whether \a request is to be refused. Thread safe. */
+    /** \returns whether \a request must be rejected. Thread safe. */
     bool blocks(const RequestFingerprint &request) const;
 
-    /** \returns whether another daemon is to find out if \a request crashes servers. Thread safe.
-     */
-    bool isLeftToOthers(const RequestFingerprint &request) const;
+    /** \returns whether another daemon probes if \a request crashes servers. Thread safe. */
+    bool isProbedElsewhere(const RequestFingerprint &request) const;
 
     /**
-     * \returns the runs that ended under \a request, which was not answered since. Valid as long as
-     * this object. Thread safe.
+     * \returns the runs of servers that crashed under \a request since it was last answered. Valid
+     * during the lifetime of this object. Thread safe.
      */
     std::span<const ServerName> endedUnder(const RequestFingerprint &request) const;
 
-    /** \returns all suspects. Valid as long as this object. Thread safe. */
+    /** \returns all suspects. Valid during the lifetime of this object. Thread safe. */
     const Suspects &requests() const;
 
 private:
     Suspects m_suspects;
-    std::set<RequestFingerprint> m_leftToOthers;
+    std::set<RequestFingerprint> m_probedElsewhere;
 };
 
 inline const Quarantine::Suspects &Quarantine::requests() const
--- a/src/libbulrush/process/requestpassage.cpp
+++ b/src/libbulrush/process/requestpassage.cpp
@@ -9,8 +9,8 @@
         return RequestPassage::Blocked;
     if (quarantine.endedUnder(request).empty() || answered.contains(request, now))
         return RequestPassage::Free;
-    // Who can't tell what is popular would hold such requests back for nothing.
-    if (quarantine.isLeftToOthers(request) && answered.isPopularityKnown(now))
+    // Before enough answers are recorded, popular requests would be held back without need.
+    if (quarantine.isProbedElsewhere(request) && answered.hasMinHistory(now))
         return RequestPassage::LeftToOthers;
     return RequestPassage::OneAtATime;
 }
--- a/src/libbulrush/process/requestpassage.h
+++ b/src/libbulrush/process/requestpassage.h
@@ -5,17 +5,17 @@
 
 namespace bulrush {
 
-/** Whether a request may go to a server, by the servers that are known to have ended under it. */
+/** Whether a request may be sent to a server, given the servers that have crashed under it. */
 enum class RequestPassage {
     Free,
-    OneAtATime,   ///< one copy at a time shows whether it is to blame
-    LeftToOthers, ///< another daemon finds that out
-    Blocked,      ///< it has ended each server that ran it
+    OneAtATime,   ///< only one copy at a time, to determine whether the request is the cause
+    LeftToOthers, ///< another daemon probes whether the request is the cause
+    Blocked,      ///< it has crashed every server that processed it
 };
 
 /**
- * \returns the passage of \a request at a daemon that knows \a quarantine and has seen \a answered.
- * Thread safe as long as neither is changed.
+ * \returns whether \a request may be sent, according to the \a quarantine and to the requests that
+ * this daemon saw \a answered. Thread safe as long as neither is changed.
  */
 RequestPassage passageOf(const RequestFingerprint &request, const Quarantine &quarantine,
                          const AnsweredRequests &answered, Instant now);
--- a/tests/crashes/test_crashcodec.cpp
+++ b/tests/crashes/test_crashcodec.cpp
@@ -21,13 +21,13 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(rowsComeBackAsTheyWere)
+BOOST_AUTO_TEST_CASE(decodedRowsEqualEncodedRows)
 {
     BOOST_TEST((io::decodeCrashRow(io::encodeCrashRow(row())) == row()));
     BOOST_TEST((io::decodeCrashRow(io::encodeCrashRow({})) == CrashRow{}));
 }
 
-BOOST_AUTO_TEST_CASE(whatIsCutOffOrOfAnotherTypeIsNone)
+BOOST_AUTO_TEST_CASE(truncatedOrInvalidTextIsRejected)
 {
     const std::string text = io::encodeCrashRow(row());
     for (std::size_t length = 0; length + 1 < text.size(); ++length)
--- a/tests/crashes/test_crashledger.cpp
+++ b/tests/crashes/test_crashledger.cpp
@@ -22,59 +22,60 @@
     return ServerName{"s" + std::to_string(number)};
 }
 
-/** Three daemons, and the rows that they write, which all see at once. */
+/** Three daemons and their rows, which all daemons receive immediately. */
 struct Daemons
 {
     Daemons()
     {
         for (const HostName &host : hosts) {
-            ledgers.emplace(host, CrashLedger{host});
-            ledgers.at(host).rowsSeen();
+            registries.emplace(host, CrashLedger{host});
+            registries.at(host).rowsSeen();
         }
     }
 
     CrashLedger &at(std::size_t index)
     {
-        return ledgers.at(hosts[index]);
+        return registries.at(hosts[index]);
     }
 
-    /** Has \a index see the end of a server under \a request, sent by what it knew. */
-    void see(std::size_t index, const RequestFingerprint &request, const ServerName &ended)
+    /** Reports to daemon \a index that a server crashed under \a request. */
+    void reportCrash(std::size_t index, const RequestFingerprint &request,
+                     const ServerName &crashed)
     {
         const Quarantine known = quarantineAt(index);
         const auto after = known.endedUnder(request);
-        const CrashReport report{request, ended, {after.begin(), after.end()}};
+        const CrashReport report{request, crashed, {after.begin(), after.end()}};
         at(index).reported({&report, 1}, now);
-        spread();
+        replicate();
     }
 
-    void answer(std::size_t index, const RequestFingerprint &request)
+    void answerRequest(std::size_t index, const RequestFingerprint &request)
     {
         at(index).answered(request, now);
-        spread();
+        replicate();
     }
 
-    /** Carries out all writes that are due, and shows them to all. */
-    void spread()
+    /** Executes all due writes and delivers all rows to all daemons. */
+    void replicate()
     {
-        for (auto &[host, ledger] : ledgers) {
-            const auto write = ledger.dueWrite(now);
+        for (auto &[host, registry] : registries) {
+            const auto write = registry.dueWrite(now);
             if (!write)
                 continue;
             ++writes;
             rows[host] = {++version, write->row};
-            ledger.written(RowWriteEnd::Done, version, now);
+            registry.written(RowWriteEnd::Done, version, now);
         }
-        for (auto &[host, ledger] : ledgers) {
+        for (auto &[host, registry] : registries) {
             for (const auto &[writer, row] : rows)
-                ledger.rowSeen(writer, row.first, row.second, now);
+                registry.rowSeen(writer, row.first, row.second, now);
         }
     }
 
-    void pass(Duration span)
+    void advance(Duration duration)
     {
-        now += span;
-        spread();
+        now += duration;
+        replicate();
     }
 
     Quarantine quarantineAt(std::size_t index)
@@ -97,7 +98,7 @@
     }
 
     Instant now{100s};
-    std::map<HostName, CrashLedger> ledgers;
+    std::map<HostName, CrashLedger> registries;
     std::map<HostName, std::pair<std::uint64_t, CrashRow>> rows;
     std::map<std::size_t, Quarantine> known;
     std::uint64_t version = 0;
@@ -106,118 +107,118 @@
 
 } // namespace
 
-BOOST_FIXTURE_TEST_CASE(threeEndsSeenByThreeDaemonsBlockARequestAtAll, Daemons)
+BOOST_FIXTURE_TEST_CASE(threeCrashesSeenByThreeDaemonsBlockRequestEverywhere, Daemons)
 {
-    see(0, bad, server(1));
-    see(1, bad, server(2));
+    reportCrash(0, bad, server(1));
+    reportCrash(1, bad, server(2));
     BOOST_TEST(!isBlockedAnywhere(bad));
-    see(2, bad, server(3));
+    reportCrash(2, bad, server(3));
     BOOST_TEST(isBlockedEverywhere(bad));
     BOOST_TEST(!isBlockedAnywhere(good));
 }
 
-BOOST_FIXTURE_TEST_CASE(oneServerThatEndsUnderManyIsOneEnd, Daemons)
+BOOST_FIXTURE_TEST_CASE(crashReportedByManyDaemonsCountsOnce, Daemons)
 {
     for (std::size_t i = 0; i < hosts.size(); ++i)
-        see(i, bad, server(1));
+        reportCrash(i, bad, server(1));
     BOOST_TEST(!isBlockedAnywhere(bad));
 }
 
-BOOST_FIXTURE_TEST_CASE(aPopularRequestAtServersThatFallTogetherIsNotBlocked, Daemons)
+BOOST_FIXTURE_TEST_CASE(popularRequestIsNotBlockedWhenServersCrashTogether, Daemons)
 {
-    // All were sent before any of the ends was known.
+    // All were sent before any of the crashes was known.
     for (int i = 1; i <= 5; ++i) {
         const CrashReport report{good, server(i), {}};
         at(static_cast<std::size_t>(i) % hosts.size()).reported({&report, 1}, now);
     }
-    spread();
+    replicate();
     BOOST_TEST(!isBlockedAnywhere(good));
 }
 
-BOOST_FIXTURE_TEST_CASE(aRequestThatIsAnsweredInBetweenIsNotBlocked, Daemons)
+BOOST_FIXTURE_TEST_CASE(requestAnsweredBetweenCrashesIsNotBlocked, Daemons)
 {
     for (int i = 1; i <= 6; ++i) {
-        see(0, good, server(i));
-        answer(1, good);
-        pass(CrashLedger::longestScatter);
+        reportCrash(0, good, server(i));
+        answerRequest(1, good);
+        advance(CrashLedger::maxPublishDelay);
     }
     BOOST_TEST(!isBlockedAnywhere(good));
 }
 
-BOOST_FIXTURE_TEST_CASE(anAnswerThatOthersHaveNotHeardOfGoesAlongWithTheNextReport, Daemons)
+BOOST_FIXTURE_TEST_CASE(unpublishedAnswerIsPublishedWithNextReport, Daemons)
 {
-    see(0, good, server(1));
-    // With one end nothing is told: most requests that a crash broke off are answered later.
+    reportCrash(0, good, server(1));
+    // After one crash nothing is published: most requests that a crash interrupts succeed later.
     const int before = writes;
-    answer(1, good);
-    pass(CrashLedger::longestScatter);
+    answerRequest(1, good);
+    advance(CrashLedger::maxPublishDelay);
     BOOST_TEST(writes == before);
-    see(1, good, server(2));
+    reportCrash(1, good, server(2));
     BOOST_TEST(quarantineAt(0).endedUnder(good).size() == 1U);
 }
 
-BOOST_FIXTURE_TEST_CASE(anAnswerThatCameLateLiftsTheBlock, Daemons)
+BOOST_FIXTURE_TEST_CASE(lateAnswerLiftsBlock, Daemons)
 {
-    see(0, good, server(1));
-    see(1, good, server(2));
-    see(2, good, server(3));
+    reportCrash(0, good, server(1));
+    reportCrash(1, good, server(2));
+    reportCrash(2, good, server(3));
     BOOST_TEST(isBlockedEverywhere(good));
-    answer(1, good);
-    pass(CrashLedger::longestScatter);
+    answerRequest(1, good);
+    advance(CrashLedger::maxPublishDelay);
     BOOST_TEST(!isBlockedAnywhere(good));
 }
 
-BOOST_FIXTURE_TEST_CASE(ofManyThatAnswerOneTells, Daemons)
+BOOST_FIXTURE_TEST_CASE(onlyOneOfManyDaemonsPublishesAnswer, Daemons)
 {
-    see(0, good, server(1));
-    see(1, good, server(2));
+    reportCrash(0, good, server(1));
+    reportCrash(1, good, server(2));
     const int before = writes;
     for (std::size_t i = 0; i < hosts.size(); ++i)
         at(i).answered(good, now);
     for (int i = 0; i < 70; ++i)
-        pass(10ms);
+        advance(10ms);
     BOOST_TEST(writes == before + 1);
 }
 
-BOOST_FIXTURE_TEST_CASE(aDaemonThatStartsKnowsWhatWasKnown, Daemons)
+BOOST_FIXTURE_TEST_CASE(restartedDaemonRestoresQuarantine, Daemons)
 {
     for (int i = 1; i <= 3; ++i)
-        see(0, bad, server(i));
+        reportCrash(0, bad, server(i));
     for (const HostName &host : hosts)
-        ledgers.at(host) = CrashLedger{host};
+        registries.at(host) = CrashLedger{host};
     known.clear();
-    spread();
+    replicate();
     BOOST_TEST(isBlockedEverywhere(bad));
     for (const HostName &host : hosts)
-        ledgers.at(host).rowsSeen();
-    // What it writes next keeps what its earlier run saw.
-    see(0, good, server(4));
+        registries.at(host).rowsSeen();
+    // The next write keeps the reports of the earlier run.
+    reportCrash(0, good, server(4));
     BOOST_TEST(isBlockedEverywhere(bad));
 }
 
-BOOST_FIXTURE_TEST_CASE(whatADaemonSawBeforeItKnewItsRowIsToldWithIt, Daemons)
+BOOST_FIXTURE_TEST_CASE(reportsBeforeOwnRowIsReceivedAreMergedIntoRow, Daemons)
 {
-    see(0, bad, server(1));
+    reportCrash(0, bad, server(1));
     at(0) = CrashLedger{hosts[0]};
     const CrashReport report{good, server(2), {}};
     at(0).reported({&report, 1}, now);
-    spread();
+    replicate();
     at(0).rowsSeen();
-    spread();
+    replicate();
     BOOST_TEST(rows.at(hosts[0]).second.reports.size() == 2U);
 }
 
-BOOST_FIXTURE_TEST_CASE(aRowThatWasRemovedOrSpoiledIsWrittenAnew, Daemons)
+BOOST_FIXTURE_TEST_CASE(removedOrInvalidRowIsRewritten, Daemons)
 {
-    see(0, bad, server(1));
+    reportCrash(0, bad, server(1));
     at(0).rowSeen(hosts[0], ++version, std::nullopt, now);
     const CrashReport second{bad, server(2), {}};
     at(0).reported({&second, 1}, now);
-    const auto written = at(0).dueWrite(now);
-    BOOST_REQUIRE(written.has_value());
-    BOOST_TEST(written->expectedVersion == 0U);
+    const auto firstWrite = at(0).dueWrite(now);
+    BOOST_REQUIRE(firstWrite.has_value());
+    BOOST_TEST(firstWrite->expectedVersion == 0U);
     at(0).written(RowWriteEnd::Done, ++version, now);
-    // A word from before the write is no news.
+    // A row version from before the write is ignored.
     at(0).rowSeen(hosts[0], version - 1, std::nullopt, now);
     at(0).rowSeen(hosts[0], ++version, CrashRow{}, now);
     const CrashReport third{bad, server(3), {}};
@@ -228,78 +229,78 @@
     BOOST_TEST(again->row.reports.size() == 3U);
 }
 
-BOOST_FIXTURE_TEST_CASE(theBlockEnds, Daemons)
+BOOST_FIXTURE_TEST_CASE(blockExpires, Daemons)
 {
     for (int i = 1; i <= 3; ++i)
-        see(1, bad, server(i));
-    pass(CrashLedger::memory - 1s);
+        reportCrash(1, bad, server(i));
+    advance(CrashLedger::reportRetention - 1s);
     BOOST_TEST(isBlockedEverywhere(bad));
-    pass(2s);
+    advance(2s);
     BOOST_TEST(!isBlockedAnywhere(bad));
     BOOST_TEST(rows.at(hosts[1]).second.reports.empty());
 }
 
-BOOST_FIXTURE_TEST_CASE(whatADaemonThatIsGoneSawEndsAsWell, Daemons)
+BOOST_FIXTURE_TEST_CASE(reportsOfRemovedDaemonExpire, Daemons)
 {
     for (int i = 1; i <= 3; ++i)
-        see(1, bad, server(i));
-    ledgers.erase(hosts[1]);
-    pass(CrashLedger::memory + 1s);
+        reportCrash(1, bad, server(i));
+    registries.erase(hosts[1]);
+    advance(CrashLedger::reportRetention + 1s);
     BOOST_TEST(!quarantineAt(0).blocks(bad));
     BOOST_TEST(!quarantineAt(2).blocks(bad));
 }
 
-BOOST_FIXTURE_TEST_CASE(anOperatorLiftsABlock, Daemons)
+BOOST_FIXTURE_TEST_CASE(operatorLiftsBlock, Daemons)
 {
     for (std::size_t i = 0; i < hosts.size(); ++i)
-        see(i, bad, server(static_cast<int>(i)));
+        reportCrash(i, bad, server(static_cast<int>(i)));
     BOOST_TEST(at(2).lift(bad));
     BOOST_TEST(!at(2).lift(good));
-    spread();
+    replicate();
     BOOST_TEST(!isBlockedAnywhere(bad));
 }
 
-BOOST_FIXTURE_TEST_CASE(aRowIsBoundedAndKeepsWhatCameAgain, Daemons)
+BOOST_FIXTURE_TEST_CASE(rowIsBoundedAndKeepsRepeatedRequests, Daemons)
 {
-    see(0, bad, server(1));
-    see(1, bad, server(2));
+    reportCrash(0, bad, server(1));
+    reportCrash(1, bad, server(2));
     for (int i = 0; i < 1000; ++i) {
         const RequestFingerprint other{{"GET", "shop.example", "/" + std::to_string(i), ""}};
-        see(1, other, server(3));
+        reportCrash(1, other, server(3));
     }
-    BOOST_TEST(rows.at(hosts[1]).second.reports.size() == CrashLedger::mostReports);
-    see(2, bad, server(4));
+    BOOST_TEST(rows.at(hosts[1]).second.reports.size() == CrashLedger::maxReports);
+    reportCrash(2, bad, server(4));
     BOOST_TEST(isBlockedEverywhere(bad));
 }
 
-BOOST_AUTO_TEST_CASE(aWriteThatWasNotDoneIsRepeatedAfterAPause)
+BOOST_AUTO_TEST_CASE(failedWriteIsRetriedAfterBackoff)
 {
-    CrashLedger ledger{hosts[0]};
+    CrashLedger registry{hosts[0]};
     const Instant now{100s};
     const CrashReport report{bad, server(1), {}};
-    ledger.reported({&report, 1}, now);
-    // Not before the own row is known: what an earlier run saw would be lost.
-    BOOST_TEST(!ledger.dueWrite(now).has_value());
-    ledger.rowsSeen();
-    BOOST_TEST(ledger.dueWrite(now).has_value());
-    BOOST_TEST(!ledger.dueWrite(now).has_value());
-    ledger.written(RowWriteEnd::Refused, 0, now);
-    BOOST_TEST(!ledger.dueWrite(now).has_value());
-    const auto again = ledger.dueWrite(now + CrashLedger::firstPause);
+    registry.reported({&report, 1}, now);
+    // No write before the own row is received: it would lose the reports of an earlier run.
+    BOOST_TEST(!registry.dueWrite(now).has_value());
+    registry.rowsSeen();
+    BOOST_TEST(registry.dueWrite(now).has_value());
+    BOOST_TEST(!registry.dueWrite(now).has_value());
+    registry.written(RowWriteEnd::Refused, 0, now);
+    BOOST_TEST(!registry.dueWrite(now).has_value());
+    const auto again = registry.dueWrite(now + CrashLedger::minWriteBackoff);
     BOOST_REQUIRE(again.has_value());
     BOOST_TEST(again->row.reports.size() == 1U);
-    ledger.written(RowWriteEnd::Unknown, 0, now);
-    // The lost write was done after all.
-    ledger.rowSeen(hosts[0], 7, again->row, now);
-    const auto third = ledger.dueWrite(now + 10s);
+    registry.written(RowWriteEnd::Unknown, 0, now);
+    // The write with the unknown result was executed.
+    registry.rowSeen(hosts[0], 7, again->row, now);
+    const auto third = registry.dueWrite(now + 10s);
     BOOST_REQUIRE(third.has_value());
     BOOST_TEST(third->expectedVersion == 7U);
 }
 
-BOOST_FIXTURE_TEST_CASE(daemonsThatAreKnownAlreadyAreNoNews, Daemons)
+BOOST_FIXTURE_TEST_CASE(unchangedDaemonsDoNotChangeQuarantine, Daemons)
 {
     at(0).setDaemons(hosts);
-    see(0, bad, server(1));
+    reportCrash(0, bad, server(1));
     BOOST_TEST((at(0).changed(now) != nullptr));
     at(0).setDaemons(hosts);
     BOOST_TEST((at(0).changed(now) == nullptr));
--- a/tests/crashes/test_crashwatch.cpp
+++ b/tests/crashes/test_crashwatch.cpp
@@ -25,7 +25,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(aBrokenConnectionAloneIsNoEndOfItsServer)
+BOOST_AUTO_TEST_CASE(brokenConnectionAloneIsNotTreatedAsCrash)
 {
     CrashWatch watch;
     const Instant now{10s};
@@ -33,11 +33,11 @@
     BOOST_TEST(watch.takeLook(server, now));
     BOOST_TEST(!watch.takeLook(server, now + 500ms));
     BOOST_TEST(watch.takeLook(server, now + 1s));
-    watch.forget(now + CrashWatch::memory + 1ms);
-    BOOST_TEST(watch.serverEnded(server, now + CrashWatch::memory + 1ms).empty());
+    watch.forget(now + CrashWatch::requestRetention + 1ms);
+    BOOST_TEST(watch.serverEnded(server, now + CrashWatch::requestRetention + 1ms).empty());
 }
 
-BOOST_AUTO_TEST_CASE(allThatWereAtAServerAreReportedAsItHasEnded)
+BOOST_AUTO_TEST_CASE(allRequestsInFlightAtCrashedServerAreReported)
 {
     CrashWatch watch;
     const Instant now{10s};
@@ -48,7 +48,7 @@
     BOOST_TEST(watch.serverEnded(server, now + 4ms).empty());
 }
 
-BOOST_AUTO_TEST_CASE(aRequestThatWasGivenUpBeforeTheEndIsReported)
+BOOST_AUTO_TEST_CASE(requestAbandonedBeforeCrashIsReported)
 {
     CrashWatch watch;
     const Instant now{10s};
@@ -57,7 +57,7 @@
     BOOST_TEST(watch.serverEnded(server, now + 1s).size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(aBreakThatIsNoticedAfterTheEndIsReported)
+BOOST_AUTO_TEST_CASE(connectionBreakDetectedAfterCrashIsReported)
 {
     CrashWatch watch;
     const Instant now{10s};
@@ -67,11 +67,11 @@
     BOOST_TEST(!watch.lost(reportOf(2), CrashWatch::Loss::Broke, now + 2ms).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(whatIsRememberedOfAServerIsBounded)
+BOOST_AUTO_TEST_CASE(storedRequestsOfServerAreBounded)
 {
     CrashWatch watch;
     const Instant now{10s};
     for (int i = 0; i < 1000; ++i)
         watch.lost(reportOf(i), CrashWatch::Loss::Broke, now);
-    BOOST_TEST(watch.serverEnded(server, now).size() == CrashWatch::mostOfServer);
+    BOOST_TEST(watch.serverEnded(server, now).size() == CrashWatch::maxRequestsPerServer);
 }
--- a/tests/crashes/test_crashworld.cpp
+++ b/tests/crashes/test_crashworld.cpp
@@ -16,37 +16,38 @@
 using namespace bulrush;
 using namespace std::chrono_literals;
 
-// Daemons that judge by each other's rows, in virtual time: a request that ends each server that
-// runs it comes again at random daemons, beside a popular one, while servers also fall for other
-// reasons, many at once, and daemons start anew. Rows come to each daemon after a time of its own.
+// Simulates daemons that evaluate each other's crash rows, in virtual time. A request that crashes
+// every server that processes it is repeated at random daemons, together with a popular request,
+// while many servers also crash at once for other reasons and daemons restart. Each daemon receives
+// rows after a different delay.
 
 namespace {
 
 const RequestFingerprint bad{{"GET", "shop.example", "/bad", ""}};
 const RequestFingerprint popular{{"GET", "shop.example", "/popular", ""}};
 
-constexpr Duration stepTime = 10ms;
-constexpr Duration advanceEvery = 100ms;
-/** By then all daemons know what each has seen. */
-constexpr Duration window = 3s;
-constexpr int mostLater = 3;
-constexpr int attempts = 2;
+constexpr Duration step = 10ms;
+constexpr Duration advanceInterval = 100ms;
+/** Within this time all daemons receive the reports of each other. */
+constexpr Duration propagationBound = 3s;
+constexpr int maxLaterRequests = 3;
+constexpr int maxAttempts = 2;
 
-struct World
+struct Simulation
 {
     struct Host
     {
         explicit Host(const HostName &hostName)
             : name(hostName)
-            , ledger(hostName)
+            , registry(hostName)
         { }
 
         HostName name;
-        CrashLedger ledger;
+        CrashLedger registry;
         Quarantine known;
-        AnsweredRequests answered{Instant{100s}};
-        /** When the last version of each row that it has seen was written, by writer. */
-        std::vector<std::uint64_t> seen;
+        AnsweredRequests answeredRequests{Instant{100s}};
+        /** Last received version of each row, by writer. */
+        std::vector<std::uint64_t> receivedVersions;
     };
 
     struct Row
@@ -69,21 +70,21 @@
     struct Server
     {
         int run = 1;
-        std::optional<Instant> backAt;
+        std::optional<Instant> restartsAt;
     };
 
-    World(std::size_t hostCount, std::size_t serverCount, unsigned seed)
+    Simulation(std::size_t hostCount, std::size_t serverCount, unsigned seed)
         : random(seed)
         , servers(serverCount)
         , rows(hostCount)
     {
         for (std::size_t i = 0; i < hostCount; ++i) {
             hosts.emplace_back(HostName{"h" + std::to_string(i)});
-            hosts.back().seen.resize(hostCount);
-            hosts.back().ledger.rowsSeen();
+            hosts.back().receivedVersions.resize(hostCount);
+            hosts.back().registry.rowsSeen();
         }
         for (Host &host : hosts)
-            host.ledger.setDaemons(names());
+            host.registry.setDaemons(names());
     }
 
     std::vector<HostName> names() const
@@ -97,22 +98,23 @@
     bool isHeldBack(const RequestFingerprint &request, std::size_t index) const
     {
         const Host &host = hosts[index];
-        const RequestPassage passage = passageOf(request, host.known, host.answered, now);
-        if (passage != RequestPassage::OneAtATime)
-            return passage != RequestPassage::Free;
-        return std::ranges::any_of(
-            works, [&](const Work &work) { return work.host == index && work.request == request; });
+        const RequestPassage admission = passageOf(request, host.known, host.answeredRequests, now);
+        if (admission != RequestPassage::OneAtATime)
+            return admission != RequestPassage::Free;
+        return std::ranges::any_of(inFlight, [&](const Work &work) {
+            return work.host == index && work.request == request;
+        });
     }
 
-    std::size_t below(std::size_t count)
+    std::size_t randomIndex(std::size_t count)
     {
         return std::uniform_int_distribution<std::size_t>{0, count - 1}(random);
     }
 
-    Duration between(Duration least, Duration most)
+    Duration randomDuration(Duration min, Duration max)
     {
         return Duration{
-            std::uniform_int_distribution<std::int64_t>{least.count(), most.count()}(random)};
+            std::uniform_int_distribution<std::int64_t>{min.count(), max.count()}(random)};
     }
 
     ServerName nameOf(std::size_t server) const
@@ -120,8 +122,8 @@
         return ServerName{std::to_string(server) + '/' + std::to_string(servers[server].run)};
     }
 
-    /** \returns how long the row of one host takes to another. */
-    static Duration travelOf(std::size_t from, std::size_t to)
+    /** \returns the delay until the row of one host is received by another. */
+    static Duration propagationDelay(std::size_t from, std::size_t to)
     {
         return 50ms + 10ms * static_cast<int>((from * 31 + to * 17) % 60);
     }
@@ -135,61 +137,61 @@
         const auto after = hosts[host].known.endedUnder(request);
         if (attempt > 1 && !after.empty())
             return;
-        const std::size_t server = below(servers.size());
-        if (servers[server].backAt)
+        const std::size_t server = randomIndex(servers.size());
+        if (servers[server].restartsAt)
             return;
-        works.push_back({request,
-                         host,
-                         server,
-                         {after.begin(), after.end()},
-                         now + between(20ms, 80ms),
-                         attempt});
+        inFlight.push_back({request,
+                            host,
+                            server,
+                            {after.begin(), after.end()},
+                            now + randomDuration(20ms, 80ms),
+                            attempt});
         if (request == bad)
             reached.push_back(now);
     }
 
-    void endServer(std::size_t server)
+    void crashServer(std::size_t server)
     {
         std::vector<Work> lost;
-        std::erase_if(works, [&](const Work &work) {
+        std::erase_if(inFlight, [&](const Work &work) {
             if (work.server == server)
                 lost.push_back(work);
             return work.server == server;
         });
         for (const Work &work : lost) {
             if (work.request == bad)
-                badEnded = true;
+                hasBadCrashed = true;
             const CrashReport report{work.request, nameOf(server), work.after};
-            hosts[work.host].ledger.reported({&report, 1}, now);
+            hosts[work.host].registry.reported({&report, 1}, now);
             advance(work.host);
-            if (work.attempt < attempts)
+            if (work.attempt < maxAttempts)
                 send(work.request, work.host, work.attempt + 1);
         }
-        if (std::exchange(badEnded, false))
-            badEnds.push_back(now);
-        servers[server].backAt = now + between(2s, 5s);
+        if (std::exchange(hasBadCrashed, false))
+            badCrashes.push_back(now);
+        servers[server].restartsAt = now + randomDuration(2s, 5s);
     }
 
-    void endWorks()
+    void completeWork()
     {
         std::vector<std::size_t> crashed;
-        for (const Work &work : works) {
+        for (const Work &work : inFlight) {
             if (work.request == bad && now >= work.endsAt)
                 crashed.push_back(work.server);
         }
         for (const std::size_t server : crashed) {
-            if (!servers[server].backAt)
-                endServer(server);
+            if (!servers[server].restartsAt)
+                crashServer(server);
         }
         std::vector<Work> done;
-        std::erase_if(works, [&](const Work &work) {
+        std::erase_if(inFlight, [&](const Work &work) {
             if (now >= work.endsAt)
                 done.push_back(work);
             return now >= work.endsAt;
         });
         for (const Work &work : done) {
-            hosts[work.host].ledger.answered(work.request, now);
-            hosts[work.host].answered.note(work.request, now);
+            hosts[work.host].registry.answered(work.request, now);
+            hosts[work.host].answeredRequests.note(work.request, now);
             advance(work.host);
         }
     }
@@ -197,24 +199,25 @@
     void advance(std::size_t index)
     {
         Host &host = hosts[index];
-        if (const auto write = host.ledger.dueWrite(now)) {
+        if (const auto write = host.registry.dueWrite(now)) {
             rows[index] = {++version, write->row, now};
-            host.ledger.written(RowWriteEnd::Done, version, now);
+            host.registry.written(RowWriteEnd::Done, version, now);
             ++writes;
         }
-        if (const auto changed = host.ledger.changed(now))
-            host.known = *changed;
+        if (const auto update = host.registry.changed(now))
+            host.known = *update;
     }
 
-    void hear(std::size_t index)
+    void receiveRows(std::size_t index)
     {
         Host &host = hosts[index];
         for (std::size_t from = 0; from < rows.size(); ++from) {
             const Row &row = rows[from];
-            if (row.version == host.seen[from] || now < row.writtenAt + travelOf(from, index))
+            if (row.version == host.receivedVersions[from]
+                || now < row.writtenAt + propagationDelay(from, index))
                 continue;
-            host.seen[from] = row.version;
-            host.ledger.rowSeen(hosts[from].name, row.version, row.row, now);
+            host.receivedVersions[from] = row.version;
+            host.registry.rowSeen(hosts[from].name, row.version, row.row, now);
         }
         advance(index);
     }
@@ -222,59 +225,58 @@
     void restart(std::size_t index)
     {
         Host &host = hosts[index];
-        host.ledger = CrashLedger{host.name};
-        host.ledger.setDaemons(names());
-        host.answered = AnsweredRequests{now};
+        host.registry = CrashLedger{host.name};
+        host.registry.setDaemons(names());
+        host.answeredRequests = AnsweredRequests{now};
         for (std::size_t from = 0; from < rows.size(); ++from) {
-            host.seen[from] = rows[from].version;
+            host.receivedVersions[from] = rows[from].version;
             if (rows[from].version > 0)
-                host.ledger.rowSeen(hosts[from].name, rows[from].version, rows[from].row, now);
+                host.registry.rowSeen(hosts[from].name, rows[from].version, rows[from].row, now);
         }
-        host.ledger.rowsSeen();
+        host.registry.rowsSeen();
         host.known = {};
         advance(index);
     }
 
-    void play(Duration span, Duration badEvery, bool isBadSent)
+    void simulate(Duration duration, Duration badInterval, bool isBadSent)
     {
         Instant badAt = now + 1s;
-        Instant killAt = now + between(2s, 10s);
-        const Instant end = now + span;
-        for (std::size_t turn = 0; now < end; ++turn, now += stepTime) {
+        Instant killAt = now + randomDuration(2s, 10s);
+        const Instant end = now + duration;
+        for (std::size_t turn = 0; now < end; ++turn, now += step) {
             for (std::size_t i = 0; i < servers.size(); ++i) {
-                if (servers[i].backAt && now >= *servers[i].backAt) {
-                    servers[i].backAt.reset();
+                if (servers[i].restartsAt && now >= *servers[i].restartsAt) {
+                    servers[i].restartsAt.reset();
                     ++servers[i].run;
                 }
             }
-            endWorks();
+            completeWork();
             if (isBadSent && now >= badAt) {
-                badAt = now + between(badEvery / 4, badEvery * 2);
-                send(bad, below(hosts.size()), 1);
+                badAt = now + randomDuration(badInterval / 4, badInterval * 2);
+                send(bad, randomIndex(hosts.size()), 1);
             }
-            send(popular, below(hosts.size()), 1);
+            send(popular, randomIndex(hosts.size()), 1);
             if (now >= killAt) {
-                killAt = now + between(5s, 15s);
+                killAt = now + randomDuration(5s, 15s);
                 for (std::size_t i = 0; i < servers.size(); ++i) {
-                    if (!servers[i].backAt && below(10) < 4)
-                        endServer(i);
+                    if (!servers[i].restartsAt && randomIndex(10) < 4)
+                        crashServer(i);
                 }
-                restart(below(hosts.size()));
+                restart(randomIndex(hosts.size()));
             }
-            const auto turns = static_cast<std::size_t>(advanceEvery / stepTime);
+            const auto turns = static_cast<std::size_t>(advanceInterval / step);
             for (std::size_t i = turn % turns; i < hosts.size(); i += turns)
-                hear(i);
+                receiveRows(i);
         }
     }
 
-    /** \returns how often the bad request reached a server later than the window after its third.
-     */
+    /** \returns how often the bad request reached a server after its third crash was propagated. */
     int reachedLater() const
     {
-        if (badEnds.size() < 3)
+        if (badCrashes.size() < 3)
             return 0;
         return static_cast<int>(std::ranges::count_if(
-            reached, [this](Instant at) { return at > badEnds[2] + window; }));
+            reached, [this](Instant at) { return at > badCrashes[2] + propagationBound; }));
     }
 
     std::mt19937 random;
@@ -282,14 +284,14 @@
     std::vector<Server> servers;
     std::vector<Row> rows;
     std::vector<Host> hosts;
-    std::vector<Work> works;
+    std::vector<Work> inFlight;
     std::vector<Instant> reached;
-    /** Ends of servers that the bad request was at. */
-    std::vector<Instant> badEnds;
+    /** Crashes of servers at which the bad request was in flight. */
+    std::vector<Instant> badCrashes;
     std::map<RequestFingerprint, int> refused;
     std::uint64_t version = 0;
     int writes = 0;
-    bool badEnded = false;
+    bool hasBadCrashed = false;
 };
 
 struct Size
@@ -308,60 +310,63 @@
 
 } // namespace
 
-BOOST_DATA_TEST_CASE(aRequestThatCrashesServersReachesThreeMoreAtMost,
+BOOST_DATA_TEST_CASE(requestThatCrashesServersReachesAtMostThreeMore,
                      boost::unit_test::data::make(sizes), size)
 {
     for (unsigned seed = 1; seed <= size.seeds; ++seed) {
-        World world{size.hosts, size.servers, seed};
-        const Duration every = 50ms * (1 + static_cast<int>(seed % 10) * 8);
-        world.play(60s, every, true);
-        BOOST_TEST(world.reachedLater() <= mostLater,
-                   "seed " << seed << ": " << world.reachedLater() << " more, "
-                           << world.badEnds.size() << " ended");
+        Simulation simulation{size.hosts, size.servers, seed};
+        const Duration interval = 50ms * (1 + static_cast<int>(seed % 10) * 8);
+        simulation.simulate(60s, interval, true);
+        BOOST_TEST(simulation.reachedLater() <= maxLaterRequests,
+                   "seed " << seed << ": " << simulation.reachedLater() << " more, "
+                           << simulation.badCrashes.size() << " crashed");
     }
 }
 
-BOOST_DATA_TEST_CASE(copiesThatWaitAtAllDaemonsDontAllGoAtOnce, boost::unit_test::data::make(sizes),
-                     size)
+BOOST_DATA_TEST_CASE(copiesWaitingAtAllDaemonsAreNotAllSentAtOnce,
+                     boost::unit_test::data::make(sizes), size)
 {
     for (unsigned seed = 1; seed <= size.seeds; ++seed) {
-        World world{size.hosts, size.servers, seed};
-        world.play(AnsweredRequests::enough, 1s, false);
-        for (int end = 1; end < 3; ++end) {
-            const std::size_t before = world.reached.size();
+        Simulation simulation{size.hosts, size.servers, seed};
+        simulation.simulate(AnsweredRequests::minHistory, 1s, false);
+        for (int crash = 1; crash < 3; ++crash) {
+            const std::size_t before = simulation.reached.size();
             for (std::size_t host = 0; host < size.hosts; ++host)
-                world.send(bad, host, 1);
-            // All hear of the first end before the key has an owner again.
-            if (end > 1)
-                BOOST_TEST(world.reached.size() - before <= std::size_t{mostLater},
-                           "seed " << seed << ": " << world.reached.size() - before << " at once");
-            world.play(4s, 1s, false);
+                simulation.send(bad, host, 1);
+            // All daemons receive the report of the first crash before the key has an owner again.
+            if (crash > 1)
+                BOOST_TEST(simulation.reached.size() - before <= std::size_t{maxLaterRequests},
+                           "seed " << seed << ": " << simulation.reached.size() - before
+                                   << " at once");
+            simulation.simulate(4s, 1s, false);
         }
     }
 }
 
-BOOST_DATA_TEST_CASE(aPopularRequestIsServedOnWhileServersFall, boost::unit_test::data::make(sizes),
+BOOST_DATA_TEST_CASE(popularRequestIsServedWhileServersCrash, boost::unit_test::data::make(sizes),
                      size)
 {
     for (unsigned seed = 1; seed <= size.seeds; ++seed) {
-        World world{size.hosts, size.servers, seed};
-        world.play(60s, 1s, seed % 2 == 0);
-        // Not for longer than it takes to hear of an answer: 100 come a second.
-        BOOST_TEST(world.refused[popular] <= 100,
-                   "seed " << seed << ": " << world.refused[popular] << " refused");
-        const bool isBlocked = std::ranges::any_of(
-            world.hosts, [](const World::Host &host) { return host.known.blocks(popular); });
+        Simulation simulation{size.hosts, size.servers, seed};
+        simulation.simulate(60s, 1s, seed % 2 == 0);
+        // Refused only until an answer is published; 100 requests arrive per second.
+        BOOST_TEST(simulation.refused[popular] <= 100,
+                   "seed " << seed << ": " << simulation.refused[popular] << " refused");
+        const bool isBlocked =
+            std::ranges::any_of(simulation.hosts, [](const Simulation::Host &host) {
+                return host.known.blocks(popular);
+            });
         BOOST_TEST(!isBlocked, "seed " << seed);
     }
 }
 
-BOOST_DATA_TEST_CASE(callsAndBytesAreBounded, boost::unit_test::data::make(sizes), size)
+BOOST_DATA_TEST_CASE(writesAndRowSizesAreBounded, boost::unit_test::data::make(sizes), size)
 {
-    World world{size.hosts, size.servers, 1};
-    world.play(60s, 400ms, true);
-    for (const World::Row &row : world.rows) {
-        BOOST_TEST(row.row.reports.size() <= CrashLedger::mostReports);
-        BOOST_TEST(row.row.retractions.size() <= CrashLedger::mostRetractions);
+    Simulation simulation{size.hosts, size.servers, 1};
+    simulation.simulate(60s, 400ms, true);
+    for (const Simulation::Row &row : simulation.rows) {
+        BOOST_TEST(row.row.reports.size() <= CrashLedger::maxReports);
+        BOOST_TEST(row.row.retractions.size() <= CrashLedger::maxRetractions);
     }
-    BOOST_TEST_MESSAGE(size.hosts << " daemons: " << world.writes << " writes in 60 s");
+    BOOST_TEST_MESSAGE(size.hosts << " daemons: " << simulation.writes << " writes in 60 s");
 }
--- a/tests/crashes/test_requestfingerprint.cpp
+++ b/tests/crashes/test_requestfingerprint.cpp
@@ -15,14 +15,14 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(theSameRequestHasTheSameFingerprint)
+BOOST_AUTO_TEST_CASE(equalRequestsHaveEqualFingerprints)
 {
     const RequestFingerprint first{lookup};
     const RequestFingerprint second{lookup};
     BOOST_TEST((first == second));
 }
 
-BOOST_AUTO_TEST_CASE(eachPartTellsRequestsApart)
+BOOST_AUTO_TEST_CASE(eachPartChangesFingerprint)
 {
     const std::set<RequestFingerprint> fingerprints = {
         RequestFingerprint{lookup},
@@ -34,14 +34,14 @@
     BOOST_TEST(fingerprints.size() == 5U);
 }
 
-BOOST_AUTO_TEST_CASE(whereOnePartEndsAndTheNextBeginsCounts)
+BOOST_AUTO_TEST_CASE(boundariesBetweenPartsChangeFingerprint)
 {
     const RequestFingerprint one{{"POST", "shop.example", "/pay/1", "2"}};
     const RequestFingerprint other{{"POST", "shop.example", "/pay/12", ""}};
     BOOST_TEST((one != other));
 }
 
-BOOST_AUTO_TEST_CASE(itIsReadBackFromItsText)
+BOOST_AUTO_TEST_CASE(fingerprintIsRestoredFromText)
 {
     const RequestFingerprint fingerprint{lookup};
     const auto decoded = RequestFingerprint::fromString(fingerprint.toString());
