--- a/src/libbulrush/process/drainbudget.h
+++ b/src/libbulrush/process/drainbudget.h
@@ -5,21 +5,22 @@
 namespace bulrush {
 
 /**
- * How the time is spent within which a backend server that leaves is to get no more requests. The
- * bound runs from the store's acknowledgement of the server's word to the arrival of a request, so
- * that all hops between share it, and each part is a share of it: the daemon that reads, those that
- * follow it, the choice of a server, the connection, and bytes on a link behind others.
+ * Divides the drain bound, which is the time after which a backend server that leaves must not
+ * receive any more requests. The bound runs from the store's acknowledgement of the server's
+ * announcement to the arrival of a request. All steps in between share it, each with a fraction:
+ * the daemon that reads the store, its followers, the selection of a server, the connection, and
+ * the time that bytes wait behind others on a link.
  *
- * Whatever happens on the way, the choice keeps the bound by itself: it goes by when the store was
- * last known to say that the server stays. The parts before it only see to it that this is seldom
- * long ago, as timeouts of single hops add up.
+ * The selection of a server keeps the bound independently of the steps before it, because it checks
+ * when the store last confirmed that the server stays. The steps before it only ensure that this is
+ * rarely long ago, because the timeouts of the single hops add up.
  *
  * Immutable; thread safe.
  */
 class DrainBudget
 {
 public:
-    /** The shortest bound of the deployments that are known. */
+    /** The shortest bound of any known deployment. */
     static constexpr Duration shortestBound = std::chrono::seconds{2};
 
     /** \pre \a bound is positive */
@@ -27,54 +28,55 @@
         : m_bound(bound)
     { }
 
-    /** Between two answers of the store to who reads it: one call brings several changes. */
+    /** Interval between two answers to the store's reader, so that one brings several changes. */
     constexpr Duration readerPause() const
     {
         return part(10);
     }
 
-    /** For how long the store may hold a call of who reads it, so that its silence shows. */
+    /** Maximum time that the store may hold a reader's call, so that a silent store is detected. */
     constexpr Duration readerWait() const
     {
         return part(20);
     }
 
     /**
-     * Knowledge of this age is asked for beside whoever is waited for: at another daemon of the
-     * failure domain, so that a reader that froze costs the store one call and not one a daemon.
+     * Routing data of this age is also requested from another daemon of the failure domain, while
+     * the request to the reader is pending. If the reader hangs, the store thus receives one call
+     * instead of one from each daemon.
      */
     constexpr Duration askBesideAfter() const
     {
         return part(40);
     }
 
-    /** Knowledge of this age is confirmed by the store, whoever is waited for. */
+    /** Routing data of this age is confirmed by the store, whatever other request is pending. */
     constexpr Duration confirmAfter() const
     {
         return part(50);
     }
 
-    /** For that answer; without it the store is taken to be away from this daemon. */
+    /** Timeout of that confirmation, after which the store is considered unreachable from here. */
     constexpr Duration confirmWithin() const
     {
         return part(15);
     }
 
-    /** A server that drains gets requests until this long after it was known to stay. */
-    constexpr Duration drainingUse() const
+    /** A draining server receives requests until this long after it was last known to stay. */
+    constexpr Duration maxDrainingAge() const
     {
         return part(50);
     }
 
-    /** The same for one that is not known to drain, by knowledge that could be renewed. */
+    /** The same for a server that is not known to drain, if the routing data could be renewed. */
     constexpr Duration unconfirmedUse() const
     {
         return part(70);
     }
 
     /**
-     * Requests that wait for a connection are sent until then. The rest is for bytes on their way:
-     * on a link of 10 Mbit/s they wait up to 0.6 s behind uploads.
+     * Requests that wait for a connection are sent until then. The rest of the bound is for the
+     * transfer: on a link of 10 Mbit/s, bytes wait up to 0.6 s behind uploads.
      */
     constexpr Duration lastSend() const
     {
--- a/src/libbulrush/process/servergauges.cpp
+++ b/src/libbulrush/process/servergauges.cpp
@@ -8,37 +8,37 @@
 
 namespace {
 
-/** Weight of one attempt in the share of failures: some ten attempts count. */
+/** Weight of one attempt in the failure rate, which thus covers about ten attempts. */
 constexpr double failureWeight = 0.1;
-/** A server that fails this share of its work is avoided where another is to be had. */
-constexpr double failureShareLimit = 0.3;
-/** Attempts in a row that a server did not answer, after which it is taken to be away. */
-constexpr int unreachableAfter = 2;
-/** Measurements after which the estimate of a server's own speed is used. */
-constexpr int enoughMeasurements = 3;
-/** How much slower a server is for the time that it says it is cold. */
+/** A server with a higher failure rate is avoided if another server is available. */
+constexpr double failureRateLimit = 0.3;
+/** Number of consecutive unanswered attempts after which a server is considered unreachable. */
+constexpr int unreachableThreshold = 2;
+/** Number of measurements after which the measured service time of a server is used. */
+constexpr int minMeasurements = 3;
+/** Factor by which a server is slower while it reports that it is cold. */
 constexpr double coldFactor = 2.0;
-/** Completions are counted over about this time. */
+/** Half-life of the completion count. */
 constexpr Duration rateHalfLife = std::chrono::milliseconds{1000};
-/** What a window below one grows by at each report of little waiting work. */
-constexpr double pacedGrowth = 0.2;
-/** Waiting work at a server that windows aim at. */
-constexpr double wantedWaiting = 3.0;
-/** A window shrinks to no less than this part at one report, which is one of many daemons'. */
-constexpr double leastShrink = 0.3;
-/** Keeps rates finite; servers answer the shortest work in some milliseconds. */
-constexpr Duration shortestWork = std::chrono::milliseconds{5};
-constexpr Duration idleMemory = std::chrono::minutes{1};
-
-/** \returns what part of a window would leave only as much waiting work as may be. */
+/** Increment of a window below one at each report of few waiting requests. */
+constexpr double pacedWindowGrowth = 0.2;
+/** Number of requests waiting at a server that the windows aim for. */
+constexpr double targetWaiting = 3.0;
+/** Lower bound of the shrink factor at one report, as many daemons react to the same load. */
+constexpr double minShrinkFactor = 0.3;
+/** Keeps rates finite. Servers need at least some milliseconds for the shortest request. */
+constexpr Duration minWorkTime = std::chrono::milliseconds{5};
+constexpr Duration idleRetention = std::chrono::minutes{1};
+
+/** \returns the factor for a window that reduces the waiting requests to the target. */
 double shrinkFactor(const ServerLoad &load)
 {
-    const double wanted = static_cast<double>(load.slots) + wantedWaiting;
-    const double there = static_cast<double>(load.running) + static_cast<double>(load.waiting);
-    return std::clamp(wanted / std::max(1.0, there), leastShrink, 1.0);
+    const double target = static_cast<double>(load.slots) + targetWaiting;
+    const double present = static_cast<double>(load.running) + static_cast<double>(load.waiting);
+    return std::clamp(target / std::max(1.0, present), minShrinkFactor, 1.0);
 }
 
-double halved(double count, Duration age)
+double decayed(double count, Duration age)
 {
     return count
         * std::exp2(-static_cast<double>(age.count()) / static_cast<double>(rateHalfLife.count()));
@@ -53,17 +53,17 @@
 
 void ServerGauges::setDaemonCount(std::size_t count)
 {
-    m_firstWindow = count == 0
-        ? firstWindow
-        : std::clamp(firstWaiting / static_cast<double>(count), leastWindow, firstWindow);
+    m_initialWindow = count == 0
+        ? initialWindow
+        : std::clamp(initialTotalWindow / static_cast<double>(count), minWindow, initialWindow);
 }
 
 ServerGauges::Gauge &ServerGauges::gaugeOf(const ServerName &server)
 {
-    const auto [place, isNew] = m_gauges.try_emplace(server);
+    const auto [found, isNew] = m_gauges.try_emplace(server);
     if (isNew)
-        place->second.window = m_firstWindow;
-    return place->second;
+        found->second.window = m_initialWindow;
+    return found->second;
 }
 
 void ServerGauges::attemptStarted(const ServerName &server, Instant now)
@@ -85,43 +85,43 @@
     gauge.endedAt = now;
     gauge.lastLatency = latency;
     if (load)
-        takeLoad(gauge, *load, now);
+        applyLoad(gauge, *load, now);
     if (sign == AttemptSign::Abandoned || sign == AttemptSign::NotRun)
         return;
-    gauge.completions = halved(gauge.completions, now - gauge.completedAt) + 1.0;
+    gauge.completions = decayed(gauge.completions, now - gauge.completedAt) + 1.0;
     gauge.completedAt = now;
     const bool isFailure = sign != AttemptSign::Served;
-    gauge.failureShare += failureWeight * ((isFailure ? 1.0 : 0.0) - gauge.failureShare);
+    gauge.failureRate += failureWeight * ((isFailure ? 1.0 : 0.0) - gauge.failureRate);
     if (sign == AttemptSign::Unreached || sign == AttemptSign::Silent) {
-        const int doublings = std::min(gauge.silences++, 3);
+        const int doublings = std::min(gauge.consecutiveUnanswered++, 3);
         gauge.window = std::min(gauge.window, 1.0);
-        gauge.avoidedUntil = now + std::min(longestAvoidance, firstAvoidance * (1 << doublings));
+        gauge.avoidedUntil = now + std::min(maxAvoidance, initialAvoidance * (1 << doublings));
         return;
     }
-    gauge.silences = 0;
+    gauge.consecutiveUnanswered = 0;
     gauge.avoidedUntil = {};
-    // With nothing waiting there, the time is the server's own.
+    // If no requests wait at the server, the latency is its service time.
     const bool wasIdle = load ? load->waiting == 0 : gauge.inFlight() == 0;
     if (sign == AttemptSign::Served && wasIdle) {
         gauge.serviceTime.record(latency);
-        ++gauge.measured;
+        ++gauge.measurementCount;
         gauge.workTime += latency;
         ++gauge.workCount;
     }
 }
 
-void ServerGauges::takeLoad(Gauge &gauge, const ServerLoad &load, Instant now)
+void ServerGauges::applyLoad(Gauge &gauge, const ServerLoad &load, Instant now)
 {
-    // Before the answer there was one more, and no room beside it.
+    // The answered request is no longer counted; with it, the window had no room for another.
     const bool wasFull = gauge.inFlight() + 2.0 > gauge.window;
     const double reported = static_cast<double>(load.running) + static_cast<double>(load.waiting);
-    gauge.foreign = std::max(0.0, reported - static_cast<double>(gauge.inFlight()));
+    gauge.foreignLoad = std::max(0.0, reported - static_cast<double>(gauge.inFlight()));
     gauge.reportedAt = now;
-    if (load.waiting >= shrinkFromWaiting)
-        gauge.window = std::max(leastWindow, gauge.window * shrinkFactor(load));
-    else if (load.waiting < growBelowWaiting && wasFull)
-        gauge.window += gauge.window < 1.0 ? pacedGrowth : 1.0 / gauge.window;
-    const double most = static_cast<double>(std::max(1U, load.slots)) + shrinkFromWaiting;
+    if (load.waiting >= windowShrinkThreshold)
+        gauge.window = std::max(minWindow, gauge.window * shrinkFactor(load));
+    else if (load.waiting < windowGrowthLimit && wasFull)
+        gauge.window += gauge.window < 1.0 ? pacedWindowGrowth : 1.0 / gauge.window;
+    const double most = static_cast<double>(std::max(1U, load.slots)) + windowShrinkThreshold;
     gauge.window = std::min(gauge.window, most);
 }
 
@@ -130,8 +130,8 @@
     const Gauge *gauge = find(server);
     if (!gauge)
         return 0.0;
-    const double age = ratio(now - gauge->reportedAt, reportMemory);
-    return static_cast<double>(gauge->inFlight()) + gauge->foreign * std::exp(-age);
+    const double age = ratio(now - gauge->reportedAt, reportDecayTime);
+    return static_cast<double>(gauge->inFlight()) + gauge->foreignLoad * std::exp(-age);
 }
 
 bool ServerGauges::hasRoom(const ServerRecord &server, Instant now) const
@@ -141,7 +141,7 @@
         return true;
     if (gauge->window >= 1.0)
         return static_cast<double>(gauge->inFlight()) + 1.0 <= gauge->window;
-    // One at a time, with pauses so long that the mean in flight is the window.
+    // One request at a time, with pauses such that the mean number in flight equals the window.
     const double pause =
         static_cast<double>(gauge->lastLatency.count()) * (1.0 / gauge->window - 1.0);
     return gauge->inFlight() == 0
@@ -151,25 +151,26 @@
 bool ServerGauges::isUnreachable(const ServerName &server, Instant now) const
 {
     const Gauge *gauge = find(server);
-    return gauge && gauge->silences >= unreachableAfter && now < gauge->avoidedUntil;
+    return gauge && gauge->consecutiveUnanswered >= unreachableThreshold
+        && now < gauge->avoidedUntil;
 }
 
 bool ServerGauges::isAvoided(const ServerName &server, Instant now) const
 {
     const Gauge *gauge = find(server);
-    return gauge && (now < gauge->avoidedUntil || gauge->failureShare > failureShareLimit);
+    return gauge && (now < gauge->avoidedUntil || gauge->failureRate > failureRateLimit);
 }
 
 Duration ServerGauges::expectedLatency(const ServerRecord &server, Instant now) const
 {
     const Gauge *gauge = find(server.id);
-    const bool isKnown = gauge && gauge->measured >= enoughMeasurements;
+    const bool isKnown = gauge && gauge->measurementCount >= minMeasurements;
     const double work =
-        static_cast<double>((isKnown ? gauge->serviceTime.mean() : firstServiceTime).count());
+        static_cast<double>((isKnown ? gauge->serviceTime.mean() : defaultServiceTime).count());
     const double slots = static_cast<double>(std::max(1U, server.slots));
     const double ahead = std::max(0.0, outstanding(server.id, now) + 1.0 - slots);
     const double cold = server.coldRemaining > Duration::zero() ? coldFactor : 1.0;
-    // Work in the slots slows a server down before any has to wait.
+    // Occupied slots slow a server down even before requests have to wait.
     const double busy = 1.0 + 0.2 * std::min(1.0, outstanding(server.id, now) / slots);
     return Duration{static_cast<std::int64_t>(work * cold * busy * (1.0 + ahead / slots))};
 }
@@ -177,7 +178,7 @@
 std::optional<Duration> ServerGauges::serviceTime(const ServerName &server) const
 {
     const Gauge *gauge = find(server);
-    if (!gauge || gauge->measured < enoughMeasurements)
+    if (!gauge || gauge->measurementCount < minMeasurements)
         return std::nullopt;
     return gauge->serviceTime.mean();
 }
@@ -188,11 +189,11 @@
     if (!gauge)
         return 0.0;
     const double seconds = std::chrono::duration<double>(rateHalfLife).count() / std::numbers::ln2;
-    const double done = halved(gauge->completions, now - gauge->completedAt) / seconds;
-    // A server that was full may never answer: what hangs there says more than the last answer.
+    const double done = decayed(gauge->completions, now - gauge->completedAt) / seconds;
+    // A server that was full may never answer, so the oldest pending request is considered too.
     const Duration oldest = gauge->sentAt.empty() ? Duration{} : now - *gauge->sentAt.begin();
-    const Duration each = std::max({gauge->lastLatency, oldest, shortestWork});
-    const double allowed = gauge->window / std::chrono::duration<double>(each).count();
+    const Duration requestTime = std::max({gauge->lastLatency, oldest, minWorkTime});
+    const double allowed = gauge->window / std::chrono::duration<double>(requestTime).count();
     return std::max(done, allowed);
 }
 
@@ -218,14 +219,14 @@
 void ServerGauges::forgetIdle(Instant now)
 {
     std::erase_if(m_gauges, [now](const auto &entry) {
-        return entry.second.inFlight() == 0 && now - entry.second.lastUsed > idleMemory;
+        return entry.second.inFlight() == 0 && now - entry.second.lastUsed > idleRetention;
     });
 }
 
 const ServerGauges::Gauge *ServerGauges::find(const ServerName &server) const
 {
-    const auto place = m_gauges.find(server);
-    return place == m_gauges.end() ? nullptr : &place->second;
+    const auto found = m_gauges.find(server);
+    return found == m_gauges.end() ? nullptr : &found->second;
 }
 
 } // namespace bulrush
--- a/src/libbulrush/process/servergauges.h
+++ b/src/libbulrush/process/servergauges.h
@@ -14,20 +14,20 @@
 
 namespace bulrush {
 
-/** How an attempt at a server ended, as far as it tells of the server. */
+/** Outcome of an attempt at a server, as far as it indicates the state of the server. */
 enum class AttemptSign {
-    Served,    ///< it answered
-    Failed,    ///< it answered with a failure of its own
-    NotRun,    ///< it refused the work
-    Unreached, ///< no connection came about
-    Silent,    ///< no answer came, or not all of it
-    Abandoned, ///< ended from this side; tells nothing
+    Served,    ///< the server answered
+    Failed,    ///< the server answered with an error of its own
+    NotRun,    ///< the server rejected the request without executing it
+    Unreached, ///< no connection could be established
+    Silent,    ///< the answer was missing or incomplete
+    Abandoned, ///< cancelled by this daemon; indicates nothing about the server
 };
 
 /**
- * What one traffic thread knows of the load and health of backend servers: its own work in flight,
- * which is exact, the load that answers carry, which lags and is another daemon's as much as this
- * one's, and how attempts ended.
+ * Load and health of the backend servers as seen by one traffic thread. The sources are its own
+ * requests in flight, which are exact, the load reported in answers, which is delayed and includes
+ * the requests of all daemons, and the outcomes of attempts.
  *
  * Not thread safe.
  */
@@ -35,97 +35,99 @@
 {
 public:
     /**
-     * Each daemon keeps a window for each server, of work it may have there at once. It grows while
-     * less work waits at the server than the one bound and shrinks while more does than the other,
-     * so that all daemons together fill the slots with little waiting, without knowing each other.
-     * A server queues some 12; one that is full may never answer. A window below one is a pause
-     * after each piece of work, so that many daemons don't fill a server by one each.
+     * Each daemon has a window for each server, which limits its requests in flight there. The
+     * window grows while fewer requests than windowGrowthLimit wait at the server, and shrinks
+     * while at least windowShrinkThreshold wait. Thus all daemons together fill the slots with
+     * little waiting, without communication. A server queues about 12 requests; a server whose
+     * queue is full may never answer. A window below one means a pause after each request, so that
+     * many daemons with one request each do not overload a server.
      */
-    static constexpr std::uint32_t growBelowWaiting = 2;
-    static constexpr std::uint32_t shrinkFromWaiting = 4;
-    static constexpr double firstWindow = 2.0;
+    static constexpr std::uint32_t windowGrowthLimit = 2;
+    static constexpr std::uint32_t windowShrinkThreshold = 4;
+    static constexpr double initialWindow = 2.0;
     /**
-     * All daemons together begin with this much work at a server, however many they are: 64 that
-     * began with two pieces each sent 128 to a server that does two and queues eight.
+     * Number of requests that all daemons together may initially have at a server, independent of
+     * the number of daemons. Without this limit, 64 daemons with an initial window of two send 128
+     * requests to a server that processes two and queues eight.
      */
-    static constexpr double firstWaiting = 8.0;
-    static constexpr double leastWindow = 0.1;
-    /** A report counts for less the older it is; after this time, by e. */
-    static constexpr Duration reportMemory = std::chrono::milliseconds{500};
-    /** A server that could not be reached, or stayed silent, is avoided at first for this time. */
-    static constexpr Duration firstAvoidance = std::chrono::milliseconds{400};
-    static constexpr Duration longestAvoidance = std::chrono::seconds{3};
-    /** Taken for the time of a piece of work until some were measured. */
-    static constexpr Duration firstServiceTime = std::chrono::milliseconds{150};
-
-    /** Sets how many daemons send to the same servers; 0 while that is not known. */
+    static constexpr double initialTotalWindow = 8.0;
+    static constexpr double minWindow = 0.1;
+    /** Time in which the weight of a load report decays by the factor e. */
+    static constexpr Duration reportDecayTime = std::chrono::milliseconds{500};
+    /** A server that could not be reached, or did not answer, is first avoided for this time. */
+    static constexpr Duration initialAvoidance = std::chrono::milliseconds{400};
+    static constexpr Duration maxAvoidance = std::chrono::seconds{3};
+    /** Assumed service time of a request until enough were measured. */
+    static constexpr Duration defaultServiceTime = std::chrono::milliseconds{150};
+
+    /** Sets how many daemons send requests to the same servers; 0 if unknown. */
     void setDaemonCount(std::size_t count);
 
-    /** Counts an attempt that is sent. */
+    /** Records that an attempt is sent. */
     void attemptStarted(const ServerName &server, Instant now);
 
-    /** Takes in the end of an attempt that took \a latency, with the load that its answer told. */
+    /** Records the outcome of an attempt that took \a latency, with the load from its answer. */
     void attemptEnded(const ServerName &server, AttemptSign sign, Duration latency,
                       const std::optional<ServerLoad> &load, Instant now);
 
-    /** \returns the work that is thought to run or wait at \a server now. */
+    /** \returns the estimated number of requests that run or wait at \a server now. */
     double outstanding(const ServerName &server, Instant now) const;
 
-    /** \returns whether \a server is thought to take one more piece of work. */
+    /** \returns whether the window permits another request to \a server. */
     bool hasRoom(const ServerRecord &server, Instant now) const;
 
-    /** \returns whether \a server could not be reached, or stayed silent, several times just now.
-     */
+    /** \returns whether \a server repeatedly could not be reached, or did not answer, just now. */
     bool isUnreachable(const ServerName &server, Instant now) const;
 
-    /** \returns whether \a server failed lately, so that others are to be preferred. */
+    /** \returns whether \a server failed recently, so that other servers are preferred. */
     bool isAvoided(const ServerName &server, Instant now) const;
 
-    /** \returns the time that one more piece of work would take at \a server, waiting included. */
+    /** \returns the expected time of another request at \a server, including waiting. */
     Duration expectedLatency(const ServerRecord &server, Instant now) const;
 
-    /** \returns the measured time of work at \a server, without waiting; none while unknown. */
+    /** \returns the measured service time of \a server without waiting, if known. */
     std::optional<Duration> serviceTime(const ServerName &server) const;
 
     /**
-     * \returns how much work a second this daemon can get done at \a server: what its window
-     * allows, or what it did lately if that is more; 0 while nothing is known. What it did alone
-     * says little where it was asked for little, as of each of many daemons.
+     * \returns the number of requests per second that this daemon can complete at \a server: the
+     * rate that its window allows, or its recent completion rate if that is higher; 0 if unknown.
+     * The completion rate alone would be too low where this daemon sent few requests, which is the
+     * usual case with many daemons.
      */
     double completionRate(const ServerName &server, Instant now) const;
 
-    /** Takes out what was measured of work that did not wait since the last call. */
+    /** \returns the measurements of requests that did not wait, since the last call. */
     std::vector<ServerWork> takeWork();
 
-    /** \returns this daemon's own work in flight at \a server. */
+    /** \returns the number of this daemon's own requests in flight at \a server. */
     int inFlight(const ServerName &server) const;
 
-    /** Forgets servers of which nothing was heard for long and that have nothing in flight. */
+    /** Removes servers that were unused for a long time and have no requests in flight. */
     void forgetIdle(Instant now);
 
 private:
     struct Gauge
     {
-        /** When the attempts in flight were sent. */
+        /** Instants at which the attempts in flight were sent. */
         std::multiset<Instant> sentAt;
-        double window = firstWindow;
-        /** When the last piece of work ended, and how long it had taken. */
+        double window = initialWindow;
+        /** End and duration of the last attempt. */
         Instant endedAt;
         Duration lastLatency{};
-        /** Completions, halved every rateHalfLife. */
+        /** Completions, with a half-life of rateHalfLife. */
         double completions = 0.0;
         Instant completedAt;
-        /** Measured since the last takeWork(). */
+        /** Measured since the last call of takeWork(). */
         Duration workTime{};
         std::uint32_t workCount = 0;
-        /** Reported beyond what was this daemon's own at the time. */
-        double foreign = 0.0;
+        /** Reported load in excess of this daemon's own requests at the time. */
+        double foreignLoad = 0.0;
         Instant reportedAt;
-        ServiceTimeEstimate serviceTime{firstServiceTime};
-        int measured = 0;
-        /** Share of late attempts that failed, from 0 to 1. */
-        double failureShare = 0.0;
-        int silences = 0;
+        ServiceTimeEstimate serviceTime{defaultServiceTime};
+        int measurementCount = 0;
+        /** Fraction of recent attempts that failed, from 0 to 1. */
+        double failureRate = 0.0;
+        int consecutiveUnanswered = 0;
         Instant avoidedUntil;
         Instant lastUsed;
 
@@ -134,10 +136,10 @@
 
     const Gauge *find(const ServerName &server) const;
     Gauge &gaugeOf(const ServerName &server);
-    static void takeLoad(Gauge &gauge, const ServerLoad &load, Instant now);
+    static void applyLoad(Gauge &gauge, const ServerLoad &load, Instant now);
 
     std::map<ServerName, Gauge> m_gauges;
-    double m_firstWindow = firstWindow;
+    double m_initialWindow = initialWindow;
 };
 
 inline int ServerGauges::Gauge::inFlight() const
--- a/src/libbulrush/process/serverknowledge.h
+++ b/src/libbulrush/process/serverknowledge.h
@@ -4,14 +4,14 @@
 
 namespace bulrush {
 
-/** How far what is known of the backend servers can be relied on. */
+/** How current the stored data about the backend servers is. */
 struct ServerKnowledge
 {
-    /** At that instant the store held no records other than those that are known. */
+    /** At this instant the store contained no records that are missing here. */
     Instant asOf;
     /**
-     * The store does not answer this daemon, so that nothing newer is to be had: servers are used
-     * by what is known, however old that is.
+     * The store does not answer this daemon, so that no newer data is available. Servers are then
+     * used according to the existing data, whatever its age.
      */
     bool isStoreAway = true;
 
--- a/src/libbulrush/request/requestqueue.cpp
+++ b/src/libbulrush/request/requestqueue.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/** Half of all work takes longer than the mean says; what is called on time mostly should be. */
+/** Half of all requests take longer than the mean; with this margin most are answered on time. */
 constexpr double lateMargin = 1.4;
 
 } // namespace
@@ -21,7 +21,7 @@
         return "queue-too-long";
     case GiveUpReason::NoOwner:
         return "no-owner";
-    case GiveUpReason::OutOfReach:
+    case GiveUpReason::Unreachable:
         return "owner-out-of-reach";
     case GiveUpReason::AllTried:
         break;
@@ -82,7 +82,7 @@
     using Order = std::tuple<bool, std::uint32_t, Instant, std::uint64_t>;
     std::map<std::uint64_t, Order> orders;
     for (const WaitingRequest &request : m_waiting) {
-        const Duration latency = m_picker.outlook(state, demandOf(request), now).latency;
+        const Duration latency = m_picker.estimate(state, demandOf(request), now).latency;
         const bool isLate =
             now + std::chrono::duration_cast<Duration>(latency * lateMargin) > request.onTimeUntil;
         orders[request.ticket] = {isLate, request.priority, request.arrivedAt, request.ticket};
@@ -98,22 +98,23 @@
 {
     if (cause == NoServer::AllTried)
         return GiveUpReason::AllTried;
-    // It was away for longer than a request can wait: its caller may find another way in that time.
-    if (cause == NoServer::OutOfReach)
-        return GiveUpReason::OutOfReach;
+    // The owner has been unreachable for longer than a request can wait. The caller can use the
+    // remaining time to retry elsewhere.
+    if (cause == NoServer::Unreachable)
+        return GiveUpReason::Unreachable;
     if (cause == NoServer::Absent) {
         if (!request.absentSince)
             request.absentSince = now;
-        if (now - *request.absentSince >= absencePatience)
+        if (now - *request.absentSince >= absenceTimeout)
             return GiveUpReason::NoOwner;
         return std::nullopt;
     }
     request.absentSince.reset();
-    const ServerOutlook outlook = m_picker.outlook(state, demandOf(request), now);
-    double &before = ahead[{request.service, outlook.owner}];
-    if (outlook.completionRate > 0.0) {
-        const std::chrono::duration<double> wait{(before + 1.0) / outlook.completionRate};
-        if (now + std::chrono::duration_cast<Duration>(wait) + outlook.latency > request.answerBy)
+    const ServerEstimate expected = m_picker.estimate(state, demandOf(request), now);
+    double &before = ahead[{request.service, expected.owner}];
+    if (expected.completionRate > 0.0) {
+        const std::chrono::duration<double> wait{(before + 1.0) / expected.completionRate};
+        if (now + std::chrono::duration_cast<Duration>(wait) + expected.latency > request.answerBy)
             return GiveUpReason::QueueTooLong;
     }
     before += 1.0;
--- a/src/libbulrush/request/requestqueue.h
+++ b/src/libbulrush/request/requestqueue.h
@@ -9,42 +9,42 @@
 
 namespace bulrush {
 
-/** A request that waits for a server. */
+/** Request that waits for a server. */
 struct WaitingRequest
 {
-    /** Names the request to whoever queued it. */
+    /** Identifies the request to the caller of the queue. */
     std::uint64_t ticket = 0;
     ServiceName service;
-    /** Set if, and only if, the service is divided by key. */
+    /** Set if and only if the service is divided by key. */
     std::optional<KeyPlace> key;
     RequestKind kind = RequestKind::Idempotent;
     std::vector<ServerName> tried;
-    /** Rank of its route; 0 is the highest. */
+    /** Priority of its route; 0 is the highest. */
     std::uint32_t priority = 0;
     Instant arrivedAt;
-    /** An answer up to then is worth most. */
+    /** An answer up to this instant has its full value. */
     Instant onTimeUntil;
-    /** After this no answer helps. */
+    /** An answer after this instant is of no use. */
     Instant answerBy;
-    /** Not to be sent earlier, after an attempt that did not run. */
+    /** Earliest instant of the next attempt, after an attempt that was not executed. */
     Instant notBefore;
-    /** Since when there has been no server for it; kept by the queue. */
+    /** Instant since which no server has been available for it; managed by the queue. */
     std::optional<Instant> absentSince;
 };
 
-/** Why a request that waits is given up. */
+/** Reason why the queue gives up a waiting request. */
 enum class GiveUpReason {
-    NoTimeLeft,   ///< no server could answer in the time that is left
-    QueueTooLong, ///< what is ahead of it takes longer than it can wait
-    NoOwner,      ///< nobody can serve its key, or its service, and it is not known when
-    OutOfReach,   ///< the server of its key could not be reached several times just now
-    AllTried,     ///< every server was tried
+    NoTimeLeft,   ///< no server can answer in the remaining time
+    QueueTooLong, ///< the requests ahead of it take longer than it can wait
+    NoOwner,      ///< no server serves its key or service, for an unknown time
+    Unreachable,  ///< the server of its key repeatedly could not be reached just now
+    AllTried,     ///< it was sent to every server already
 };
 
 /** \returns the name of \a reason in logs. */
 std::string_view nameOf(GiveUpReason reason);
 
-/** A request that was taken out of the queue. */
+/** Request that was removed from the queue without being sent. */
 struct GivenUp
 {
     std::uint64_t ticket = 0;
@@ -52,51 +52,52 @@
 };
 
 /**
- * The requests of one traffic thread that wait for a server, and the order in which they get one:
- * first those that can still be answered on time, by rank and then by arrival; then the late ones.
- * What can't be served in time is given up as soon as that shows, so that its caller can come back
- * while there is time.
+ * Requests of one traffic thread that wait for a server. Requests that can still be answered on
+ * time are sent first, by priority and then by arrival, and late requests after them. A request
+ * that cannot be served in time is given up as soon as this is foreseeable, so that its caller can
+ * retry while there is time.
  *
- * Answers bursts, hot keys and lost servers: daemons hold what servers would queue, since a server
- * that is full may never answer.
+ * The queue absorbs bursts, hot keys and the loss of servers: requests wait in the daemons instead
+ * of in the servers, because a server whose queue is full may never answer.
  *
  * Not thread safe.
  */
 class RequestQueue
 {
 public:
-    /** Takes the server that the request \a ticket is to be sent to now. */
+    /** Sends the request \a ticket to \a server. */
     using SendHandler = std::function<void(std::uint64_t ticket, const ServerRecord &server)>;
 
     /**
-     * The least time for an answer: with less left, a request is not worth a server's work. Servers
-     * answer the shortest work in some tens of milliseconds.
+     * Minimum time for an answer. A request with less time left is not sent, because servers need
+     * some tens of milliseconds for the shortest request.
      */
     static constexpr Duration leastServiceTime = std::chrono::milliseconds{40};
     /**
-     * How long a request waits where there is no server for it: a planned move of keys takes some
-     * tenths of a second, what takes longer takes seconds.
+     * Time for which a request waits if no server is available for it. A planned move of keys takes
+     * some tenths of a second; any other cause takes seconds.
      */
-    static constexpr Duration absencePatience = std::chrono::milliseconds{450};
+    static constexpr Duration absenceTimeout = std::chrono::milliseconds{450};
     explicit RequestQueue(const ServerPicker &picker);
 
-    /** \pre no request of that ticket waits */
+    /** \pre no request with the same ticket waits */
     void add(WaitingRequest request);
 
-    /** Forgets the request \a ticket, if it waits. */
+    /** Removes the request \a ticket if it waits. */
     void remove(std::uint64_t ticket);
 
     /**
-     * Hands each request that may be sent now to \a send, in order, and takes out those that are
-     * given up. \a send must note the attempt with the gauges of the picker, so that the next
-     * choice counts it; it must not change the queue.
+     * Passes each request that may be sent now to \a send, in order, and removes those that are
+     * given up. \a send must record the attempt in the gauges of the picker, so that the next
+     * choice takes it into account, and must not change the queue.
+     * \returns the requests that were given up.
      */
     std::vector<GivenUp> dispatch(const RoutingState &state, Instant now, const SendHandler &send);
 
     std::size_t size() const;
 
 private:
-    /** Requests ahead, by the server, or else the service, that they wait for. */
+    /** Number of requests ahead, by the server, or otherwise the service, that they wait for. */
     using Ahead = std::map<std::pair<ServiceName, ServerName>, double>;
 
     void sort(const RoutingState &state, Instant now);
--- a/src/libbulrush/request/serverpicker.cpp
+++ b/src/libbulrush/request/serverpicker.cpp
@@ -6,13 +6,13 @@
 
 namespace {
 
-/** What a server that failed lately costs beside others: more than any wait. */
+/** Additional cost of a server that failed recently; higher than any waiting time. */
 constexpr Duration avoidanceCost = std::chrono::seconds{20};
-/** Estimates are no better than this; within it the choice is left to chance. */
+/** Relative accuracy of the estimates. Servers whose costs differ by less are chosen randomly. */
 constexpr double costNoise = 0.2;
 
-/** \returns a number from 0 to 1 that looks random; the mixer is that of SplitMix64. */
-double chance(std::uint64_t salt, std::uint64_t index)
+/** \returns a pseudo-random number from 0 to 1; the mixing function is that of SplitMix64. */
+double pseudoRandom(std::uint64_t salt, std::uint64_t index)
 {
     std::uint64_t mixed = salt + (index + 1) * 0x9e3779b97f4a7c15U;
     mixed = (mixed ^ (mixed >> 30U)) * 0xbf58476d1ce4e5b9U;
@@ -50,34 +50,34 @@
 ServerPick ServerPicker::pick(const RoutingState &state, const ServerDemand &demand,
                               Instant now) const
 {
-    // News is on its way; until it is here, any server may have left.
+    // Newer routing data is pending. Until it is received, any server may have left.
     if (knowledgeAge(now) > m_budget.unconfirmedUse())
         return NoServer::Busy;
-    return demand.key ? owner(state, demand, now) : fastest(state, demand, now);
+    return demand.key ? pickOwner(state, demand, now) : pickFastest(state, demand, now);
 }
 
-ServerOutlook ServerPicker::outlook(const RoutingState &state, const ServerDemand &demand,
-                                    Instant now) const
+ServerEstimate ServerPicker::estimate(const RoutingState &state, const ServerDemand &demand,
+                                      Instant now) const
 {
     if (demand.key) {
         const KnownServer *server = ownerOf(state, demand, now);
         if (!server)
-            return {ServerGauges::firstServiceTime, 0.0, {}};
+            return {ServerGauges::defaultServiceTime, 0.0, {}};
         return {m_gauges.expectedLatency(server->record, now),
                 m_gauges.completionRate(server->record.id, now), server->record.id};
     }
-    ServerOutlook outlook{Duration::max(), 0.0, {}};
+    ServerEstimate result{Duration::max(), 0.0, {}};
     for (const KnownServer &server : state.serversOf(demand.service)) {
         if (!server.isReady())
             continue;
-        outlook.latency = std::min(outlook.latency, m_gauges.expectedLatency(server.record, now));
-        outlook.completionRate += m_gauges.completionRate(server.record.id, now);
+        result.latency = std::min(result.latency, m_gauges.expectedLatency(server.record, now));
+        result.completionRate += m_gauges.completionRate(server.record.id, now);
     }
-    outlook.latency = std::min(outlook.latency, ServerGauges::firstServiceTime * 4);
-    return outlook;
+    result.latency = std::min(result.latency, ServerGauges::defaultServiceTime * 4);
+    return result;
 }
 
-/** \returns the server that may be sent work for the key, or null. */
+/** \returns the server that may receive requests for the key, or null. */
 const KnownServer *ServerPicker::ownerOf(const RoutingState &state, const ServerDemand &demand,
                                          Instant now) const
 {
@@ -90,27 +90,27 @@
     const KnownServer *server = state.server(demand.service, owned->owner);
     if (!server || server->goneSince)
         return nullptr;
-    if (server->drainsAfter && now - *server->drainsAfter > m_budget.drainingUse())
+    if (server->drainsAfter && now - *server->drainsAfter > m_budget.maxDrainingAge())
         return nullptr;
     return server;
 }
 
-ServerPick ServerPicker::owner(const RoutingState &state, const ServerDemand &demand,
-                               Instant now) const
+ServerPick ServerPicker::pickOwner(const RoutingState &state, const ServerDemand &demand,
+                                   Instant now) const
 {
     const KnownServer *server = ownerOf(state, demand, now);
     if (!server)
         return NoServer::Absent;
-    // One that is away holds callers for nothing: one request after the other finds out.
+    // Waiting for an unreachable server is useless. Single requests check whether it is back.
     if (m_gauges.isUnreachable(server->record.id, now))
-        return NoServer::OutOfReach;
+        return NoServer::Unreachable;
     if (!m_gauges.hasRoom(server->record, now))
         return NoServer::Busy;
     return &server->record;
 }
 
-ServerPick ServerPicker::fastest(const RoutingState &state, const ServerDemand &demand,
-                                 Instant now) const
+ServerPick ServerPicker::pickFastest(const RoutingState &state, const ServerDemand &demand,
+                                     Instant now) const
 {
     const ServerRecord *best = nullptr;
     Duration bestCost{};
@@ -127,7 +127,7 @@
         hasUntried = true;
         if (!m_gauges.hasRoom(server.record, now))
             continue;
-        const double noise = 1.0 + costNoise * chance(demand.salt, index);
+        const double noise = 1.0 + costNoise * pseudoRandom(demand.salt, index);
         const Duration cost{static_cast<std::int64_t>(
             static_cast<double>(costOf(server.record, demand, now).count()) * noise)};
         if (!best || cost < bestCost) {
--- a/src/libbulrush/request/serverpicker.h
+++ b/src/libbulrush/request/serverpicker.h
@@ -13,52 +13,52 @@
 
 namespace bulrush {
 
-/** What a request needs of a server. */
+/** Requirements of a request for the choice of its server. */
 struct ServerDemand
 {
     ServiceName service;
-    /** Set if, and only if, the service is divided by key. */
+    /** Set if and only if the service is divided by key. */
     std::optional<KeyPlace> key;
     RequestKind kind = RequestKind::Idempotent;
-    /** Time in which an answer is worth most. */
+    /** Time within which an answer has its full value. */
     Duration targetLatency = std::chrono::seconds{1};
-    /** Servers that this request was sent to already. */
+    /** Servers to which this request was already sent. */
     std::span<const ServerName> tried;
-    /** Differs between requests, so that daemons which know the same don't all choose the same. */
+    /** Differs between requests, so that daemons with equal data choose different servers. */
     std::uint64_t salt = 0;
 };
 
-/** Why no server may take a request now. */
+/** Reason why no server can receive a request now. */
 enum class NoServer {
-    Busy,       ///< those that could have no room
-    Absent,     ///< there is none: a key has no owner now, or no server of the service is ready
-    OutOfReach, ///< the owner of the key, or its host, could not be reached several times just now
-    AllTried,   ///< each that could was tried: waiting brings no other
+    Busy,        ///< the eligible servers have no capacity
+    Absent,      ///< the key has no owner now, or no server of the service is ready
+    Unreachable, ///< the owner of the key, or its host, repeatedly could not be reached just now
+    AllTried,    ///< all eligible servers were tried, so that waiting does not help
 };
 
-/** The server to send to; valid as long as the routing state. */
+/** The chosen server, valid during the lifetime of the routing state, or the reason for none. */
 using ServerPick = std::variant<const ServerRecord *, NoServer>;
 
-/** What a request that waits can expect. */
-struct ServerOutlook
+/** Estimates for a request that waits. */
+struct ServerEstimate
 {
-    /** From being sent to its answer. */
+    /** Time from sending the request to its answer. */
     Duration latency{};
-    /** Work a second that this daemon can get done where the request waits; 0 while unknown. */
+    /** Requests per second that this daemon can complete where this one waits; 0 if unknown. */
     double completionRate = 0.0;
-    /** The server that the request waits for; empty where any of the service will do. */
+    /** The server that the request waits for; empty if any server of the service is eligible. */
     ServerName owner;
 };
 
 /**
- * Chooses the server for a request: the owner of its key, or that of the service's servers where it
- * is expected to be answered first. Servers of the daemon's own failure domain are preferred, by a
- * margin that stands for the price of bytes between domains and is large for uploads.
+ * Chooses the server for a request: the owner of its key, or otherwise the server of the service
+ * that is expected to answer first. Servers in the daemon's own failure domain are preferred by a
+ * margin that represents the price of traffic between domains; the margin is large for uploads.
  *
- * A server is used until a part of the drain bound after it was last known to stay: the owner of a
- * key for a while after it was known to drain, until its keys have moved, and any server while
- * nothing newer was heard though the store answers. Otherwise one slow hop on the way of the news
- * sends requests to servers that have left.
+ * A server is used only for a fraction of the drain bound after it was last known to stay. This
+ * applies to the owner of a key that is known to drain, until its keys have moved, and to any
+ * server if there is no newer routing data although the store answers. Otherwise one slow hop in
+ * the propagation of routing data would cause requests to servers that have left.
  *
  * Not thread safe.
  */
@@ -66,38 +66,40 @@
 {
 public:
     /**
-     * How much longer work in the own domain may take than in another before it goes there, of the
-     * time in which an answer is worth most: bytes between domains are priced.
+     * Additional latency that is accepted to stay in the own domain, as a fraction of the target
+     * latency, because traffic between domains is priced.
      */
     static constexpr double domainMargin = 0.35;
-    /** The same for uploads, whose bodies cost more to carry over than a late answer loses. */
+    /** The same for uploads, whose transfer between domains costs more than a late answer. */
     static constexpr Duration uploadDomainMargin = std::chrono::milliseconds{1500};
 
     ServerPicker(const ServerGauges &gauges, DomainName ownDomain,
                  const DrainBudget &budget = DrainBudget{});
 
-    /** Takes in how far the routing state can be relied on. */
+    /** Sets how current the routing state is. */
     void setKnowledge(const ServerKnowledge &knowledge);
 
-    /** \returns for how long there has been no word of the store, or zero if it is away. */
+    /** \returns the time since the store last confirmed the data, or zero if it is unreachable. */
     Duration knowledgeAge(Instant now) const;
 
-    /** \returns how the drain bound is shared out. */
+    /** \returns how the drain bound is divided. */
     const DrainBudget &budget() const;
 
     ServerPick pick(const RoutingState &state, const ServerDemand &demand, Instant now) const;
 
-    /** \returns until when a request for \a server may be sent, once it has a connection. */
+    /** \returns the latest instant to send a request to \a server once it has a connection. */
     Instant lastSend(const KnownServer &server) const;
 
-    /** \returns what a request with \a demand can expect that has to wait. */
-    ServerOutlook outlook(const RoutingState &state, const ServerDemand &demand, Instant now) const;
+    /** \returns the estimates for a request with \a demand that has to wait. */
+    ServerEstimate estimate(const RoutingState &state, const ServerDemand &demand,
+                            Instant now) const;
 
 private:
     const KnownServer *ownerOf(const RoutingState &state, const ServerDemand &demand,
                                Instant now) const;
-    ServerPick owner(const RoutingState &state, const ServerDemand &demand, Instant now) const;
-    ServerPick fastest(const RoutingState &state, const ServerDemand &demand, Instant now) const;
+    ServerPick pickOwner(const RoutingState &state, const ServerDemand &demand, Instant now) const;
+    ServerPick pickFastest(const RoutingState &state, const ServerDemand &demand,
+                           Instant now) const;
     Duration costOf(const ServerRecord &server, const ServerDemand &demand, Instant now) const;
 
     const ServerGauges &m_gauges;
--- a/tests/requestqueue/test_requestqueue.cpp
+++ b/tests/requestqueue/test_requestqueue.cpp
@@ -67,9 +67,9 @@
         return made;
     }
 
-    /** \returns what was sent, by ticket. */
-    std::map<std::uint64_t, std::string> dispatch(Instant now,
-                                                  std::map<std::uint64_t, GiveUpReason> *gone = {})
+    /** \returns the servers that requests were sent to, by ticket. */
+    std::map<std::uint64_t, std::string>
+    dispatch(Instant now, std::map<std::uint64_t, GiveUpReason> *givenUpReasons = {})
     {
         std::map<std::uint64_t, std::string> sent;
         const auto givenUp =
@@ -78,13 +78,13 @@
                 sent[ticket] = target.id.value();
             });
         for (const GivenUp &request : givenUp) {
-            if (gone)
-                (*gone)[request.ticket] = request.reason;
+            if (givenUpReasons)
+                (*givenUpReasons)[request.ticket] = request.reason;
         }
         return sent;
     }
 
-    /** The server answers a request, with others waiting there. */
+    /** Records that the server answered a request while \a waiting others were queued there. */
     void answer(const std::string &id, Instant now, std::uint32_t waiting = 3)
     {
         gauges.attemptEnded(ServerName{id}, AttemptSign::Served, 200ms, ServerLoad{3, waiting, 3},
@@ -94,7 +94,7 @@
 
 } // namespace
 
-BOOST_FIXTURE_TEST_CASE(aKeyGoesToItsOwnerOnly, Fixture)
+BOOST_FIXTURE_TEST_CASE(keyIsSentToItsOwnerOnly, Fixture)
 {
     queue.add(keyedRequest(5, start));
     queue.add(keyedRequest(5000, start));
@@ -103,7 +103,7 @@
     BOOST_TEST(sent.at(2) == "c2");
 }
 
-BOOST_FIXTURE_TEST_CASE(theOwnDomainIsPreferredWhileItHasRoom, Fixture)
+BOOST_FIXTURE_TEST_CASE(ownDomainIsPreferredWhileItHasCapacity, Fixture)
 {
     for (int i = 0; i < 3; ++i)
         queue.add(request(plain, start));
@@ -113,7 +113,7 @@
     BOOST_TEST(sent.at(3) == "p2");
 }
 
-BOOST_FIXTURE_TEST_CASE(aServerThatDrainsOrIsGoneGetsNothing, Fixture)
+BOOST_FIXTURE_TEST_CASE(drainingServerReceivesNoRequests, Fixture)
 {
     state.servers[plain][0].record.isDraining = true;
     state.servers[plain][0].drainsAfter = start;
@@ -124,12 +124,13 @@
     queue.add(keyedRequest(5, start));
     BOOST_TEST(dispatch(start + 900ms).at(2) == "c1"); // until its keys have moved
     queue.add(keyedRequest(5, start + 900ms));
-    // However late it was heard of: the second half of two seconds is for connection and link.
+    // Independent of when the drain was detected: the second half of the bound of two seconds is
+    // for the connection and the link.
     BOOST_TEST(dispatch(start + 1001ms).empty());
     BOOST_TEST((picker.lastSend(state.servers[keyed][0]) == start + 1500ms));
 }
 
-BOOST_FIXTURE_TEST_CASE(noServerIsUsedByWhatIsTooOldWhileNewerWordIsToBeHad, Fixture)
+BOOST_FIXTURE_TEST_CASE(noServerIsUsedWithOutdatedRoutingDataWhileStoreAnswers, Fixture)
 {
     picker.setKnowledge({start, false});
     queue.add(request(plain, start));
@@ -137,22 +138,22 @@
     BOOST_TEST((picker.lastSend(state.servers[plain][0]) == start + 1500ms));
     queue.add(request(plain, start + 1400ms));
     queue.add(keyedRequest(5, start + 1400ms));
-    std::map<std::uint64_t, GiveUpReason> gone;
-    BOOST_TEST(dispatch(start + 1401ms, &gone).empty());
-    BOOST_TEST(gone.empty());
-    // News, or the word that there is none to be had: callers are served by what is known.
+    std::map<std::uint64_t, GiveUpReason> givenUpReasons;
+    BOOST_TEST(dispatch(start + 1401ms, &givenUpReasons).empty());
+    BOOST_TEST(givenUpReasons.empty());
+    // Requests are sent after newer data is received, or if the store is known to be unreachable.
     picker.setKnowledge({start + 1300ms, false});
     BOOST_TEST(dispatch(start + 1410ms).size() == 2U);
     queue.add(request(plain, start + 5s));
     picker.setKnowledge({start + 1300ms, true});
     BOOST_TEST(dispatch(start + 5s).size() == 1U);
-    // A server that is known to drain is left alone all the same.
+    // A server that is known to drain is not used in either case.
     state.servers[keyed][1].drainsAfter = start + 1300ms;
     queue.add(keyedRequest(5000, start + 5s));
     BOOST_TEST(dispatch(start + 5s).empty());
 }
 
-BOOST_FIXTURE_TEST_CASE(aRequestIsNotSentToAServerThatItWasSentTo, Fixture)
+BOOST_FIXTURE_TEST_CASE(requestIsNotSentToTheSameServerTwice, Fixture)
 {
     WaitingRequest again = request(plain, start);
     again.tried = {ServerName{"p1"}};
@@ -161,12 +162,12 @@
     again.ticket = 2;
     again.tried = {ServerName{"p1"}, ServerName{"p2"}};
     queue.add(again);
-    std::map<std::uint64_t, GiveUpReason> gone;
-    BOOST_TEST(dispatch(start, &gone).empty());
-    BOOST_TEST((gone.at(2) == GiveUpReason::AllTried));
+    std::map<std::uint64_t, GiveUpReason> givenUpReasons;
+    BOOST_TEST(dispatch(start, &givenUpReasons).empty());
+    BOOST_TEST((givenUpReasons.at(2) == GiveUpReason::AllTried));
 }
 
-BOOST_FIXTURE_TEST_CASE(theMoreUrgentComeFirstAndTheLateOnesLast, Fixture)
+BOOST_FIXTURE_TEST_CASE(requestsAreSentByPriorityAndLateOnesLast, Fixture)
 {
     state.servers[plain] = {server("p1", plain, "a")};
     for (int i = 0; i < 2; ++i)
@@ -186,11 +187,11 @@
     BOOST_TEST(dispatch(start + 70ms).contains(3));
 }
 
-BOOST_FIXTURE_TEST_CASE(whatAQueueCantServeInTimeIsGivenUpAtOnce, Fixture)
+BOOST_FIXTURE_TEST_CASE(requestsThatCannotBeServedInTimeAreGivenUpAtOnce, Fixture)
 {
     Instant now = start;
     queue.add(keyedRequest(5, now));
-    for (int i = 0; i < 30; ++i) { // three a second, with two there at all times
+    for (int i = 0; i < 30; ++i) { // three requests per second, with two in flight at all times
         queue.add(keyedRequest(5, now));
         dispatch(now);
         now += 333ms;
@@ -198,58 +199,58 @@
     }
     for (int i = 0; i < 20; ++i)
         queue.add(keyedRequest(5, now));
-    std::map<std::uint64_t, GiveUpReason> gone;
-    const auto sent = dispatch(now, &gone);
-    BOOST_TEST(sent.size() + gone.size() + queue.size() == 20U);
-    BOOST_TEST(gone.size() >= 10U);
-    for (const auto &[ticket, reason] : gone)
+    std::map<std::uint64_t, GiveUpReason> givenUpReasons;
+    const auto sent = dispatch(now, &givenUpReasons);
+    BOOST_TEST(sent.size() + givenUpReasons.size() + queue.size() == 20U);
+    BOOST_TEST(givenUpReasons.size() >= 10U);
+    for (const auto &[ticket, reason] : givenUpReasons)
         BOOST_TEST((reason == GiveUpReason::QueueTooLong));
-    // Those that may still be served wait, the first come among them.
+    // Requests that may still be served keep waiting, including those that arrived first.
     BOOST_TEST(queue.size() >= 2U);
 }
 
-BOOST_FIXTURE_TEST_CASE(aKeyWithoutAnOwnerIsWaitedForBriefly, Fixture)
+BOOST_FIXTURE_TEST_CASE(requestWaitsBrieflyForKeyWithoutOwner, Fixture)
 {
     state.assignments.clear();
     queue.add(keyedRequest(5, start));
-    std::map<std::uint64_t, GiveUpReason> gone;
-    BOOST_TEST(dispatch(start, &gone).empty());
-    dispatch(start + 300ms, &gone);
-    BOOST_TEST(gone.empty());
+    std::map<std::uint64_t, GiveUpReason> givenUpReasons;
+    BOOST_TEST(dispatch(start, &givenUpReasons).empty());
+    dispatch(start + 300ms, &givenUpReasons);
+    BOOST_TEST(givenUpReasons.empty());
     own("c2", "c2");
-    BOOST_TEST(dispatch(start + 350ms, &gone).at(1) == "c2");
+    BOOST_TEST(dispatch(start + 350ms, &givenUpReasons).at(1) == "c2");
     state.assignments.clear();
     queue.add(keyedRequest(5, start));
-    dispatch(start + 400ms, &gone);
-    dispatch(start + 900ms, &gone);
-    BOOST_TEST((gone.at(2) == GiveUpReason::NoOwner));
+    dispatch(start + 400ms, &givenUpReasons);
+    dispatch(start + 900ms, &givenUpReasons);
+    BOOST_TEST((givenUpReasons.at(2) == GiveUpReason::NoOwner));
 }
 
-BOOST_FIXTURE_TEST_CASE(anOwnerThatIsAwayHoldsNoCallers, Fixture)
+BOOST_FIXTURE_TEST_CASE(requestsForUnreachableOwnerAreGivenUp, Fixture)
 {
     for (int i = 0; i < 2; ++i) {
         gauges.attemptStarted(ServerName{"c1"}, start);
         gauges.attemptEnded(ServerName{"c1"}, AttemptSign::Unreached, 400ms, std::nullopt, start);
     }
     queue.add(keyedRequest(5, start));
-    std::map<std::uint64_t, GiveUpReason> gone;
-    BOOST_TEST(dispatch(start, &gone).empty());
-    BOOST_TEST((gone.at(1) == GiveUpReason::OutOfReach));
-    // Later one request finds out whether it is back.
+    std::map<std::uint64_t, GiveUpReason> givenUpReasons;
+    BOOST_TEST(dispatch(start, &givenUpReasons).empty());
+    BOOST_TEST((givenUpReasons.at(1) == GiveUpReason::Unreachable));
+    // Later, a single request checks whether the owner is reachable again.
     queue.add(keyedRequest(5, start + 900ms));
     queue.add(keyedRequest(6, start + 900ms));
     BOOST_TEST(dispatch(start + 900ms).size() == 1U);
 }
 
-BOOST_FIXTURE_TEST_CASE(noServerIsBotheredWithWhatIsTooLate, Fixture)
+BOOST_FIXTURE_TEST_CASE(requestWithoutTimeLeftIsNotSent, Fixture)
 {
     queue.add(request(plain, start));
-    std::map<std::uint64_t, GiveUpReason> gone;
-    BOOST_TEST(dispatch(start + 1970ms, &gone).empty());
-    BOOST_TEST((gone.at(1) == GiveUpReason::NoTimeLeft));
+    std::map<std::uint64_t, GiveUpReason> givenUpReasons;
+    BOOST_TEST(dispatch(start + 1970ms, &givenUpReasons).empty());
+    BOOST_TEST((givenUpReasons.at(1) == GiveUpReason::NoTimeLeft));
 }
 
-BOOST_FIXTURE_TEST_CASE(aRequestOfACallerThatLeftIsForgotten, Fixture)
+BOOST_FIXTURE_TEST_CASE(removedRequestIsNotSent, Fixture)
 {
     queue.add(request(plain, start));
     queue.remove(1);
@@ -257,24 +258,25 @@
     BOOST_TEST(queue.size() == 0U);
 }
 
-BOOST_FIXTURE_TEST_CASE(aServerThatThisDaemonAskedLittleOfIsNotTakenForSlow, Fixture)
+BOOST_FIXTURE_TEST_CASE(serverWithFewRequestsIsNotConsideredSlow, Fixture)
 {
-    // One request each second, as at each of many daemons, says nothing of what the server can do.
+    // One request per second, as is usual with many daemons, does not indicate the server's
+    // maximum rate.
     Instant now = start;
     for (int i = 0; i < 5; ++i, now += 1s) {
         queue.add(keyedRequest(5, now));
         BOOST_TEST(dispatch(now).size() == 1U);
         answer("c1", now + 90ms, 0);
     }
-    std::map<std::uint64_t, GiveUpReason> gone;
+    std::map<std::uint64_t, GiveUpReason> givenUpReasons;
     for (int i = 0; i < 5; ++i)
         queue.add(keyedRequest(5, now));
-    dispatch(now, &gone);
-    BOOST_TEST(gone.empty());
+    dispatch(now, &givenUpReasons);
+    BOOST_TEST(givenUpReasons.empty());
     BOOST_TEST(queue.size() > 0U);
 }
 
-BOOST_FIXTURE_TEST_CASE(whatAServerFarTooBusyCannotServeIsRefusedAtOnce, Fixture)
+BOOST_FIXTURE_TEST_CASE(requestsForOverloadedServerAreGivenUpAtOnce, Fixture)
 {
     Instant now = start;
     for (int i = 0; i < 8; ++i, now += 500ms) {
@@ -282,13 +284,13 @@
         gauges.attemptEnded(ServerName{"c1"}, AttemptSign::Served, 400ms, ServerLoad{3, 8, 3},
                             now + 400ms);
     }
-    // Its window is one piece of work in four seconds, and what it did before is long ago.
+    // Its window is one request in four seconds, and its earlier completions have decayed.
     now += 2s;
-    std::map<std::uint64_t, GiveUpReason> gone;
+    std::map<std::uint64_t, GiveUpReason> givenUpReasons;
     for (int i = 0; i < 4; ++i)
         queue.add(keyedRequest(5, now));
-    dispatch(now, &gone);
-    BOOST_TEST(gone.size() == 4U);
-    for (const auto &[ticket, reason] : gone)
+    dispatch(now, &givenUpReasons);
+    BOOST_TEST(givenUpReasons.size() == 4U);
+    for (const auto &[ticket, reason] : givenUpReasons)
         BOOST_TEST((reason == GiveUpReason::QueueTooLong));
 }
--- a/tests/requestqueue/test_servergauges.cpp
+++ b/tests/requestqueue/test_servergauges.cpp
@@ -32,20 +32,20 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(aServerOfWhichNothingIsKnownGetsLittle)
+BOOST_AUTO_TEST_CASE(serverWithoutHistoryReceivesFewRequests)
 {
     ServerGauges gauges;
     BOOST_TEST(fill(gauges, start) == 2);
 }
 
-BOOST_AUTO_TEST_CASE(manyDaemonsBeginWithLittleEach)
+BOOST_AUTO_TEST_CASE(initialWindowShrinksWithNumberOfDaemons)
 {
     constexpr std::size_t daemons = 64;
     int sent = 0;
     for (std::size_t i = 0; i < daemons; ++i) {
         ServerGauges gauges;
         gauges.setDaemonCount(daemons);
-        // Each finds the server idle at first, and fills its own window at once.
+        // Each daemon finds the server idle at first, and fills its own window at once.
         gauges.attemptStarted(server, start);
         gauges.attemptEnded(server, AttemptSign::Served, 100ms, std::nullopt, start);
         sent += fill(gauges, start + 10ms);
@@ -56,7 +56,7 @@
     BOOST_TEST(fill(few, start) == 2);
 }
 
-BOOST_AUTO_TEST_CASE(whatHangsAtAServerTellsThatItIsFull)
+BOOST_AUTO_TEST_CASE(pendingRequestsLowerCompletionRate)
 {
     ServerGauges gauges;
     gauges.attemptStarted(server, start);
@@ -64,13 +64,13 @@
     const double before = gauges.completionRate(server, start);
     gauges.attemptStarted(server, start);
     BOOST_TEST(gauges.completionRate(server, start + 2s) < before / 5);
-    // An answer to a later request leaves the first one hanging.
+    // After an answer to a later request, the first one is still pending.
     gauges.attemptStarted(server, start + 1900ms);
     gauges.attemptEnded(server, AttemptSign::Served, 100ms, ServerLoad{3, 0, 3}, start + 2s);
     BOOST_TEST(gauges.completionRate(server, start + 9s) < before / 5);
 }
 
-BOOST_AUTO_TEST_CASE(theWindowGrowsWhileLittleWaitsAndShrinksWhileMuchDoes)
+BOOST_AUTO_TEST_CASE(windowGrowsWithFewAndShrinksWithManyWaitingRequests)
 {
     ServerGauges gauges;
     for (int i = 0; i < 20; ++i) {
@@ -83,11 +83,11 @@
     for (int i = 0; i < 20; ++i)
         gauges.attemptEnded(server, AttemptSign::Served, 100ms, ServerLoad{3, 8, 3}, start);
     BOOST_TEST(fill(gauges, start) == 0);
-    // One at a time, after a pause.
+    // One request at a time, after a pause.
     BOOST_TEST(fill(gauges, start + 2s) == 1);
 }
 
-BOOST_AUTO_TEST_CASE(aServerThatStaysSilentIsAvoidedForLongerEachTime)
+BOOST_AUTO_TEST_CASE(avoidanceOfServerThatDoesNotAnswerGrows)
 {
     ServerGauges gauges;
     Instant now = start;
@@ -107,7 +107,7 @@
     BOOST_TEST(!gauges.isAvoided(server, now));
 }
 
-BOOST_AUTO_TEST_CASE(aServerThatOftenFailsIsAvoidedThoughItAnswers)
+BOOST_AUTO_TEST_CASE(serverWithHighFailureRateIsAvoided)
 {
     ServerGauges gauges;
     for (int i = 0; i < 12; ++i) {
@@ -118,7 +118,7 @@
     BOOST_TEST(gauges.isAvoided(server, start));
 }
 
-BOOST_AUTO_TEST_CASE(onlyWorkThatDidNotWaitTellsAServersOwnTime)
+BOOST_AUTO_TEST_CASE(serviceTimeIsMeasuredWithoutWaitingRequestsOnly)
 {
     ServerGauges gauges;
     for (int i = 0; i < 60; ++i) {
@@ -140,8 +140,8 @@
 namespace {
 
 /**
- * Daemons that don't know each other send one server more than it can do: together they must keep
- * its slots busy, and not have more waiting there than it can queue.
+ * Simulates daemons without communication that overload one server. Together they must keep its
+ * slots busy without exceeding its queue.
  */
 template<std::size_t daemons>
 void checkFleet()
@@ -159,7 +159,7 @@
     };
     std::vector<Running> running;
     std::deque<Running> waiting;
-    int overfullSteps = 0;
+    int overloadedSteps = 0;
     int idleSteps = 0;
     int steps = 0;
     for (Instant now = start; now < start + 20s; now += step) {
@@ -195,21 +195,22 @@
             continue;
         ++steps;
         idleSteps += running.size() < slots ? 1 : 0;
-        overfullSteps += waiting.size() > queueLimit ? 1 : 0;
+        overloadedSteps += waiting.size() > queueLimit ? 1 : 0;
     }
     BOOST_TEST(idleSteps < steps / 20, idleSteps << " of " << steps << " steps idle");
-    BOOST_TEST(overfullSteps <= steps / 100, overfullSteps << " of " << steps << " steps overfull");
+    BOOST_TEST(overloadedSteps <= steps / 100,
+               overloadedSteps << " of " << steps << " steps overfull");
 }
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(aFewDaemonsThatDontKnowEachOtherFillAServerWithoutOverfillingIt)
+BOOST_AUTO_TEST_CASE(fewIndependentDaemonsUseServerFullyWithoutOverload)
 {
     checkFleet<8>();
     checkFleet<12>();
 }
 
-BOOST_AUTO_TEST_CASE(manyDaemonsThatDontKnowEachOtherDontOverfillAServer)
+BOOST_AUTO_TEST_CASE(manyIndependentDaemonsDoNotOverloadServer)
 {
     checkFleet<40>();
 }
