--- a/src/libbulrush/process/daemonsettings.cpp
+++ b/src/libbulrush/process/daemonsettings.cpp
@@ -17,9 +17,7 @@
     return std::string{list} + "[" + std::to_string(index) + "]." + std::string{field};
 }
 
-/**
- * Collects what is wrong with one daemon's settings.
- */
+/** Collects the problems in the settings of one daemon. */
 class SettingsCheck
 {
 public:
--- a/src/libbulrush/process/daemonsettings.h
+++ b/src/libbulrush/process/daemonsettings.h
@@ -10,10 +10,10 @@
 
 namespace bulrush {
 
-/** Where a daemon listens. */
+/** Addresses on which a daemon listens. */
 struct ListenAddresses
 {
-    /** Callers' requests, behind the platform's balancer. */
+    /** Requests of callers, forwarded by the platform's load balancer. */
     Endpoint callers;
     /** Messages and relayed requests of other daemons. */
     Endpoint peers;
@@ -23,7 +23,7 @@
     bool operator==(const ListenAddresses &) const = default;
 };
 
-/** Another entry host that a daemon may ask first when it starts. */
+/** Another entry host that a daemon may contact at startup. */
 struct PeerSeed
 {
     HostName host;
@@ -34,94 +34,93 @@
     bool operator==(const PeerSeed &) const = default;
 };
 
-/** A backend server that the system may send work to. */
+/** Backend server to which requests may be sent. */
 struct BackendServer
 {
     ServerName name;
     DomainName domain;
     ServiceName service;
     Endpoint address;
-    /** Work that it does at once. */
+    /** Number of requests that it processes concurrently. */
     std::uint32_t slots = 0;
     std::uint32_t connectionLimit = 0;
-    /** Whether it compares the fence of an order with the grant that it holds. */
+    /** Whether it compares the fencing token of an order with the grant that it holds. */
     bool checksFence = false;
 
     bool operator==(const BackendServer &) const = default;
 };
 
-/** How long what is granted, promised or sent counts; docs/settings.md gives the budget. */
+/** Validity of leases, promises and requests; docs/settings.md explains the time budget. */
 struct LeaseTimings
 {
-    /** Tenure of a steward from each renewal of its row. */
+    /** Duration of a domain leader's lease from each renewal of its row. */
     Duration stewardLease = std::chrono::milliseconds{1200};
-    /** For how long a daemon may send work for slices after a steward's answer. */
+    /** Time for which a daemon may send requests for slices after the domain leader's answer. */
     Duration routingLease = std::chrono::milliseconds{800};
-    /** For how long a candidate promises not to take over, while the platform is out. */
+    /** Time for which a candidate promises not to take over leadership in a platform outage. */
     Duration promise = std::chrono::seconds{10};
-    /** Longest deadline that work for a service divided by key is sent with. */
+    /** Maximum deadline of requests for a service that is divided by key. */
     Duration deadlineCap = std::chrono::milliseconds{1000};
-    /** How often leases are renewed. */
+    /** Interval at which leases are renewed. */
     Duration renewEvery = std::chrono::milliseconds{250};
-    /** Bound on the difference of two hosts' clocks in rate, in parts per million. */
+    /** Maximum difference in rate between the clocks of two hosts, in parts per million. */
     std::int64_t driftPpm = defaultDriftPpm;
 
     bool operator==(const LeaseTimings &) const = default;
 };
 
-/** What a daemon takes from one caller at most. */
+/** Limits for the requests of one caller. */
 struct CallerLimits
 {
     std::uint64_t maxBodyBytes = std::uint64_t{128} << 20;
     std::uint64_t maxHeaderBytes = std::uint64_t{16} << 10;
-    /** Time for the whole header of a request to arrive. */
+    /** Maximum time until the complete header of a request has arrived. */
     Duration headerTime = std::chrono::seconds{5};
 
     bool operator==(const CallerLimits &) const = default;
 };
 
-/** The lowest level of log lines that are written. */
+/** Minimum severity of the log lines that are written. */
 enum class LogLevel { Debug, Info, Warning, Error };
 
-/**
- * All that a daemon knows of itself and its surroundings when it starts.
- */
+/** Settings of a daemon at startup. */
 struct DaemonSettings
 {
     HostName host;
     DomainName domain;
     ListenAddresses addresses;
-    /** The platform's endpoints, tried in turn. */
+    /** Endpoints of the platform, tried in order. */
     std::vector<Endpoint> platform;
-    /** Every failure domain, the daemon's own among them. */
+    /** All failure domains, including the daemon's own. */
     std::vector<DomainName> domains;
-    /** May name the daemon's own host, which it passes over. */
+    /** May include the daemon's own host, which is ignored. */
     std::vector<PeerSeed> seeds;
     std::vector<BackendServer> servers;
     LeaseTimings leases;
-    /** How long a graceful shutdown lets requests in flight go on. */
+    /** Time that a graceful shutdown gives to requests in flight. */
     Duration drainTime = std::chrono::seconds{60};
     CallerLimits limits;
-    /** Threads that carry traffic, beside the one for control state. */
+    /** Number of traffic threads, in addition to the control thread. */
     std::uint32_t trafficThreads = 2;
     LogLevel logLevel = LogLevel::Info;
 
     bool operator==(const DaemonSettings &) const = default;
 };
 
-/** A key is served again within this time of a loss. */
+/** Maximum time after a loss until a key is served again. */
 constexpr Duration recoveryBound = std::chrono::seconds{4};
 
 /**
- * \returns the longest time from the loss of a steward and a server together until its successor
- * may grant the server's slices: the steward's lease, the last routing lease that it gave, the last
- * deadline of work sent under that, each lengthened by the drift of clocks.
+ * \returns the maximum time from the simultaneous loss of a domain leader and a server until the
+ * new leader may grant the server's slices to others. It is the sum of the leader's lease, the last
+ * routing lease that it gave and the last deadline of requests sent under that, each lengthened by
+ * the clock drift.
  */
 Duration recoveryBudget(const LeaseTimings &leases);
 
 /**
- * Checks what can't be seen from one field alone, such as leases that outlast each other.
- * \returns all that is wrong; nothing if a daemon can start with \a settings. Thread safe.
+ * Checks conditions that involve several fields, such as the order of lease durations.
+ * \returns all problems; none if a daemon can start with \a settings. Thread safe.
  */
 FieldProblems problemsOf(const DaemonSettings &settings);
 
--- a/src/libbulrush/process/entrysettings.h
+++ b/src/libbulrush/process/entrysettings.h
@@ -11,33 +11,33 @@
 
 namespace bulrush {
 
-/** All that an entry daemon on the users' platform knows of its surroundings when it starts. */
+/** Settings of an entry daemon on the users' platform at startup. */
 struct EntrySettings
 {
     HostName host;
     DomainName domain;
-    /** Callers' requests, behind the platform's balancer. */
+    /** Requests of callers, forwarded by the platform's load balancer. */
     Endpoint callers;
-    /** Messages of other daemons; its port is told to them, so it can't be left to the host. */
+    /** Messages of other daemons. Its port is announced to them and must therefore not be 0. */
     Endpoint peers;
     /** Readiness, metrics and status. */
     Endpoint operators;
-    /** A second address for the operators' pages, on a port that does not change; port 0: none. */
+    /** Second address for the operators' pages, with a fixed port; port 0 means none. */
     Endpoint metrics;
     /** The platform's metadata store. */
     Endpoint store;
-    /** How long a graceful shutdown lets requests in flight go on. */
+    /** Time that a graceful shutdown gives to requests in flight. */
     Duration drainTime = std::chrono::milliseconds{5500};
-    /** How long after its word a backend server that leaves may still get requests. */
+    /** Time after its announcement during which a backend server that leaves may get requests. */
     Duration serverDrain = DrainBudget::shortestBound;
-    /** How long after its acknowledgement a configuration is in force at the latest. */
+    /** Maximum time from the acknowledgement of a configuration until it is in force. */
     Duration configInForce = ConfigBudget::shortestBound;
     CallerLimits limits;
-    /** What the host has of processors, in cores. */
+    /** Number of processor cores of the host. */
     double processors = 1.0;
-    /** What the host's link carries, in megabits a second. */
+    /** Bandwidth of the host's network link, in megabits per second. */
     double linkMegabits = 1000.0;
-    /** What all daemons together may repeat. */
+    /** Retries that all daemons together may send. */
     RetryTerms retries;
     LogLevel logLevel = LogLevel::Info;
 
--- a/src/libbulrush/process/latencyhistogram.h
+++ b/src/libbulrush/process/latencyhistogram.h
@@ -13,38 +13,35 @@
 namespace bulrush {
 
 /**
- * Counts latencies in fixed logarithmic bins from 1 ms to 100 s, the same in every daemon, so that
- * histograms of several merge. Neighbouring bins differ by a factor of 1.33.
+ * Counts latencies in fixed logarithmic bins from 1 ms to 100 s. All daemons use the same bins, so
+ * that their histograms can be merged. Neighbouring bins differ by a factor of 1.33.
  *
  * Not thread safe.
  */
 class LatencyHistogram
 {
 public:
-    /** Bins, with one below and one above the range. */
+    /** Number of bins, including one below and one above the range. */
     static constexpr std::size_t binCount = 42;
 
     LatencyHistogram();
 
-    /**
-     * \returns the histogram that \a counts was taken from, or nothing if there are not binCount.
-     */
+    /** \returns the histogram with the bins \a counts, or nothing if their number is wrong. */
     static std::optional<LatencyHistogram> fromCounts(std::span<const std::uint64_t> counts);
 
     void record(Duration latency);
     void merge(const LatencyHistogram &other);
     void clear();
 
-    /**
-     * \returns the counts of all bins, lowest first: what merges and is sent.
-     */
+    /** \returns the counts of all bins, lowest first, as they are sent and merged. */
     std::vector<std::uint64_t> counts() const;
 
     std::uint64_t total() const;
 
     /**
-     * \returns the upper edge of the bin that the \a share of all latencies lies in, or nothing if
-     * there are none. Latencies above the range give its end. \pre \a share is from 0 to 1.
+     * \returns the upper edge of the bin that contains the quantile \a share, or nothing if there
+     * are no latencies. Latencies above the range yield its upper end.
+     * \pre \a share is from 0 to 1
      */
     std::optional<Duration> quantile(double share) const;
 
--- a/src/libbulrush/process/retrybudget.cpp
+++ b/src/libbulrush/process/retrybudget.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/** Sums of fractions fall a little short of whole numbers. */
+/** Slightly below 1, because sums of fractions have rounding errors. */
 constexpr double oneRetry = 1.0 - 1e-9;
 
 } // namespace
@@ -29,9 +29,9 @@
 
 bool RetryBudget::takeRetry(RequestClass requestClass)
 {
-    const double keptForPriority = std::max(0.0, std::min(m_reserve / 2, m_reserve - 1.0));
-    const double kept = requestClass == RequestClass::Priority ? 0.0 : keptForPriority;
-    if (m_retries - kept < oneRetry)
+    const double reservedForPriority = std::max(0.0, std::min(m_reserve / 2, m_reserve - 1.0));
+    const double reserved = requestClass == RequestClass::Priority ? 0.0 : reservedForPriority;
+    if (m_retries - reserved < oneRetry)
         return false;
     m_retries = std::max(0.0, m_retries - 1.0);
     return true;
--- a/src/libbulrush/process/retrybudget.h
+++ b/src/libbulrush/process/retrybudget.h
@@ -5,34 +5,35 @@
 namespace bulrush {
 
 /**
- * Keeps retries to a fraction of traffic. Each first attempt earns that fraction of a retry, each
- * retry spends a whole one, and what is earned and unspent is bounded.
+ * Limits retries to a fraction of the traffic. Each first attempt adds that fraction of a retry to
+ * the budget, each retry takes one, and the unused budget is bounded.
  *
- * Only the daemon that took the request from its caller holds one, so that retries don't multiply
- * over hops. Not thread safe.
+ * Only the daemon that received the request from its caller has a budget, so that retries do not
+ * multiply over several hops. Not thread safe.
  */
 class RetryBudget
 {
 public:
-    /** One retry for each ten requests at most. */
+    /** At most one retry for each ten requests. */
     static constexpr double defaultFraction = 0.1;
     static constexpr double defaultReserve = 10.0;
 
     /**
-     * \pre 0 <= \a fraction and 0 <= \a reserve. Starts empty: a fresh daemon retries nothing
-     * before it has sent something.
+     * The budget is empty at first: a daemon that has just started must send requests before it may
+     * retry any. \pre 0 <= \a fraction and 0 <= \a reserve
      */
     explicit RetryBudget(double fraction = defaultFraction, double reserve = defaultReserve);
 
-    /** Bounds what may be saved up from now on; what is above it is lost. */
+    /** Sets the maximum of the unused budget. Any excess is lost. */
     void setReserve(double reserve);
 
     /** Counts a first attempt. */
     void recordFirstAttempt();
 
     /**
-     * Spends a retry. \returns false, and spends nothing, if there is none. Half of the reserve is
-     * kept for priority requests, as long as a whole retry is left for the others.
+     * Takes one retry from the budget. \returns false, and takes nothing, if there is none. Half of
+     * the reserve is kept for priority requests, provided that at least one complete retry remains
+     * for the others.
      */
     bool takeRetry(RequestClass requestClass);
 
--- a/src/libbulrush/process/retrybudgets.cpp
+++ b/src/libbulrush/process/retrybudgets.cpp
@@ -11,8 +11,8 @@
 void RetryBudgets::setDaemonCount(std::size_t count)
 {
     const double share =
-        count == 0 ? leastReserve : m_terms.slack * usedPart / static_cast<double>(count);
-    m_reserve = std::clamp(share, leastReserve, mostReserve);
+        count == 0 ? minReserve : m_terms.slack * usedFraction / static_cast<double>(count);
+    m_reserve = std::clamp(share, minReserve, maxReserve);
     for (auto &[service, budget] : m_budgets)
         budget.setReserve(m_reserve);
 }
@@ -29,7 +29,7 @@
 
 RetryBudget &RetryBudgets::budgetOf(const ServiceName &service)
 {
-    return m_budgets.try_emplace(service, m_terms.ratio * usedPart, m_reserve).first->second;
+    return m_budgets.try_emplace(service, m_terms.ratio * usedFraction, m_reserve).first->second;
 }
 
 } // namespace bulrush
--- a/src/libbulrush/process/retrybudgets.h
+++ b/src/libbulrush/process/retrybudgets.h
@@ -7,50 +7,53 @@
 
 namespace bulrush {
 
-/** What all daemons together may send beyond the first attempt of each request of a service. */
+/** Retries, beyond the first attempt of each request of a service, that all daemons may send. */
 struct RetryTerms
 {
-    /** For each request; a fraction. */
+    /** Retries per request; a fraction. */
     double ratio = 0.2;
-    /** Beside that, in some seconds, by all daemons. */
+    /** Additional retries of all daemons together within a few seconds. */
     double slack = 56.0;
 
     bool operator==(const RetryTerms &) const = default;
 };
 
 /**
- * A daemon's part of the retries that all daemons share, apart for each service: traffic of one
- * earns nothing for another. Daemons don't ask each other; each goes by its own requests and by
- * how many daemons there are.
+ * This daemon's share of the retries that all daemons may send together. Each service has a
+ * separate budget, to which the traffic of other services adds nothing. The daemons do not
+ * communicate about it: each derives its share from its own requests and the number of daemons.
  *
  * Not thread safe.
  */
 class RetryBudgets
 {
 public:
-    /** Part of the terms that is used: what is counted elsewhere starts and ends at other times. */
-    static constexpr double usedPart = 0.75;
-    /** Retries that a daemon may save up, however few daemons there are. */
-    static constexpr double mostReserve = 5.0;
-    /** A daemon that could not save up one whole retry would never send any. */
-    static constexpr double leastReserve = 1.0;
+    /**
+     * Fraction of the allowance that is used. The rest is a margin, because others count retries
+     * over intervals that start and end at other times.
+     */
+    static constexpr double usedFraction = 0.75;
+    /** Maximum number of unused retries of one daemon, however few daemons there are. */
+    static constexpr double maxReserve = 5.0;
+    /** With a reserve of less than one retry, a daemon could never send any. */
+    static constexpr double minReserve = 1.0;
 
     explicit RetryBudgets(const RetryTerms &terms);
 
-    /** Notes how many daemons share the slack; 0 if that is not known. */
+    /** Sets how many daemons share the slack; 0 if unknown. */
     void setDaemonCount(std::size_t count);
 
     /** Counts a first attempt of a request for \a service. */
     void recordFirstAttempt(const ServiceName &service);
 
-    /** Spends a retry at \a service. \returns false, and spends nothing, if there is none. */
+    /** Takes a retry at \a service. \returns false, and takes nothing, if there is none. */
     bool takeRetry(const ServiceName &service, RequestClass requestClass);
 
 private:
     RetryBudget &budgetOf(const ServiceName &service);
 
     RetryTerms m_terms;
-    double m_reserve = leastReserve;
+    double m_reserve = minReserve;
     std::map<ServiceName, RetryBudget> m_budgets;
 };
 
--- a/src/libbulrush/process/timerservice.h
+++ b/src/libbulrush/process/timerservice.h
@@ -11,10 +11,10 @@
 namespace bulrush {
 
 /**
- * The one source of time for the parts of a process: parts subscribe, the owner advances it.
- * The owner is an event loop in a daemon and a test on a virtual clock.
+ * Timers of the components of a process. Components subscribe, and the owner advances the time: an
+ * event loop in a daemon, or a test with a virtual clock.
  *
- * Not thread safe; each thread has its own. Callbacks may subscribe and cancel.
+ * Not thread safe; each thread has its own instance. Callbacks may subscribe and cancel.
  */
 class TimerService
 {
@@ -23,25 +23,21 @@
     using SubscriptionId = std::uint64_t;
 
     /**
-     * Calls \a callback once, at the first advance to or past \a due.
-     * \returns an id to cancel with; ids are never used twice.
+     * Calls \a callback once, at the first advance to \a due or later.
+     * \returns an id for cancel(). Ids are never reused.
      */
     SubscriptionId subscribe(Instant due, Callback callback);
 
-    /**
-     * Forgets a subscription. An id that is unknown or has fired is ignored.
-     */
+    /** Removes a subscription. An id that is unknown or has already fired is ignored. */
     void cancel(SubscriptionId id);
 
     /**
-     * Fires all that is due up to \a now, earliest first, in the order of subscription among
-     * equals. \pre \a now is never earlier than at the call before.
+     * Calls the callbacks of all subscriptions due up to \a now, earliest first, and in the order
+     * of subscription if equal. \pre \a now is not earlier than in the previous call
      */
     void advanceTo(Instant now);
 
-    /**
-     * \returns the earliest instant that something is due at, or nothing.
-     */
+    /** \returns the due time of the earliest subscription, or nothing. */
     std::optional<Instant> nextDue() const;
 
 private:
--- a/src/libbulrush/version/forwarddecay.h
+++ b/src/libbulrush/version/forwarddecay.h
@@ -31,8 +31,7 @@
     /** \returns whether the counts must be rescaled before they exceed the range of their type. */
     bool isRescaleDue() const;
 
-    /** Resets the weight to 1. \returns the factor by which all existing counts must be multiplied.
-     */
+    /** Resets the weight to 1. \returns the factor to multiply all existing counts by. */
     double rescale();
 
 private:
