--- a/tests/loads/test_hotkeys.cpp
+++ b/tests/loads/test_hotkeys.cpp
@@ -13,11 +13,11 @@
 
 const std::string hotKey = "flash-sale";
 
-/** Requests for the hot key, at the most. */
-constexpr int mostRequests = 20000;
-constexpr int requestsInRound = 25;
+/** Maximum number of requests for the hot key. */
+constexpr int maxRequests = 20000;
+constexpr int requestsPerRound = 25;
 
-/** \returns whether \a host knows a slice of nothing but the hot key. */
+/** \returns whether the assignment at \a host has a slice with only the hot key. */
 bool hasOwnSlice(Fleet &fleet, const std::string &host)
 {
     const bulrush::KeyHash hash = bulrush::hashOfKey(hotKey);
@@ -42,7 +42,7 @@
     int sent = 0;
     int failed = 0;
     const bool isSplit = Fleet::eventually([&] {
-        for (int i = 0; i < requestsInRound && sent < mostRequests; ++i, ++sent) {
+        for (int i = 0; i < requestsPerRound && sent < maxRequests; ++i, ++sent) {
             const std::string &host = hosts.at(static_cast<std::size_t>(sent) % hosts.size());
             failed += fleet.get(host, "/catalogue/" + hotKey).status == 200 ? 0 : 1;
         }
--- a/tests/loads/test_layoutinforce.cpp
+++ b/tests/loads/test_layoutinforce.cpp
@@ -14,15 +14,15 @@
 const Incarnation d1{"d1"};
 constexpr Instant start{1000s};
 
-/** A handover whose orders and commits are answered at once. */
-struct World
+/** Handover whose orders and commits are confirmed immediately. */
+struct HandoverFixture
 {
     LeaseBook book{{}, 1};
     Handover handover{{}, 1, Assignment{}, {}, book};
     std::vector<Assignment> commits;
     int orders = 0;
 
-    World()
+    HandoverFixture()
     {
         drive(TenureExtended{start + 1h}, start);
     }
@@ -59,51 +59,51 @@
 };
 
 const std::vector<SliceRange> whole{{0, 99}};
-const std::vector<SliceRange> cut{{0, 49}, {50, 50}, {51, 99}};
+const std::vector<SliceRange> split{{0, 49}, {50, 50}, {51, 99}};
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(pureSplitIsPublishedWithoutMove)
+BOOST_AUTO_TEST_CASE(splitIsPublishedWithoutMove)
 {
-    World world;
-    world.want(whole, start + 1s);
-    const Fence fence = world.handover.assignment().slices.at(0).fence;
-    const int orders = world.orders;
-    world.want(cut, start + 10s);
-    BOOST_TEST((world.ranges() == cut));
-    BOOST_TEST((world.commits.back() == world.handover.assignment()));
+    HandoverFixture fixture;
+    fixture.want(whole, start + 1s);
+    const Fence fence = fixture.handover.assignment().slices.at(0).fence;
+    const int orders = fixture.orders;
+    fixture.want(split, start + 10s);
+    BOOST_TEST((fixture.ranges() == split));
+    BOOST_TEST((fixture.commits.back() == fixture.handover.assignment()));
     BOOST_TEST(
-        (world.handover.assignment().slices.at(1) == SliceOwner{catalogue, {50, 50}, s1, fence}));
-    BOOST_TEST(world.orders == orders);
+        (fixture.handover.assignment().slices.at(1) == SliceOwner{catalogue, {50, 50}, s1, fence}));
+    BOOST_TEST(fixture.orders == orders);
 
-    world.want(whole, start + 20s);
-    BOOST_TEST((world.ranges() == whole));
-    BOOST_TEST((world.handover.assignment().slices.at(0).fence == fence));
-    BOOST_TEST(world.orders == orders);
+    fixture.want(whole, start + 20s);
+    BOOST_TEST((fixture.ranges() == whole));
+    BOOST_TEST((fixture.handover.assignment().slices.at(0).fence == fence));
+    BOOST_TEST(fixture.orders == orders);
 }
 
-BOOST_AUTO_TEST_CASE(splitsAloneAreNotPublishedOftenNorInAnOutage)
+BOOST_AUTO_TEST_CASE(splitsAreNotPublishedOftenOrDuringOutage)
 {
-    World world;
-    world.want(whole, start + 1s);
-    world.want(cut, start + 1100ms);
-    BOOST_TEST((world.ranges() == whole));
-    world.drive(PlatformOutage{true}, start + 2s);
-    world.drive(TimePassed{}, start + 10s);
-    BOOST_TEST((world.ranges() == whole));
-    BOOST_TEST(world.commits.size() == 1U);
-    world.drive(PlatformOutage{false}, start + 11s);
-    world.drive(PublishedRead{world.handover.version()}, start + 12s);
-    world.drive(TimePassed{}, start + 13s);
-    BOOST_TEST((world.ranges() == cut));
+    HandoverFixture fixture;
+    fixture.want(whole, start + 1s);
+    fixture.want(split, start + 1100ms);
+    BOOST_TEST((fixture.ranges() == whole));
+    fixture.drive(PlatformOutage{true}, start + 2s);
+    fixture.drive(TimePassed{}, start + 10s);
+    BOOST_TEST((fixture.ranges() == whole));
+    BOOST_TEST(fixture.commits.size() == 1U);
+    fixture.drive(PlatformOutage{false}, start + 11s);
+    fixture.drive(PublishedRead{fixture.handover.version()}, start + 12s);
+    fixture.drive(TimePassed{}, start + 13s);
+    BOOST_TEST((fixture.ranges() == split));
 }
 
-BOOST_AUTO_TEST_CASE(serviceThatIsNotWantedKeepsItsSlices)
+BOOST_AUTO_TEST_CASE(serviceWithoutWantedAssignmentKeepsItsSlices)
 {
-    World world;
-    world.want(cut, start + 1s);
-    BOOST_TEST((world.ranges() == cut));
-    world.want({}, start + 10s);
-    BOOST_TEST((world.ranges() == cut));
-    BOOST_TEST(world.commits.size() == 1U);
+    HandoverFixture fixture;
+    fixture.want(split, start + 1s);
+    BOOST_TEST((fixture.ranges() == split));
+    fixture.want({}, start + 10s);
+    BOOST_TEST((fixture.ranges() == split));
+    BOOST_TEST(fixture.commits.size() == 1U);
 }
--- a/tests/loads/test_loads.cpp
+++ b/tests/loads/test_loads.cpp
@@ -18,14 +18,14 @@
 const Incarnation d1{"d1"};
 const Incarnation d2{"d2"};
 constexpr Instant start{1000s};
-constexpr std::size_t mostBytes = 24'000;
+constexpr std::size_t maxBytes = 24'000;
 
 LoadReport smallReport()
 {
     return {{{{0, 99}, 1.25}, {{100, 100}, 40.0}}, {{100, 39.5}}};
 }
 
-/** A report with as many entries, and as many digits in each, as there can be. */
+/** \returns a report with the given number of entries, each with the maximum number of digits. */
 LoadReport largestReport(std::size_t slices, std::size_t keys)
 {
     constexpr KeyHash step = std::numeric_limits<KeyHash>::max() / 1000;
@@ -39,7 +39,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(reportIsReadAsItWasWritten)
+BOOST_AUTO_TEST_CASE(decodedReportsEqualEncodedReports)
 {
     const std::map<ServiceName, LoadReport> reports{{catalogue, smallReport()},
                                                     {ServiceName{"scores"}, {}}};
@@ -49,15 +49,15 @@
     BOOST_TEST((*read == reports));
 }
 
-BOOST_AUTO_TEST_CASE(largestReportKeepsToItsBytes)
+BOOST_AUTO_TEST_CASE(largestReportFitsSizeLimit)
 {
     const Json::Value json =
         io::encodeLoadReport(largestReport(io::maximumReportedSlices, io::maximumReportedKeys));
-    BOOST_TEST(io::compactText(json).size() <= mostBytes);
+    BOOST_TEST(io::compactText(json).size() <= maxBytes);
     BOOST_TEST(io::decodeLoadReport(json).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(reportOutOfBoundsIsRefused)
+BOOST_AUTO_TEST_CASE(reportOutsideLimitsIsRejected)
 {
     const auto isRead = [](const LoadReport &report) {
         return io::decodeLoadReport(io::encodeLoadReport(report)).has_value();
@@ -73,7 +73,7 @@
     BOOST_TEST(!io::decodeLoadReports(Json::Value{"none"}).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(ledgerSumsTheLatestReportOfEachDaemon)
+BOOST_AUTO_TEST_CASE(latestReportsOfAllDaemonsAreSummed)
 {
     const std::vector<SliceRange> slices{{0, 99}, {100, 100}};
     LoadLedger ledger{10s};
@@ -93,7 +93,7 @@
     BOOST_TEST((ledger.merged(catalogue, slices, 0) == LoadReport{}));
 }
 
-BOOST_AUTO_TEST_CASE(metersCountAgainAfterHoursOfSilence)
+BOOST_AUTO_TEST_CASE(metersCountAgainAfterHoursWithoutRequests)
 {
     const std::vector<SliceRange> slices{{0, 99}};
     SliceMeter meter{slices, 5s, start};
@@ -106,7 +106,7 @@
         meter.add(7, later);
         keys.add(7, later);
     }
-    // Ten requests at once weigh as ten times ln 2 in a half-life.
+    // Ten simultaneous requests correspond to a rate of ten times ln 2 per half-life of 5 s.
     constexpr double expected = 10 * 0.693147 / 5;
     BOOST_TEST(std::abs(meter.loads(later).at(0).load - expected) < 1e-3);
     BOOST_TEST(std::abs(keys.report(later, 1).hitters.at(0).certainRate() - expected) < 1e-3);
--- a/tests/loadworld/loadworld.cpp
+++ b/tests/loadworld/loadsimulation.cpp
@@ -1,4 +1,4 @@
-#include "loadworld.h"
+#include "loadsimulation.h"
 
 #include <algorithm>
 #include <cmath>
@@ -10,18 +10,18 @@
 using namespace std::chrono_literals;
 
 constexpr Duration step = 5ms;
-constexpr Duration planEvery = 500ms;
-constexpr Duration sharesEvery = 600ms;
-/** For the work that runs on a range to end, and for all to hear of the commits of its move. */
-constexpr Duration moveTime = 400ms;
+constexpr Duration planInterval = 500ms;
+constexpr Duration shareInterval = 600ms;
+/** Time for running requests of a range to end, and for all daemons to learn of the move. */
+constexpr Duration moveDuration = 400ms;
 constexpr std::uint32_t slots = 3;
 constexpr std::size_t queueLimit = 12;
-/** Busy keys are next to each other: the rate falls with the place. */
-constexpr double steepness = -0.66;
-/** What a daemon may send again, of its own requests. */
+/** Busy keys are adjacent: the request rate falls with the key position by this exponent. */
+constexpr double rateExponent = -0.66;
+/** Retries that a daemon may send, as a fraction of its own requests. */
 constexpr double retryRatio = 0.15;
-constexpr int mostAttempts = 6;
-constexpr double lateWorth = 0.3;
+constexpr int maxAttempts = 6;
+constexpr double lateAnswerValue = 0.3;
 
 const ServiceName service{"s"};
 
@@ -29,18 +29,18 @@
 {
     std::vector<double> rates(keyPlaces);
     for (KeyPlace place = 0; place < keyPlaces; ++place)
-        rates[place] = std::pow(1.0 + place, steepness);
+        rates[place] = std::pow(1.0 + place, rateExponent);
     return {rates.begin(), rates.end()};
 }
 
 } // namespace
 
-double LoadResult::worth() const
+double LoadResult::relativeValue() const
 {
-    return (onTime + lateWorth * late) / std::max(1, requests);
+    return (onTime + lateAnswerValue * late) / std::max(1, requests);
 }
 
-struct LoadWorld::Daemon
+struct LoadSimulation::Daemon
 {
     ServerGauges gauges;
     ServerPicker picker{gauges, DomainName{"a"}};
@@ -52,13 +52,13 @@
     double retries = 3.0;
 };
 
-LoadWorld::LoadWorld(const LoadScenario &scenario)
+LoadSimulation::LoadSimulation(const LoadScenario &scenario)
     : m_scenario(scenario)
     , m_random(scenario.seed)
     , m_keys(keyDistribution())
     , m_assignment{service, 0, {}}
     , m_load(m_start)
-    , m_plannedServers(scenario.firstDivision == 0 ? scenario.servers : scenario.firstDivision)
+    , m_plannedServers(scenario.initialServers == 0 ? scenario.servers : scenario.initialServers)
 {
     for (std::size_t i = 0; i < scenario.servers; ++i) {
         const ServerName name{"i-" + std::to_string(i)};
@@ -70,29 +70,29 @@
     }
     for (std::size_t i = 0; i < scenario.daemons; ++i) {
         m_daemons.push_back(std::make_unique<Daemon>());
-        if (!scenario.isFirstWindowAlone)
+        if (!scenario.ignoresDaemonCount)
             m_daemons.back()->gauges.setDaemonCount(scenario.daemons);
     }
     plan();
 }
 
-LoadWorld::~LoadWorld() = default;
+LoadSimulation::~LoadSimulation() = default;
 
-LoadResult LoadWorld::run()
+LoadResult LoadSimulation::run()
 {
     Instant plannedAt = m_now;
-    Instant toldAt = m_now;
+    Instant sharesSentAt = m_now;
     while (m_now < m_start + m_scenario.length) {
         m_now += step;
         advanceServers();
         arrive();
         for (std::size_t i = 0; i < m_daemons.size(); ++i)
             dispatch(*m_daemons[i], i);
-        if (m_now - toldAt >= sharesEvery) {
-            toldAt = m_now;
-            tellShares();
+        if (m_now - sharesSentAt >= shareInterval) {
+            sharesSentAt = m_now;
+            sendShares();
         }
-        if (m_now - plannedAt >= planEvery || m_now >= m_settlesAt) {
+        if (m_now - plannedAt >= planInterval || m_now >= m_moveEndsAt) {
             plannedAt = m_now;
             plan();
         }
@@ -100,31 +100,31 @@
     return m_result;
 }
 
-void LoadWorld::arrive()
+void LoadSimulation::arrive()
 {
     const double mean = m_scenario.requestsPerSecond * std::chrono::duration<double>(step).count();
-    const int fresh = std::poisson_distribution<int>{mean}(m_random);
-    for (int i = 0; i < fresh; ++i) {
+    const int newRequests = std::poisson_distribution<int>{mean}(m_random);
+    for (int i = 0; i < newRequests; ++i) {
         ++m_result.requests;
         add(drawKey(), m_now, m_now + m_scenario.deadline, false);
     }
-    std::vector<Return> due;
-    std::erase_if(m_returns, [&](const Return &entry) {
+    std::vector<Retry> due;
+    std::erase_if(m_callerRetries, [&](const Retry &entry) {
         if (entry.at > m_now)
             return false;
         due.push_back(entry);
         return true;
     });
-    for (const Return &entry : due)
+    for (const Retry &entry : due)
         add(entry.key, entry.startedAt, entry.answerBy, true);
 }
 
-void LoadWorld::add(KeyPlace key, Instant startedAt, Instant answerBy, bool hasComeBack)
+void LoadSimulation::add(KeyPlace key, Instant startedAt, Instant answerBy, bool isRetry)
 {
     Daemon &daemon = *m_daemons[m_random() % m_daemons.size()];
     daemon.sample.keys.push_back(key);
     const std::uint64_t ticket = daemon.nextTicket++;
-    daemon.open[ticket] = {key, startedAt, answerBy, 0, hasComeBack};
+    daemon.open[ticket] = {key, startedAt, answerBy, 0, isRetry};
     daemon.retries = std::min(5.0, daemon.retries + retryRatio);
     if (m_scenario.hasShares && !daemon.gate.admits(service, key, m_random(), m_now)) {
         refuse(daemon, ticket);
@@ -136,30 +136,30 @@
     waiting.key = key;
     waiting.priority = 2;
     waiting.arrivedAt = startedAt;
-    waiting.onTimeUntil = startedAt + m_scenario.aim;
+    waiting.onTimeUntil = startedAt + m_scenario.targetLatency;
     waiting.answerBy = answerBy;
     waiting.notBefore = m_now;
     daemon.queue.add(std::move(waiting));
 }
 
-KeyPlace LoadWorld::drawKey()
+KeyPlace LoadSimulation::drawKey()
 {
     double chance = std::uniform_real_distribution{}(m_random);
     const Duration passed = m_now - m_start;
     constexpr KeyPlace between = 9'973;
     KeyPlace place = between;
-    for (const HotSpell &spell : m_scenario.hotSpells) {
+    for (const HotPeriod &period : m_scenario.hotPeriods) {
         place = (place + between) % (keyPlaces / 2);
-        if (passed < spell.from || passed >= spell.until)
+        if (passed < period.from || passed >= period.until)
             continue;
-        if (chance < spell.share)
-            return place + static_cast<KeyPlace>(m_random() % spell.keys);
-        chance -= spell.share;
+        if (chance < period.share)
+            return place + static_cast<KeyPlace>(m_random() % period.keys);
+        chance -= period.share;
     }
     return m_keys(m_random);
 }
 
-void LoadWorld::dispatch(Daemon &daemon, std::size_t index)
+void LoadSimulation::dispatch(Daemon &daemon, std::size_t index)
 {
     if (daemon.queue.size() == 0)
         return;
@@ -172,13 +172,13 @@
         refuse(daemon, request.ticket);
 }
 
-void LoadWorld::send(std::size_t daemon, std::uint64_t ticket, const ServerName &name)
+void LoadSimulation::send(std::size_t daemon, std::uint64_t ticket, const ServerName &name)
 {
     Server &server = m_servers.at(name);
     ++m_result.arrivals;
     ++m_daemons[daemon]->open.at(ticket).attempts;
     Work work{daemon, ticket, m_now, {}};
-    // A server that is full says so a moment later: its place is taken from here on.
+    // A full server rejects the request one step later; its entry counts as running until then.
     if (server.running.size() < slots)
         work.until = m_now + drawWork(server);
     else if (server.waiting.size() >= queueLimit)
@@ -189,17 +189,18 @@
         server.running.push_back(work);
 }
 
-void LoadWorld::refuse(Daemon &daemon, std::uint64_t ticket)
+void LoadSimulation::refuse(Daemon &daemon, std::uint64_t ticket)
 {
     const Request request = daemon.open.at(ticket);
     daemon.open.erase(ticket);
     const Duration pause =
         250ms + std::chrono::milliseconds{std::uniform_int_distribution{0, 500}(m_random)};
-    if (!request.hasComeBack && m_now + pause < request.answerBy)
-        m_returns.push_back({m_now + pause, request.key, request.answerBy, request.startedAt});
+    if (!request.isRetry && m_now + pause < request.answerBy)
+        m_callerRetries.push_back(
+            {m_now + pause, request.key, request.answerBy, request.startedAt});
 }
 
-void LoadWorld::advanceServers()
+void LoadSimulation::advanceServers()
 {
     for (auto &[name, server] : m_servers) {
         std::vector<Work> done;
@@ -220,7 +221,7 @@
     }
 }
 
-void LoadWorld::finish(const ServerName &name, const Work &work)
+void LoadSimulation::finish(const ServerName &name, const Work &work)
 {
     Daemon &daemon = *m_daemons[work.daemon];
     const ServerLoad load = loadOf(m_servers.at(name));
@@ -232,14 +233,14 @@
         return;
     const Request request = place->second;
     if (!isRejected) {
-        const bool isOnTime = m_now <= request.startedAt + m_scenario.aim;
+        const bool isOnTime = m_now <= request.startedAt + m_scenario.targetLatency;
         m_result.onTime += isOnTime ? 1 : 0;
         m_result.late += !isOnTime && m_now <= request.answerBy ? 1 : 0;
         daemon.open.erase(place);
         return;
     }
     ++m_result.rejectedByServers;
-    if (request.attempts >= mostAttempts || daemon.retries < 1.0) {
+    if (request.attempts >= maxAttempts || daemon.retries < 1.0) {
         refuse(daemon, work.ticket);
         return;
     }
@@ -250,26 +251,26 @@
     again.key = request.key;
     again.priority = 2;
     again.arrivedAt = request.startedAt;
-    again.onTimeUntil = request.startedAt + m_scenario.aim;
+    again.onTimeUntil = request.startedAt + m_scenario.targetLatency;
     again.answerBy = request.answerBy;
     again.notBefore = m_now + 20ms;
     daemon.queue.add(std::move(again));
 }
 
-ServerLoad LoadWorld::loadOf(const Server &server) const
+ServerLoad LoadSimulation::loadOf(const Server &server) const
 {
     return {static_cast<std::uint32_t>(std::min<std::size_t>(slots, server.running.size())),
             static_cast<std::uint32_t>(server.waiting.size()), slots};
 }
 
-Duration LoadWorld::drawWork(const Server &server)
+Duration LoadSimulation::drawWork(const Server &server)
 {
     const double factor = server.slowness * std::uniform_real_distribution{0.4, 1.6}(m_random);
     return Duration{
         static_cast<std::int64_t>(static_cast<double>(m_scenario.workTime.count()) * factor)};
 }
 
-std::vector<KeyServer> LoadWorld::planned() const
+std::vector<KeyServer> LoadSimulation::planned() const
 {
     std::vector<KeyServer> servers;
     for (std::size_t i = 0; i < std::min(m_plannedServers, m_names.size()); ++i) {
@@ -279,11 +280,11 @@
     return servers;
 }
 
-/** A round of the planner; what it moves is settled before the next one. */
-void LoadWorld::plan()
+/** Runs one round of the planner. The moves of a round end before the next one. */
+void LoadSimulation::plan()
 {
-    if (m_now >= m_settlesAt) {
-        m_settlesAt = Instant::max();
+    if (m_now >= m_moveEndsAt) {
+        m_moveEndsAt = Instant::max();
         ++m_assignment.sequence;
         for (OwnedRange &owned : m_assignment.ranges) {
             owned.previous = {};
@@ -291,13 +292,13 @@
         }
     } else if (const auto next = KeyPlanner::plan(m_assignment, planned(), m_load.traffic(m_now))) {
         m_assignment = *next;
-        m_settlesAt = m_now + moveTime;
-        m_plannedServers += m_scenario.joinEachRound;
+        m_moveEndsAt = m_now + moveDuration;
+        m_plannedServers += m_scenario.serversPerRound;
     }
     m_state.assignments[service] = std::make_shared<const KeyAssignment>(m_assignment);
 }
 
-void LoadWorld::tellShares()
+void LoadSimulation::sendShares()
 {
     for (const auto &daemon : m_daemons) {
         daemon->sample.work = daemon->gauges.takeWork();
--- a/tests/loadworld/loadworld.h
+++ b/tests/loadworld/loadsimulation.h
@@ -15,38 +15,38 @@
 
 namespace bulrush::test {
 
-/** A time in which a part of all requests is for a few keys. */
-struct HotSpell
+/** Period in which a part of all requests is for a few keys. */
+struct HotPeriod
 {
     Duration from;
     Duration until;
-    /** Of all requests, and of how many keys next to each other. */
+    /** Fraction of all requests, and the number of adjacent keys that receive them. */
     double share = 0.0;
     KeyPlace keys = 1;
 };
 
-/** What is played. */
+/** Parameters of a simulation. */
 struct LoadScenario
 {
     std::size_t daemons = 89;
     std::size_t servers = 245;
     double requestsPerSecond = 1350.0;
     Duration workTime = std::chrono::milliseconds{330};
-    Duration aim = std::chrono::milliseconds{1200};
+    Duration targetLatency = std::chrono::milliseconds{1200};
     Duration deadline = std::chrono::seconds{5};
     Duration length = std::chrono::seconds{16};
-    std::vector<HotSpell> hotSpells;
+    std::vector<HotPeriod> hotPeriods;
     std::uint64_t seed = 1;
-    /** Servers that the first division reaches, and how many more each round; 0: all. */
-    std::size_t firstDivision = 0;
-    std::size_t joinEachRound = 0;
-    /** Whether daemons begin with as much work at a server as if each were alone. */
-    bool isFirstWindowAlone = false;
-    /** Whether shares of hot keys are told. */
+    /** Servers in the first key assignment, and how many join in each round; 0 means all. */
+    std::size_t initialServers = 0;
+    std::size_t serversPerRound = 0;
+    /** Whether each daemon chooses its initial window as if it were the only one. */
+    bool ignoresDaemonCount = false;
+    /** Whether the planner sends shares of hot keys to the daemons. */
     bool hasShares = true;
 };
 
-/** What callers got. */
+/** Results from the callers' point of view. */
 struct LoadResult
 {
     int requests = 0;
@@ -55,23 +55,24 @@
     int rejectedByServers = 0;
     int arrivals = 0;
 
-    /** \returns the worth of the answers by what it would have been with all on time. */
-    double worth() const;
+    /** \returns the value of the answers relative to that of all answers on time. */
+    double relativeValue() const;
 };
 
 /**
- * One service that is divided by key, under load in virtual time: daemons with their own queues and
- * gauges, servers with slots, a queue and unlike speeds that reject what they can't queue, and a
- * planner that counts keys, moves them and tells shares. Decisions are the product's own; the model
- * stands for network and servers only. Callers who are refused come back once. Not thread safe.
+ * Simulates the load of one service that is divided by key, in virtual time. Daemons have their own
+ * queues and gauges. Servers have slots, a queue and different speeds, and reject requests that
+ * exceed the queue. A planner counts keys, moves them and sends shares. The decisions are those of
+ * the production code; only the network and the servers are modelled. Callers retry once after a
+ * refusal. Not thread safe.
  */
-class LoadWorld
+class LoadSimulation
 {
 public:
-    explicit LoadWorld(const LoadScenario &scenario);
-    ~LoadWorld();
+    explicit LoadSimulation(const LoadScenario &scenario);
+    ~LoadSimulation();
 
-    /** Plays the scenario to its end. */
+    /** Runs the scenario to its end. */
     LoadResult run();
 
 private:
@@ -81,7 +82,7 @@
         Instant startedAt;
         Instant answerBy;
         int attempts = 0;
-        bool hasComeBack = false;
+        bool isRetry = false;
     };
     struct Work
     {
@@ -97,7 +98,7 @@
         std::deque<Work> waiting;
     };
     struct Daemon;
-    struct Return
+    struct Retry
     {
         Instant at;
         KeyPlace key;
@@ -106,7 +107,7 @@
     };
 
     void arrive();
-    void add(KeyPlace key, Instant startedAt, Instant answerBy, bool hasComeBack);
+    void add(KeyPlace key, Instant startedAt, Instant answerBy, bool isRetry);
     KeyPlace drawKey();
     void dispatch(Daemon &daemon, std::size_t index);
     void send(std::size_t daemon, std::uint64_t ticket, const ServerName &server);
@@ -116,7 +117,7 @@
     ServerLoad loadOf(const Server &server) const;
     Duration drawWork(const Server &server);
     void plan();
-    void tellShares();
+    void sendShares();
     std::vector<KeyServer> planned() const;
 
     LoadScenario m_scenario;
@@ -129,10 +130,10 @@
     std::discrete_distribution<KeyPlace> m_keys;
     RoutingState m_state;
     KeyAssignment m_assignment;
-    Instant m_settlesAt = Instant::max();
+    Instant m_moveEndsAt = Instant::max();
     ServiceLoad m_load;
     std::size_t m_plannedServers = 0;
-    std::vector<Return> m_returns;
+    std::vector<Retry> m_callerRetries;
     LoadResult m_result;
 };
 
--- a/tests/timerservice/test_timerservice.cpp
+++ b/tests/timerservice/test_timerservice.cpp
@@ -9,7 +9,7 @@
 using namespace bulrush;
 using namespace std::chrono_literals;
 
-BOOST_AUTO_TEST_CASE(firesInOrderOfDueThenOfSubscription)
+BOOST_AUTO_TEST_CASE(firesInOrderOfDueTimeThenSubscription)
 {
     TimerService timers;
     std::vector<int> fired;
@@ -24,7 +24,7 @@
     BOOST_TEST(!timers.nextDue().has_value());
 }
 
-BOOST_AUTO_TEST_CASE(cancelledSubscriptionStaysSilent)
+BOOST_AUTO_TEST_CASE(cancelledSubscriptionDoesNotFire)
 {
     TimerService timers;
     bool hasFired = false;
