--- a/src/libbulrush/process/latencyhistogram.h
+++ b/src/libbulrush/process/latencyhistogram.h
@@ -26,7 +26,7 @@
 
     LatencyHistogram();
 
-    /** \returns the histogram with the bins \a counts, or nothing if their number is wrong. */
+    /** \returns the histogram with the bins \a counts, or nothing if there are not binCount. */
     static std::optional<LatencyHistogram> fromCounts(std::span<const std::uint64_t> counts);
 
     void record(Duration latency);
--- a/src/libbulrush/process/servergauges.cpp
+++ b/src/libbulrush/process/servergauges.cpp
@@ -44,9 +44,9 @@
         * std::exp2(-static_cast<double>(age.count()) / static_cast<double>(rateHalfLife.count()));
 }
 
-double ratio(Duration part, Duration whole)
+double ratio(Duration part, Duration total)
 {
-    return static_cast<double>(part.count()) / static_cast<double>(whole.count());
+    return static_cast<double>(part.count()) / static_cast<double>(total.count());
 }
 
 } // namespace
--- a/tests/crashes/test_crashledger.cpp
+++ b/tests/crashes/test_crashledger.cpp
@@ -42,8 +42,8 @@
     void reportCrash(std::size_t index, const RequestFingerprint &request,
                      const ServerName &crashed)
     {
-        const Quarantine known = quarantineAt(index);
-        const auto after = known.endedUnder(request);
+        const Quarantine quarantine = quarantineAt(index);
+        const auto after = quarantine.endedUnder(request);
         const CrashReport report{request, crashed, {after.begin(), after.end()}};
         at(index).reported({&report, 1}, now);
         replicate();
@@ -81,8 +81,8 @@
     Quarantine quarantineAt(std::size_t index)
     {
         if (const auto next = at(index).changed(now))
-            known[index] = *next;
-        return known[index];
+            quarantines[index] = *next;
+        return quarantines[index];
     }
 
     bool isBlockedEverywhere(const RequestFingerprint &request)
@@ -100,7 +100,7 @@
     Instant now{100s};
     std::map<HostName, CrashLedger> registries;
     std::map<HostName, std::pair<std::uint64_t, CrashRow>> rows;
-    std::map<std::size_t, Quarantine> known;
+    std::map<std::size_t, Quarantine> quarantines;
     std::uint64_t version = 0;
     int writes = 0;
 };
@@ -186,7 +186,7 @@
         reportCrash(0, bad, server(i));
     for (const HostName &host : hosts)
         registries.at(host) = CrashLedger{host};
-    known.clear();
+    quarantines.clear();
     replicate();
     BOOST_TEST(isBlockedEverywhere(bad));
     for (const HostName &host : hosts)
--- a/tests/crashes/test_crashworld.cpp
+++ b/tests/crashes/test_crashworld.cpp
@@ -44,7 +44,7 @@
 
         HostName name;
         CrashLedger registry;
-        Quarantine known;
+        Quarantine quarantine;
         AnsweredRequests answeredRequests{Instant{100s}};
         /** Last received version of each row, by writer. */
         std::vector<std::uint64_t> receivedVersions;
@@ -98,7 +98,8 @@
     bool isHeldBack(const RequestFingerprint &request, std::size_t index) const
     {
         const Host &host = hosts[index];
-        const RequestPassage admission = passageOf(request, host.known, host.answeredRequests, now);
+        const RequestPassage admission =
+            passageOf(request, host.quarantine, host.answeredRequests, now);
         if (admission != RequestPassage::OneAtATime)
             return admission != RequestPassage::Free;
         return std::ranges::any_of(inFlight, [&](const Work &work) {
@@ -134,7 +135,7 @@
             ++refused[request];
             return;
         }
-        const auto after = hosts[host].known.endedUnder(request);
+        const auto after = hosts[host].quarantine.endedUnder(request);
         if (attempt > 1 && !after.empty())
             return;
         const std::size_t server = randomIndex(servers.size());
@@ -205,7 +206,7 @@
             ++writes;
         }
         if (const auto update = host.registry.changed(now))
-            host.known = *update;
+            host.quarantine = *update;
     }
 
     void receiveRows(std::size_t index)
@@ -234,7 +235,7 @@
                 host.registry.rowSeen(hosts[from].name, rows[from].version, rows[from].row, now);
         }
         host.registry.rowsSeen();
-        host.known = {};
+        host.quarantine = {};
         advance(index);
     }
 
@@ -354,7 +355,7 @@
                    "seed " << seed << ": " << simulation.refused[popular] << " refused");
         const bool isBlocked =
             std::ranges::any_of(simulation.hosts, [](const Simulation::Host &host) {
-                return host.known.blocks(popular);
+                return host.quarantine.blocks(popular);
             });
         BOOST_TEST(!isBlocked, "seed " << seed);
     }
