--- a/src/libbulrushentry/crashcontrol.cpp
+++ b/src/libbulrushentry/crashcontrol.cpp
@@ -30,7 +30,7 @@
 
 } // namespace
 
-CrashControl::CrashControl(const FollowParts &parts, const HostName &self,
+CrashControl::CrashControl(const FollowerDependencies &parts, const HostName &self,
                            QuarantineHandler publish)
     : m_store(parts.store)
     , m_plan(parts.plan)
@@ -46,7 +46,7 @@
         if (row.key.starts_with(crashPrefix))
             takeRow(row, now);
     }
-    if (change.isWhole)
+    if (change.isComplete)
         noteMissing(change, now);
     m_ledger.rowsSeen();
     advance(now);
--- a/src/libbulrushentry/crashcontrol.h
+++ b/src/libbulrushentry/crashcontrol.h
@@ -23,7 +23,8 @@
     using QuarantineHandler = std::function<void(std::shared_ptr<const Quarantine>)>;
 
     /** \pre the parts outlive this object and its calls */
-    CrashControl(const FollowParts &parts, const HostName &self, QuarantineHandler publish);
+    CrashControl(const FollowerDependencies &parts, const HostName &self,
+                 QuarantineHandler publish);
 
     CrashControl(const CrashControl &) = delete;
     CrashControl &operator=(const CrashControl &) = delete;
--- a/src/libbulrushentry/entrydaemon.cpp
+++ b/src/libbulrushentry/entrydaemon.cpp
@@ -62,20 +62,20 @@
     , m_timers(m_loop)
     , m_client(m_loop)
     , m_store(m_client, m_settings.store)
-    , m_relay(m_client, [this] { return m_keys.peers(); })
+    , m_rowsClient(m_client, [this] { return m_keys.peers(); })
     , m_worker(m_settings, m_counters)
     , m_plan(m_settings.host, m_settings.domain, io::hostNow())
     , m_state(
-          followParts(),
+          followerDependencies(),
           {DrainBudget{m_settings.serverDrain}, ConfigBudget{m_settings.configInForce}},
           [this](std::shared_ptr<const RoutingState> state) {
               m_worker.setState(std::move(state));
           },
           [this](const RoutingKnowledge &knowledge) { m_worker.setKnowledge(knowledge); })
-    , m_keys({followParts(), m_client, m_state},
+    , m_keys({followerDependencies(), m_client, m_state},
              {m_settings.host, newIncarnation(m_settings.host), m_settings.domain, m_settings.peers,
               patienceOf(m_settings), m_settings.processors})
-    , m_crashes(followParts(), m_settings.host,
+    , m_crashes(followerDependencies(), m_settings.host,
                 [this](std::shared_ptr<const Quarantine> quarantine) {
                     m_worker.setQuarantine(std::move(quarantine));
                 })
@@ -85,9 +85,9 @@
 
 EntryDaemon::~EntryDaemon() = default;
 
-FollowParts EntryDaemon::followParts()
+FollowerDependencies EntryDaemon::followerDependencies()
 {
-    return {m_store, m_timers, m_relay, m_storeClock, m_plan, m_followers};
+    return {m_store, m_timers, m_rowsClient, m_storeClock, m_plan, m_followers};
 }
 
 EntryEnd EntryDaemon::run()
--- a/src/libbulrushentry/entrydaemon.h
+++ b/src/libbulrushentry/entrydaemon.h
@@ -48,7 +48,7 @@
     EntryEnd run();
 
 private:
-    FollowParts followParts();
+    FollowerDependencies followerDependencies();
     std::error_code listen();
     std::unique_ptr<io::CallerServer> pagesAt(const Endpoint &address);
     void printAddresses() const;
@@ -73,7 +73,7 @@
     io::ServerClient m_client;
     platform::StoreClient m_store;
     StoreCalls m_storeCalls;
-    RowsRelay m_relay;
+    RowsClient m_rowsClient;
     StoreClock m_storeClock;
     ForwardWorker m_worker;
     FollowPlan m_plan;
--- a/src/libbulrushentry/followergroup.cpp
+++ b/src/libbulrushentry/followergroup.cpp
@@ -12,29 +12,29 @@
     m_followers.push_back(&follower);
 }
 
-void FollowerGroup::setPublishedHandler(PublishedHandler handler)
+void FollowerGroup::setChangeHandler(ChangeHandler handler)
 {
-    m_published = std::move(handler);
+    m_changeHandler = std::move(handler);
 }
 
-void FollowerGroup::published() const
+void FollowerGroup::notifyChanged() const
 {
-    if (m_published)
-        m_published();
+    if (m_changeHandler)
+        m_changeHandler();
 }
 
-void FollowerGroup::storeSilent(const TableFollower &witness)
+void FollowerGroup::handleStoreTimeout(const TableFollower &reporter)
 {
     for (TableFollower *follower : m_followers) {
-        if (follower != &witness)
-            follower->askAnew();
+        if (follower != &reporter)
+            follower->rereadFromStore();
     }
 }
 
-void FollowerGroup::noteStoreVersion(std::uint64_t version, Instant givenAt)
+void FollowerGroup::applyStoreVersion(std::uint64_t version, Instant givenAt)
 {
     for (TableFollower *follower : m_followers)
-        follower->noteStoreVersion(version, givenAt);
+        follower->applyStoreVersion(version, givenAt);
 }
 
 bool FollowerGroup::isConfirming(Instant now) const
@@ -45,7 +45,7 @@
 
 bool FollowerGroup::isServing() const
 {
-    return std::ranges::none_of(m_followers, &TableFollower::isCutOff);
+    return std::ranges::none_of(m_followers, &TableFollower::isFailing);
 }
 
 } // namespace bulrush
--- a/src/libbulrushentry/followergroup.h
+++ b/src/libbulrushentry/followergroup.h
@@ -11,41 +11,40 @@
 class TableFollower;
 
 /**
- * The followers of one daemon. A wait for changes that got lost shows only once it takes too long,
- * which is soon for one table and late for another: whoever notices has the others ask anew.
+ * The followers of one daemon. A lost wait for changes is detected only when it times out, and the
+ * timeouts differ between tables: the first follower to detect it makes the others ask again.
  *
  * Used on the control thread.
  */
 class FollowerGroup
 {
 public:
-    /** Told whenever rows may have changed, or are known anew, or are no longer served. */
-    using PublishedHandler = std::function<void()>;
+    /** Called when rows may have changed, were confirmed, or are no longer served. */
+    using ChangeHandler = std::function<void()>;
 
-    /** Sets who is told. */
-    void setPublishedHandler(PublishedHandler handler);
+    void setChangeHandler(ChangeHandler handler);
 
     /** Adds \a follower, which outlives all calls of this object. */
     void add(TableFollower &follower);
 
-    /** Tells that one of them may serve other rows than before. */
-    void published() const;
+    /** Calls the change handler: a follower may serve different rows than before. */
+    void notifyChanged() const;
 
-    /** Has all but \a witness, whose call got no answer, ask the store anew. */
-    void storeSilent(const TableFollower &witness);
+    /** Makes all followers but \a reporter, whose call got no answer, read from the store again. */
+    void handleStoreTimeout(const TableFollower &reporter);
 
-    /** Tells all that the store was at \a version, which all tables share, at \a givenAt. */
-    void noteStoreVersion(std::uint64_t version, Instant givenAt);
+    /** Passes on that the store was at \a version, which all tables share, at \a givenAt. */
+    void applyStoreVersion(std::uint64_t version, Instant givenAt);
 
-    /** \returns whether one of them asks the store if what it knows still holds. */
+    /** \returns whether a follower is waiting for the store to confirm its rows. */
     bool isConfirming(Instant now) const;
 
-    /** \returns whether all of them have somebody who tells them of rows. */
+    /** \returns whether every follower has a working source of rows. */
     bool isServing() const;
 
 private:
     std::vector<TableFollower *> m_followers;
-    PublishedHandler m_published;
+    ChangeHandler m_changeHandler;
 };
 
 } // namespace bulrush
--- a/src/libbulrushentry/keycontrol.cpp
+++ b/src/libbulrushentry/keycontrol.cpp
@@ -26,8 +26,8 @@
  * all is well: well below the time that the right to renew lasts. What is committed within the
  * pause comes in one answer.
  */
-constexpr FollowPace rowsPace{std::chrono::seconds{10}, std::chrono::milliseconds{100},
-                              std::chrono::milliseconds{1000}};
+constexpr FollowTimings ownershipTimings{std::chrono::seconds{10}, std::chrono::milliseconds{100},
+                                         std::chrono::milliseconds{1000}};
 
 /** Servers that no connection came about to are tried again after this. */
 constexpr Duration connectEvery = std::chrono::milliseconds{250};
@@ -95,21 +95,21 @@
 } // namespace
 
 KeyControl::KeyControl(Parts parts, const KeySelf &self)
-    : m_parts(parts)
+    : m_deps(parts)
     , m_host(self.host)
     , m_coordinator(self, io::hostNow())
-    , m_rows(parts.follow, std::string{platform::ownershipTable}, rowsPace)
+    , m_rows(parts.follow, std::string{platform::ownershipTable}, ownershipTimings)
 { }
 
 void KeyControl::start()
 {
-    m_parts.servers.setLinkHandler(
+    m_deps.servers.setLinkHandler(
         [this](const std::string &run, io::ServerClient::Link link) { linkChanged(run, link); });
     // A server that was just seen is connected to before keys are planned for it.
-    m_parts.state.setServersHandler([this] { connectServers(); });
+    m_deps.state.setServersHandler([this] { connectServers(); });
     // Its rows tell whom to follow.
-    m_rows.startAtStore([this](const TableChange &change) { takeRows(change); },
-                        [this](Instant givenAt) { m_coordinator.storeAnswered(givenAt); });
+    m_rows.startWithStore([this](const TableChange &change) { takeRows(change); },
+                          [this](Instant givenAt) { m_coordinator.storeAnswered(givenAt); });
 }
 
 void KeyControl::setRowsHandler(RowsHandler handler)
@@ -156,7 +156,7 @@
     const Instant now = io::hostNow();
     const auto &told = question.assignment;
     if (told && m_coordinator.assignmentSeen(*told, question.version, now))
-        m_parts.state.setAssignment(*told);
+        m_deps.state.setAssignment(*told);
     return m_coordinator.answerOn(question.service, question.servers, now);
 }
 
@@ -167,7 +167,7 @@
 
 bool KeyControl::isStoreReached() const
 {
-    return m_rows.hasRows() && !m_rows.isCutOff();
+    return m_rows.hasRows() && !m_rows.isFailing();
 }
 
 void KeyControl::addLoads(std::span<const LoadSample> samples)
@@ -175,13 +175,13 @@
     m_coordinator.addLoads(samples, io::hostNow());
     for (const LoadSample &sample : samples) {
         for (const ServerName &server : sample.ended)
-            m_parts.state.noteEnded(server);
+            m_deps.state.noteEnded(server);
     }
 }
 
 const std::vector<KeyShares> &KeyControl::keyShares()
 {
-    return m_coordinator.keyShares(m_parts.state.directory(), io::hostNow());
+    return m_coordinator.keyShares(m_deps.state.directory(), io::hostNow());
 }
 
 void KeyControl::advance(Instant now)
@@ -191,10 +191,10 @@
         connectServers();
     }
     const std::vector<KeyAction> actions =
-        m_coordinator.advance(m_parts.state.directory(), keyedServices(m_parts.state), now);
+        m_coordinator.advance(m_deps.state.directory(), keyedServices(m_deps.state), now);
     logPlanning();
     for (const KeyAction &action : actions)
-        std::visit([this](const auto &known) { carryOut(known); }, action);
+        std::visit([this](const auto &known) { execute(known); }, action);
 }
 
 void KeyControl::takeRows(const TableChange &change)
@@ -212,14 +212,14 @@
             takeDaemon(row, now);
         }
     }
-    if (change.isWhole)
+    if (change.isComplete)
         noteMissing(change, hasPlanner, now);
     m_coordinator.rowsSeen(change.version);
-    m_parts.state.setDaemonCount(peers().size() + 1);
+    m_deps.state.setDaemonCount(peers().size() + 1);
     std::vector<Renewer> daemons;
     for (const auto &[host, renewer] : m_coordinator.renewers().renewers())
         daemons.push_back(renewer);
-    m_parts.follow.plan.setDaemons(daemons);
+    m_deps.follow.plan.setDaemons(daemons);
     if (m_rowsTaken)
         m_rowsTaken(change);
     advance(now);
@@ -231,7 +231,7 @@
     if (!assignment)
         io::logEvent(LogLevel::Error, "assignment-unreadable", {{"row", row.key}});
     else if (m_coordinator.assignmentSeen(*assignment, row.version, now))
-        m_parts.state.setAssignment(*assignment);
+        m_deps.state.setAssignment(*assignment);
 }
 
 void KeyControl::takeDaemon(const platform::StoreRow &row, Instant now)
@@ -258,19 +258,19 @@
     }
 }
 
-void KeyControl::carryOut(const WritePlannerRow &action)
+void KeyControl::execute(const WritePlannerRow &action)
 {
     platform::StoreCommit commit{std::string{platform::ownershipTable}, {}};
     commit.writes.push_back({std::string{plannerKey}, action.write.expectedVersion,
                              io::encodePlannerRow(action.write.row)});
-    m_parts.follow.store.commit(commit, [this](const platform::CommitOutcome &outcome) {
+    m_deps.follow.store.commit(commit, [this](const platform::CommitOutcome &outcome) {
         const Instant now = io::hostNow();
         m_coordinator.plannerRowWritten(rowWriteEndOf(outcome.error), outcome.version, now);
         advance(now);
     });
 }
 
-void KeyControl::carryOut(const CommitKeyAssignment &action)
+void KeyControl::execute(const CommitKeyAssignment &action)
 {
     platform::StoreCommit commit{std::string{platform::ownershipTable}, {}};
     // Whoever lost the lease can't commit, whatever it believes.
@@ -278,10 +278,10 @@
         {std::string{plannerKey}, action.plannerVersion, {}, platform::RowChange::None});
     commit.writes.push_back({assignmentKey(action.next.service), action.expectedVersion,
                              io::encodeAssignment(action.next)});
-    m_parts.follow.store.commit(commit,
-                                [this, next = action.next](const platform::CommitOutcome &outcome) {
-                                    committed(next, outcome);
-                                });
+    m_deps.follow.store.commit(commit,
+                               [this, next = action.next](const platform::CommitOutcome &outcome) {
+                                   committed(next, outcome);
+                               });
 }
 
 void KeyControl::committed(const KeyAssignment &next, const platform::CommitOutcome &outcome)
@@ -297,11 +297,11 @@
                   {"row", std::to_string(outcome.version)},
                   {"error", errorText(outcome.error)}});
     if (m_coordinator.assignmentCommitted(next, rowWriteEndOf(outcome.error), outcome.version, now))
-        m_parts.state.setAssignment(next);
+        m_deps.state.setAssignment(next);
     advance(now);
 }
 
-void KeyControl::carryOut(const SendGrant &action)
+void KeyControl::execute(const SendGrant &action)
 {
     const auto [queue, isFree] = m_grants.try_emplace(action.address);
     if (std::ranges::find(queue->second, action.owned, &SendGrant::owned) != queue->second.end())
@@ -316,7 +316,7 @@
 {
     std::vector<SendGrant> &queue = m_grants[address];
     const Instant now = io::hostNow();
-    const ServerDirectory &servers = m_parts.state.directory();
+    const ServerDirectory &servers = m_deps.state.directory();
     while (!queue.empty() && !m_coordinator.isStillDue(queue.front(), servers, now))
         queue.erase(queue.begin());
     if (queue.empty()) {
@@ -329,7 +329,7 @@
     call.timeout = KeyTimings{}.grantCall;
     call.acknowledgeWithin = KeyTimings{}.grantCall;
     m_coordinator.grantSent(grant, now);
-    m_parts.servers.send(std::move(call), [this, grant](const io::HttpResult &result) {
+    m_deps.servers.send(std::move(call), [this, grant](const io::HttpResult &result) {
         granted(grant, result);
         sendNextGrant(grant.address);
     });
@@ -349,7 +349,7 @@
     logGrant(grant, answer);
     // Its record lapses later; its keys need not wait for that.
     if (isReplaced)
-        m_parts.state.noteEnded(grant.owned.owner);
+        m_deps.state.noteEnded(grant.owned.owner);
 }
 
 void KeyControl::linkChanged(const std::string &run, io::ServerClient::Link link)
@@ -365,29 +365,28 @@
 /** Grants go over connections that were there before, see KeyRenewal. */
 void KeyControl::connectServers()
 {
-    const ServerDirectory &servers = m_parts.state.directory();
+    const ServerDirectory &servers = m_deps.state.directory();
     for (const ServerName &id :
-         m_coordinator.serversToConnect(servers, keyedServices(m_parts.state))) {
+         m_coordinator.serversToConnect(servers, keyedServices(m_deps.state))) {
         io::ServerCall like;
         like.server = servers.find(id)->record.address;
         like.run = id.value();
         like.acknowledgeWithin = KeyTimings{}.grantCall;
-        m_parts.servers.keepConnected(like);
+        m_deps.servers.keepConnected(like);
     }
 }
 
-void KeyControl::carryOut(const SendRelease &action)
+void KeyControl::execute(const SendRelease &action)
 {
     io::ServerCall call = platform::releaseCall(action.address, action.owned.previous,
                                                 action.owned.range, action.owned.fence);
     call.timeout = releaseTimeout;
     call.acknowledgeWithin = KeyTimings{}.grantCall;
-    m_parts.servers.send(std::move(call), [this, action](const io::HttpResult &result) {
-        released(action, result);
-    });
+    m_deps.servers.send(std::move(call),
+                        [this, action](const io::HttpResult &result) { released(action, result); });
 }
 
-void KeyControl::carryOut(const AskRenewer &action)
+void KeyControl::execute(const AskRenewer &action)
 {
     const KeyAssignment *known = m_coordinator.assignment(action.service);
     if (!known)
@@ -404,7 +403,7 @@
     }
     call.body = std::make_shared<const std::string>(io::encodeQuestion(question));
     call.timeout = KeyMoves::askAgain;
-    m_parts.servers.send(std::move(call), [this](const io::HttpResult &result) {
+    m_deps.servers.send(std::move(call), [this](const io::HttpResult &result) {
         const auto answer = io::decodeAnswer(result.error ? "" : result.response.body);
         if (!answer)
             return; // it is asked again, or reckoned with as silent
@@ -414,14 +413,14 @@
     });
 }
 
-void KeyControl::carryOut(const WriteDaemonRow &action)
+void KeyControl::execute(const WriteDaemonRow &action)
 {
     platform::StoreCommit commit{std::string{platform::ownershipTable}, {}};
     commit.writes.push_back(
         {daemonKey(m_host), action.expectedVersion,
          action.row ? io::encodeDaemonRow(*action.row) : std::string{},
          action.row ? platform::RowChange::Write : platform::RowChange::Remove});
-    m_parts.follow.store.commit(commit, [this](const platform::CommitOutcome &outcome) {
+    m_deps.follow.store.commit(commit, [this](const platform::CommitOutcome &outcome) {
         if (outcome.error)
             io::logEvent(LogLevel::Warning, "own-row-not-written",
                          {{"error", outcome.error.message()}});
@@ -430,7 +429,7 @@
     });
 }
 
-void KeyControl::carryOut(const RemoveDaemonRows &action)
+void KeyControl::execute(const RemoveDaemonRows &action)
 {
     platform::StoreCommit commit{std::string{platform::ownershipTable}, {}};
     // A daemon that lost the planner's lease judges nobody any more.
@@ -442,7 +441,7 @@
             {daemonKey(row.host), row.version, {}, platform::RowChange::Remove});
         hosts += (hosts.empty() ? "" : ",") + row.host.value();
     }
-    m_parts.follow.store.commit(commit, [this, hosts](const platform::CommitOutcome &outcome) {
+    m_deps.follow.store.commit(commit, [this, hosts](const platform::CommitOutcome &outcome) {
         io::logEvent(LogLevel::Warning, "lost-daemons-removed",
                      {{"hosts", hosts}, {"error", errorText(outcome.error)}});
         m_coordinator.daemonRowsRemoved(rowWriteEndOf(outcome.error), io::hostNow());
@@ -462,7 +461,7 @@
     const Instant now = io::hostNow();
     m_coordinator.released(release, answer.handover, now);
     advance(now);
-    m_parts.follow.timers.after(KeyMoves::settleTogether, [this](Instant due) { advance(due); });
+    m_deps.follow.timers.after(KeyMoves::settleTogether, [this](Instant due) { advance(due); });
 }
 
 void KeyControl::logPlanning()
--- a/src/libbulrushentry/keycontrol.h
+++ b/src/libbulrushentry/keycontrol.h
@@ -27,7 +27,7 @@
 
     struct Parts
     {
-        FollowParts follow;
+        FollowerDependencies follow;
         io::ServerClient &servers;
         StatePublisher &state;
     };
@@ -83,13 +83,13 @@
     void takeAssignment(const platform::StoreRow &row, Instant now);
     void takeDaemon(const platform::StoreRow &row, Instant now);
     void noteMissing(const TableChange &change, bool hasPlanner, Instant now);
-    void carryOut(const WritePlannerRow &action);
-    void carryOut(const CommitKeyAssignment &action);
-    void carryOut(const SendGrant &action);
-    void carryOut(const SendRelease &action);
-    void carryOut(const AskRenewer &action);
-    void carryOut(const WriteDaemonRow &action);
-    void carryOut(const RemoveDaemonRows &action);
+    void execute(const WritePlannerRow &action);
+    void execute(const CommitKeyAssignment &action);
+    void execute(const SendGrant &action);
+    void execute(const SendRelease &action);
+    void execute(const AskRenewer &action);
+    void execute(const WriteDaemonRow &action);
+    void execute(const RemoveDaemonRows &action);
     void committed(const KeyAssignment &next, const platform::CommitOutcome &outcome);
     void sendNextGrant(const Endpoint &address);
     void linkChanged(const std::string &run, io::ServerClient::Link link);
@@ -98,7 +98,7 @@
     void released(const SendRelease &release, const io::HttpResult &result);
     void logPlanning();
 
-    Parts m_parts;
+    Parts m_deps;
     HostName m_host;
     KeyCoordinator m_coordinator;
     TableFollower m_rows;
--- a/src/libbulrushentry/knownrows.cpp
+++ b/src/libbulrushentry/knownrows.cpp
@@ -5,21 +5,21 @@
 
 namespace bulrush {
 
-void KnownRows::takeAll(const platform::RowsOutcome &all, bool isAfterOutage)
+void KnownRows::replaceAll(const platform::RowsOutcome &all, bool isAfterOutage)
 {
     m_rows.clear();
     m_removed.clear();
     m_removedSince = all.version;
     m_isAfterOutage = isAfterOutage;
-    takeChanges(all);
+    applyChanges(all);
 }
 
-void KnownRows::takeChanges(const platform::RowsOutcome &changes)
+void KnownRows::applyChanges(const platform::RowsOutcome &changes)
 {
     m_version = std::max(m_version, changes.version);
-    m_areKnown = true;
+    m_isLoaded = true;
     put(changes.rows);
-    if (m_removed.size() > mostRemoved) {
+    if (m_removed.size() > maxRemoved) {
         m_removed.clear();
         m_removedSince = m_version;
     }
@@ -37,13 +37,13 @@
     }
 }
 
-void KnownRows::bringUpToDate(platform::RowsOutcome &all) const
+void KnownRows::mergeLaterChanges(platform::RowsOutcome &all) const
 {
     if (all.version >= m_version)
         return;
     RelayedRows known = since(all.version);
     all.version = known.version;
-    if (known.isWhole) {
+    if (known.isComplete) {
         all.rows = std::move(known.rows);
         return;
     }
@@ -57,19 +57,19 @@
 
 RelayedRows KnownRows::since(std::uint64_t version) const
 {
-    RelayedRows told;
-    told.version = m_version;
-    told.isWhole = version < m_removedSince;
-    told.isAfterOutage = told.isWhole && m_isAfterOutage;
+    RelayedRows result;
+    result.version = m_version;
+    result.isComplete = version < m_removedSince;
+    result.isAfterOutage = result.isComplete && m_isAfterOutage;
     for (const platform::StoreRow &row : m_removed) {
-        if (!told.isWhole && row.version > version)
-            told.rows.push_back(row);
+        if (!result.isComplete && row.version > version)
+            result.rows.push_back(row);
     }
     for (const auto &[key, row] : m_rows) {
-        if (told.isWhole || row.version > version)
-            told.rows.push_back(row);
+        if (result.isComplete || row.version > version)
+            result.rows.push_back(row);
     }
-    return told;
+    return result;
 }
 
 } // namespace bulrush
--- a/src/libbulrushentry/knownrows.h
+++ b/src/libbulrushentry/knownrows.h
@@ -12,51 +12,54 @@
 namespace bulrush {
 
 /**
- * The rows of one table as a daemon knows them, up to a version of the store, and those that were
- * removed lately, so that others can be told what has changed since a version that they know.
+ * The rows of one table at a version of the store, together with the rows that were removed lately,
+ * so that the changes since an earlier version can be computed for other daemons.
  *
  * Not thread safe.
  */
 class KnownRows
 {
 public:
-    /** Removed rows that are remembered. */
-    static constexpr std::size_t mostRemoved = 1000;
+    /** Maximum number of removed rows that are kept. */
+    static constexpr std::size_t maxRemoved = 1000;
 
-    /** \returns whether any rows were taken in, be it none at all. */
-    bool areKnown() const;
+    /** \returns whether rows were applied, even if the table was empty. */
+    bool isLoaded() const;
 
-    /** \returns the version of the store up to which the rows are known; 0 if they are not. */
+    /** \returns the store version of the rows; 0 if none were applied. */
     std::uint64_t version() const;
 
-    /** Takes in all rows that there are. \pre they are not older than what is known */
-    void takeAll(const platform::RowsOutcome &all, bool isAfterOutage);
+    /** Replaces all rows by \a all, the complete table. \pre \a all is not older than version() */
+    void replaceAll(const platform::RowsOutcome &all, bool isAfterOutage);
 
-    /** Takes in the rows that have changed. */
-    void takeChanges(const platform::RowsOutcome &changes);
+    void applyChanges(const platform::RowsOutcome &changes);
 
-    /** Puts into \a all, rows that were read, what is known to have changed since they were. */
-    void bringUpToDate(platform::RowsOutcome &all) const;
+    /** Updates \a all, a complete table, with the later changes that are stored here. */
+    void mergeLaterChanges(platform::RowsOutcome &all) const;
 
-    /** \returns what has changed after \a version, or all rows; without age and chain. */
+    /**
+     * \returns the changes after \a version, or all rows if removals since then are no longer kept;
+     * without age and chain.
+     */
     RelayedRows since(std::uint64_t version) const;
 
 private:
     void put(const std::vector<platform::StoreRow> &rows);
 
     std::map<std::string, platform::StoreRow> m_rows;
-    /** Rows that were removed after m_removedSince. */
+    /** The rows removed after m_removedSince. */
     std::vector<platform::StoreRow> m_removed;
+    /** The version after which all removals are kept; older ones need the complete table. */
     std::uint64_t m_removedSince = 0;
     std::uint64_t m_version = 0;
-    bool m_areKnown = false;
-    /** All rows were read after an outage of the store, and not followed over it. */
+    bool m_isLoaded = false;
+    /** The complete table was read after an outage of the store, instead of followed through it. */
     bool m_isAfterOutage = false;
 };
 
-inline bool KnownRows::areKnown() const
+inline bool KnownRows::isLoaded() const
 {
-    return m_areKnown;
+    return m_isLoaded;
 }
 
 inline std::uint64_t KnownRows::version() const
--- a/src/libbulrushentry/peerdesk.cpp
+++ b/src/libbulrushentry/peerdesk.cpp
@@ -26,8 +26,8 @@
                    FollowerGroup &group, const LinkBudget &link)
     : m_keys(keys)
     , m_state(state)
-    , m_served(link)
-    , m_feed(timers, group, m_served)
+    , m_admission(link)
+    , m_feed(timers, group, m_admission)
 { }
 
 std::error_code PeerDesk::listen(asio::io_context &loop, const Endpoint &address)
@@ -68,12 +68,12 @@
 
 io::HttpResponse PeerDesk::tellRows(const std::string &target)
 {
-    const auto question = rowsQuestion(target);
+    const auto question = parseRowsRequest(target);
     const TableFollower *asked = question ? follower(question->table) : nullptr;
     if (!asked || !asked->hasRows())
         return io::textPage(notFound, "no rows are known here by that path\n");
     std::string body = encodeRows(asked->rowsSince(question->version, io::hostNow()));
-    if (!m_served.admits(question->table, body.size(), io::hostNow()))
+    if (!m_admission.admits(question->table, body.size(), io::hostNow()))
         return io::refusal(busyStatus);
     return jsonPage(std::move(body));
 }
@@ -81,7 +81,7 @@
 void PeerDesk::takeFeedQuestion(const std::string &target,
                                 const std::shared_ptr<io::ResponseWriter> &writer)
 {
-    const auto question = feedQuestion(target);
+    const auto question = parseFeedRequest(target);
     const TableFollower *asked = question ? follower(question->table) : nullptr;
     if (asked)
         m_feed.ask(*question, *asked, writer);
--- a/src/libbulrushentry/peerdesk.h
+++ b/src/libbulrushentry/peerdesk.h
@@ -2,8 +2,8 @@
 
 #include "connection/callerserver.h"
 #include "keycontrol.h"
+#include "rowsadmission.h"
 #include "rowsfeed.h"
-#include "rowsserved.h"
 #include "statepublisher.h"
 
 #include <asio/io_context.hpp>
@@ -49,19 +49,19 @@
 
     KeyControl &m_keys;
     StatePublisher &m_state;
-    RowsServed m_served;
+    RowsAdmission m_admission;
     RowsFeed m_feed;
     std::unique_ptr<io::CallerServer> m_server;
 };
 
 inline std::string PeerDesk::servedText() const
 {
-    return m_served.text();
+    return m_admission.text();
 }
 
 inline void PeerDesk::logServed()
 {
-    m_served.log();
+    m_admission.log();
 }
 
 } // namespace bulrush
--- a/src/libbulrushentry/rowsserved.cpp
+++ b/src/libbulrushentry/rowsadmission.cpp
@@ -1,4 +1,4 @@
-#include "rowsserved.h"
+#include "rowsadmission.h"
 
 #include "process/logging.h"
 
@@ -8,16 +8,16 @@
 
 namespace {
 
-/** Of a table between two log lines; fewer are not worth a line. */
+/** No line is logged if no table served this many bytes since the last one. */
 constexpr std::uint64_t loggedBytes = 100'000;
 
 } // namespace
 
-RowsServed::RowsServed(const LinkBudget &link)
+RowsAdmission::RowsAdmission(const LinkBudget &link)
     : m_link(link)
 { }
 
-bool RowsServed::admits(const std::string &table, std::size_t bytes, Instant now)
+bool RowsAdmission::admits(const std::string &table, std::size_t bytes, Instant now)
 {
     const bool isAdmitted = m_link.take(bytes, now);
     for (auto *counts : {&m_counts, &m_unlogged}) {
@@ -32,7 +32,7 @@
     return isAdmitted;
 }
 
-std::string RowsServed::text() const
+std::string RowsAdmission::text() const
 {
     std::string text;
     for (const auto &[table, count] : m_counts) {
@@ -44,16 +44,16 @@
     return text;
 }
 
-void RowsServed::log()
+void RowsAdmission::log()
 {
-    bool isWorthALine = false;
+    bool isLogWorthy = false;
     std::string tables;
     for (const auto &[table, count] : std::exchange(m_unlogged, {})) {
-        isWorthALine = isWorthALine || count.bytes >= loggedBytes || count.declined > 0;
+        isLogWorthy = isLogWorthy || count.bytes >= loggedBytes || count.declined > 0;
         tables += (tables.empty() ? "" : ",") + table + '=' + std::to_string(count.answers) + '/'
             + std::to_string(count.bytes) + '/' + std::to_string(count.declined);
     }
-    if (isWorthALine)
+    if (isLogWorthy)
         io::logEvent(LogLevel::Info, "rows-served",
                      {{"answers-bytes-declined", std::move(tables)}});
 }
--- a/src/libbulrushentry/rowsserved.h
+++ b/src/libbulrushentry/rowsadmission.h
@@ -10,26 +10,26 @@
 namespace bulrush {
 
 /**
- * Decides which answers with rows a daemon gives to others, by what its link bears, and counts them
- * by table.
+ * Decides whether an answer with rows to another daemon fits the bandwidth of this daemon's link,
+ * and counts the answers by table.
  *
  * Used on the control thread.
  */
-class RowsServed
+class RowsAdmission
 {
 public:
-    explicit RowsServed(const LinkBudget &link);
+    explicit RowsAdmission(const LinkBudget &link);
 
     /**
-     * \returns whether an answer with rows of \a table and a body of \a bytes is to be sent, which
-     * is then reckoned with.
+     * \returns whether an answer with rows of \a table and a body of \a bytes may be sent. If so,
+     * it is charged to the link's budget.
      */
     bool admits(const std::string &table, std::size_t bytes, Instant now);
 
-    /** \returns all counts as text for a metrics page, a line for each value. */
+    /** \returns the counts in the text format of the metrics page, one line for each value. */
     std::string text() const;
 
-    /** Writes a log line with the answers since the last one, if they had many bytes. */
+    /** Logs the answers since the last log line, if they were large or some were declined. */
     void log();
 
 private:
@@ -42,7 +42,7 @@
 
     LinkBudget m_link;
     std::map<std::string, Count> m_counts;
-    /** Since the last log line. */
+    /** The counts since the last log line. */
     std::map<std::string, Count> m_unlogged;
 };
 
--- a/src/libbulrushentry/rowsrelay.cpp
+++ b/src/libbulrushentry/rowsclient.cpp
@@ -1,4 +1,4 @@
-#include "rowsrelay.h"
+#include "rowsclient.h"
 
 #include "peerpaths.h"
 #include "process/hostclock.h"
@@ -12,20 +12,20 @@
 
 constexpr int ok = 200;
 
-/** Answers as long as this get a log line, as they take time on a narrow link. */
+/** Answers of at least this size are logged, as they take time on a narrow link. */
 constexpr std::size_t loggedBytes = 32'000;
 
-/** Tells of an answer that took long or did not come, so that a reader's time can be told. */
-void logAnswer(const FollowQuestion &question, const Endpoint &daemon, const io::HttpResult &result,
+/** Logs large and failed answers, so that the time a reader takes for them can be analysed. */
+void logAnswer(const FollowRequest &request, const Endpoint &daemon, const io::HttpResult &result,
                Instant sentAt)
 {
     const std::size_t bytes = result.response.body.size();
     if (!result.error && bytes < loggedBytes)
         return;
     io::logEvent(LogLevel::Info, "rows-told",
-                 {{"table", question.table},
+                 {{"table", request.table},
                   {"by", toString(daemon)},
-                  {"version", std::to_string(question.version)},
+                  {"version", std::to_string(request.version)},
                   {"outcome", result.error ? result.error.message() : "answered"},
                   {"bytes", std::to_string(bytes)},
                   {"ms", io::millisecondsText(io::hostNow() - sentAt)}});
@@ -39,37 +39,37 @@
     return result.response.status == busyStatus ? ReaderFailure::Busy : ReaderFailure::Refused;
 }
 
-std::string feedTarget(const FollowQuestion &question, Duration wait)
+std::string feedTarget(const FollowRequest &request, Duration wait)
 {
     std::string target{feedPath};
     target +=
-        question.table + '/' + std::to_string(question.version) + '/' + io::millisecondsText(wait);
-    if (question.age)
-        target += '/' + io::millisecondsText(*question.age);
+        request.table + '/' + std::to_string(request.version) + '/' + io::millisecondsText(wait);
+    if (request.age)
+        target += '/' + io::millisecondsText(*request.age);
     return target;
 }
 
 } // namespace
 
-RowsRelay::RowsRelay(io::ServerClient &client, PeersSource peers)
+RowsClient::RowsClient(io::ServerClient &client, PeersSource peers)
     : m_client(client)
     , m_peers(std::move(peers))
 { }
 
-void RowsRelay::send(const Endpoint &daemon, const FollowQuestion &question, std::string target,
-                     Duration timeout, Handler handler)
+void RowsClient::send(const Endpoint &daemon, const FollowRequest &request, std::string target,
+                      Duration timeout, Handler handler)
 {
     io::ServerCall call;
     call.server = daemon;
     call.target = std::move(target);
     call.headers = {{"Host", toString(daemon)}};
     call.timeout = timeout;
-    call.answerWithin = answerWithin;
+    call.answerWithin = maxTransferTime;
     const Instant sentAt = io::hostNow();
     m_client.send(
         std::move(call),
-        [sentAt, question, daemon, handler = std::move(handler)](const io::HttpResult &result) {
-            logAnswer(question, daemon, result, sentAt);
+        [sentAt, request, daemon, handler = std::move(handler)](const io::HttpResult &result) {
+            logAnswer(request, daemon, result, sentAt);
             FollowAnswer answer{std::nullopt, sentAt, failureOf(result)};
             if (!result.error && result.response.status == ok)
                 answer.rows = decodeRows(result.response.body);
@@ -79,26 +79,26 @@
         });
 }
 
-void RowsRelay::follow(const Endpoint &reader, const FollowQuestion &question, Handler handler)
+void RowsClient::follow(const Endpoint &reader, const FollowRequest &request, Handler handler)
 {
-    send(reader, question, feedTarget(question, followWait), followWait + followSlack,
+    send(reader, request, feedTarget(request, followWait), followWait + followGrace,
          std::move(handler));
 }
 
-void RowsRelay::askBeside(const Endpoint &other, const FollowQuestion &question, Handler handler)
+void RowsClient::askAlternate(const Endpoint &other, const FollowRequest &request, Handler handler)
 {
-    send(other, question, feedTarget(question, besideWait), besideWait + followSlack,
+    send(other, request, feedTarget(request, alternateWait), alternateWait + followGrace,
          std::move(handler));
 }
 
-void RowsRelay::ask(const FollowQuestion &question, Handler handler)
+void RowsClient::ask(const FollowRequest &request, Handler handler)
 {
     const std::vector<Endpoint> peers = m_peers();
     if (peers.empty())
         return;
     std::string target{rowsPath};
-    target += question.table + '/' + std::to_string(question.version);
-    send(peers[m_next++ % peers.size()], question, std::move(target), timeout, std::move(handler));
+    target += request.table + '/' + std::to_string(request.version);
+    send(peers[m_next++ % peers.size()], request, std::move(target), timeout, std::move(handler));
 }
 
 } // namespace bulrush
--- a/src/libbulrushentry/rowscodec.cpp
+++ b/src/libbulrushentry/rowscodec.cpp
@@ -24,7 +24,7 @@
     text += ",\"chain\":" + std::to_string(rows.chain);
     if (rows.isAfterOutage)
         text += ",\"afterOutage\":true";
-    return text + (rows.isWhole ? ",\"whole\":true}" : ",\"whole\":false}");
+    return text + (rows.isComplete ? ",\"whole\":true}" : ",\"whole\":false}");
 }
 
 std::string encodeRowList(const RelayedRows &rows)
@@ -49,7 +49,7 @@
     RelayedRows rows;
     rows.version = reader.number("version");
     rows.age = reader.span("age");
-    rows.isWhole = reader.flag("whole");
+    rows.isComplete = reader.flag("whole");
     rows.isAfterOutage = io::isTrue(json, "afterOutage");
     rows.chain = static_cast<unsigned>(
         std::min<std::uint64_t>(reader.number("chain"), std::numeric_limits<unsigned>::max() - 1));
--- a/src/libbulrushentry/rowscodec.h
+++ b/src/libbulrushentry/rowscodec.h
@@ -22,7 +22,7 @@
      */
     Duration age{};
     /** Whether these are all rows, and not only those that have changed. */
-    bool isWhole = true;
+    bool isComplete = true;
     /** Whether they were read after an outage of the store, in which rows may have lapsed. */
     bool isAfterOutage = false;
     /** Daemons between the store and the one that tells them. */
--- a/src/libbulrushentry/rowsfeed.cpp
+++ b/src/libbulrushentry/rowsfeed.cpp
@@ -16,16 +16,16 @@
 constexpr int ok = 200;
 constexpr int serviceUnavailable = 503;
 
-/** Ages above this are alike: nothing that is known is as old. */
-constexpr std::uint64_t longestAgeMs = 3'600'000;
+/** Greater ages are reduced to this, as no rows are as old. */
+constexpr std::uint64_t maxAgeMs = 3'600'000;
 
-std::optional<std::uint64_t> numberOf(std::string_view text)
+std::optional<std::uint64_t> parseNumber(std::string_view text)
 {
     return io::wholeNumber(0, std::numeric_limits<std::uint64_t>::max()).parse(text);
 }
 
-/** \returns \a path up to the next slash, which is taken off with it. */
-std::string_view nextPart(std::string_view &path)
+/** Removes the first segment and its slash from \a path. \returns the segment. */
+std::string_view takePathSegment(std::string_view &path)
 {
     const std::size_t end = std::min(path.find('/'), path.size());
     const std::string_view part = path.substr(0, end);
@@ -33,106 +33,109 @@
     return part;
 }
 
-std::optional<Duration> spanOf(std::string_view text, std::uint64_t longestMs)
+std::optional<Duration> durationOf(std::string_view text, std::uint64_t maxMs)
 {
-    const auto number = numberOf(text);
+    const auto number = parseNumber(text);
     if (!number)
         return std::nullopt;
-    return std::chrono::milliseconds{std::min(*number, longestMs)};
+    return std::chrono::milliseconds{std::min(*number, maxMs)};
 }
 
 } // namespace
 
-std::optional<FeedQuestion> feedQuestion(std::string_view path)
+std::optional<FeedRequest> parseFeedRequest(std::string_view path)
 {
     path.remove_prefix(feedPath.size());
-    const std::string_view table = nextPart(path);
-    const auto version = numberOf(nextPart(path));
-    const auto wait = spanOf(nextPart(path), RowsFeed::longestWait / std::chrono::milliseconds{1});
+    const std::string_view table = takePathSegment(path);
+    const auto version = parseNumber(takePathSegment(path));
+    const auto wait =
+        durationOf(takePathSegment(path), RowsFeed::maxWait / std::chrono::milliseconds{1});
     if (table.empty() || !version || !wait)
         return std::nullopt;
-    FeedQuestion question{std::string{table}, *version, *wait};
+    FeedRequest request{std::string{table}, *version, *wait};
     if (path.empty())
-        return question;
-    question.age = spanOf(path, longestAgeMs);
-    return question.age ? std::optional{question} : std::nullopt;
+        return request;
+    request.age = durationOf(path, maxAgeMs);
+    return request.age ? std::optional{request} : std::nullopt;
 }
 
-std::optional<FeedQuestion> rowsQuestion(std::string_view path)
+std::optional<FeedRequest> parseRowsRequest(std::string_view path)
 {
     path.remove_prefix(rowsPath.size());
-    const std::string_view table = nextPart(path);
-    const auto version = numberOf(path);
+    const std::string_view table = takePathSegment(path);
+    const auto version = parseNumber(path);
     if (table.empty() || !version)
         return std::nullopt;
-    return FeedQuestion{std::string{table}, *version, Duration::zero()};
+    return FeedRequest{std::string{table}, *version, Duration::zero()};
 }
 
-RowsFeed::RowsFeed(io::LoopTimers &timers, FollowerGroup &group, RowsServed &served)
-    : m_served(served)
+RowsFeed::RowsFeed(io::LoopTimers &timers, FollowerGroup &group, RowsAdmission &admission)
+    : m_admission(admission)
 {
-    group.setPublishedHandler([this] { look(io::hostNow()); });
-    timers.every(lookEvery, [this](Instant now) { look(now); });
+    group.setChangeHandler([this] { answerReady(io::hostNow()); });
+    timers.every(checkInterval, [this](Instant now) { answerReady(now); });
 }
 
-void RowsFeed::ask(const FeedQuestion &question, const TableFollower &follower,
+void RowsFeed::ask(const FeedRequest &request, const TableFollower &follower,
                    const std::shared_ptr<io::ResponseWriter> &writer)
 {
     const Instant now = io::hostNow();
-    m_held.push_back({question, &follower, writer, now, newsAfter(question, follower, now)});
-    look(now);
+    m_heldRequests.push_back({request, &follower, writer, now, newerThan(request, follower, now)});
+    answerReady(now);
 }
 
-Instant RowsFeed::newsAfter(const FeedQuestion &question, const TableFollower &follower,
-                            Instant now)
+Instant RowsFeed::newerThan(const FeedRequest &request, const TableFollower &follower, Instant now)
 {
-    if (!question.age)
-        return follower.knownAt();
-    return std::min(follower.knownAt(), now - *question.age);
+    if (!request.age)
+        return follower.confirmedAt();
+    return std::min(follower.confirmedAt(), now - *request.age);
 }
 
-void RowsFeed::look(Instant now)
+void RowsFeed::answerReady(Instant now)
 {
-    // Answering may bring the next question, which must not meet a list that is being changed.
-    std::vector<Held> held = std::exchange(m_held, {});
+    // Answering may lead to the next request, which must not modify the list during the iteration.
+    std::vector<HeldRequest> held = std::exchange(m_heldRequests, {});
     EncodedChanges encoded;
-    for (Held &entry : held) {
-        if (!isAnswered(entry, encoded, now))
-            m_held.push_back(std::move(entry));
+    for (HeldRequest &entry : held) {
+        if (!tryAnswer(entry, encoded, now))
+            m_heldRequests.push_back(std::move(entry));
     }
 }
 
-/** \returns what the one who asks is told, which is made once for all who ask after its version. */
-RowsFeed::Encoded &RowsFeed::changesFor(const Held &held, EncodedChanges &encoded)
+/** \returns the changes for \a held, which are encoded once for all requests of its version. */
+RowsFeed::EncodedRows &RowsFeed::changesFor(const HeldRequest &held, EncodedChanges &encoded)
 {
-    const std::uint64_t version = held.question.version;
+    const std::uint64_t version = held.request.version;
     const auto [place, isNew] = encoded.try_emplace({held.follower, version});
     if (isNew) {
-        place->second.told = held.follower->rowsSince(version, held.askedAt);
-        place->second.list = encodeRowList(place->second.told);
-        place->second.told.rows.clear();
+        place->second.rows = held.follower->rowsSince(version, held.askedAt);
+        place->second.list = encodeRowList(place->second.rows);
+        place->second.rows.rows.clear();
     }
     return place->second;
 }
 
-/** \returns whether \a held was answered, as there is news, no time left, or no store. */
-bool RowsFeed::isAnswered(const Held &held, EncodedChanges &encoded, Instant now)
+/**
+ * Answers \a held if there are new rows or confirmations, its wait is over, or this daemon can't
+ * serve rows. \returns whether it was answered.
+ */
+bool RowsFeed::tryAnswer(const HeldRequest &held, EncodedChanges &encoded, Instant now)
 {
     const bool isFresh = held.follower->isFresh(now);
-    const bool isOver = now - held.askedAt >= held.question.wait;
-    if (!held.follower->isServing() || (isOver && !isFresh)) {
+    const bool hasWaited = now - held.askedAt >= held.request.wait;
+    if (!held.follower->isServing() || (hasWaited && !isFresh)) {
         held.writer->send(io::refusal(serviceUnavailable));
         return true;
     }
-    // That nothing has changed since is news as well: who follows goes by when it was so.
-    const bool hasNews = held.follower->version() > held.question.version
-        || held.follower->knownAt() > held.newsAfter;
-    if (!isFresh || (!hasNews && !isOver))
+    // A later confirmation of unchanged rows is worth an answer, too, as it reduces their age.
+    const bool isNewer = held.follower->version() > held.request.version
+        || held.follower->confirmedAt() > held.newerThan;
+    if (!isFresh || (!isNewer && !hasWaited))
         return false;
-    Encoded &changes = changesFor(held, encoded);
-    changes.told.age = held.askedAt - held.follower->knownAt();
-    std::string body = encodeRows(changes.told, changes.list);
-    if (!m_served.admits(held.question.table, body.size(), now)) {
+    EncodedRows &changes = changesFor(held, encoded);
+    changes.rows.age = held.askedAt - held.follower->confirmedAt();
+    std::string body = encodeRows(changes.rows, changes.list);
+    if (!m_admission.admits(held.request.table, body.size(), now)) {
         held.writer->send(io::refusal(busyStatus));
         return true;
     }
--- a/src/libbulrushentry/rowsfeed.h
+++ b/src/libbulrushentry/rowsfeed.h
@@ -2,7 +2,7 @@
 
 #include "connection/responsewriter.h"
 #include "process/looptimers.h"
-#include "rowsserved.h"
+#include "rowsadmission.h"
 #include "tablefollower.h"
 
 #include <cstdint>
@@ -14,84 +14,84 @@
 
 namespace bulrush {
 
-/** What another daemon asks for when it follows rows through this one. */
-struct FeedQuestion
+/** The request of another daemon that follows rows through this one. */
+struct FeedRequest
 {
     std::string table;
-    /** Up to which the other one knows the rows. */
+    /** The version of the rows that the other daemon has. */
     std::uint64_t version = 0;
-    /** How long it may be held if there is no news. */
+    /** How long the request may be held while there is nothing new. */
     Duration wait{};
-    /** How old what the other one knows is, if only something newer is news. */
+    /** The age of the other daemon's rows, if a later confirmation counts as new. */
     std::optional<Duration> age = std::nullopt;
 };
 
-/** \returns the question in \a path, which begins with feedPath, or nothing if it is none. */
-std::optional<FeedQuestion> feedQuestion(std::string_view path);
+/** \returns the request in \a path, which begins with feedPath, or nothing if it is malformed. */
+std::optional<FeedRequest> parseFeedRequest(std::string_view path);
 
 /**
- * \returns the question in \a path, which begins with rowsPath and tells of no wait, or nothing if
- * it is none.
+ * \returns the request in \a path, which begins with rowsPath and has no wait, or nothing if it is
+ * malformed.
  */
-std::optional<FeedQuestion> rowsQuestion(std::string_view path);
+std::optional<FeedRequest> parseRowsRequest(std::string_view path);
 
 /**
- * Serves changes of rows to the daemons that follow them through this one: holds their questions
- * until there is news, their time is over, or this daemon can't tell any more. Rows that have grown
- * old here are no answer, but may be renewed while a question waits.
+ * Serves changes of rows to the daemons that follow them through this one: holds their requests
+ * until there are new rows or confirmations, the wait is over, or this daemon can no longer serve.
+ * Rows that are too old are not served, but may be confirmed while a request waits.
  *
  * Used on the control thread.
  */
 class RowsFeed
 {
 public:
-    /** The longest that a question is held, whatever it asks for. */
-    static constexpr Duration longestWait = std::chrono::seconds{5};
-    /** How often held questions are looked at. */
-    static constexpr Duration lookEvery = std::chrono::milliseconds{50};
+    /** The maximum time that a request is held, whatever wait it asks for. */
+    static constexpr Duration maxWait = std::chrono::seconds{5};
+    /** Interval at which held requests are checked. */
+    static constexpr Duration checkInterval = std::chrono::milliseconds{50};
 
-    /** \pre the parts outlive this object; \a group is whose rows are served */
-    RowsFeed(io::LoopTimers &timers, FollowerGroup &group, RowsServed &served);
+    /** \pre the arguments outlive this object; \a group has the followers whose rows are served */
+    RowsFeed(io::LoopTimers &timers, FollowerGroup &group, RowsAdmission &admission);
 
     RowsFeed(const RowsFeed &) = delete;
     RowsFeed &operator=(const RowsFeed &) = delete;
 
-    /** Answers \a question by the rows of \a follower, now or later. */
-    void ask(const FeedQuestion &question, const TableFollower &follower,
+    /** Answers \a request with the rows of \a follower, now or later. */
+    void ask(const FeedRequest &request, const TableFollower &follower,
              const std::shared_ptr<io::ResponseWriter> &writer);
 
 private:
-    struct Held
+    struct HeldRequest
     {
-        FeedQuestion question;
+        FeedRequest request;
         const TableFollower *follower;
         std::shared_ptr<io::ResponseWriter> writer;
         Instant askedAt;
-        /** Word of the store that is later than this is news. */
-        Instant newsAfter;
+        /** A confirmation by the store that is later than this is worth an answer. */
+        Instant newerThan;
     };
 
     /**
-     * Changes of a table after a version, encoded once for all who wait for them: in a domain of 22
+     * Changes of a table after a version, encoded once for all waiting daemons: in a domain of 22
      * daemons 21 follow one reader, and an assignment has some 200 ranges.
      */
-    struct Encoded
+    struct EncodedRows
     {
-        /** Without the rows themselves. */
-        RelayedRows told;
+        /** The message without the rows, which are encoded in list. */
+        RelayedRows rows;
         std::string list;
     };
-    using EncodedChanges = std::map<std::pair<const TableFollower *, std::uint64_t>, Encoded>;
+    using EncodedChanges = std::map<std::pair<const TableFollower *, std::uint64_t>, EncodedRows>;
 
-    /** Answers what can be answered now. */
-    void look(Instant now);
-    static Instant newsAfter(const FeedQuestion &question, const TableFollower &follower,
+    /** Answers the held requests that can be answered now. */
+    void answerReady(Instant now);
+    static Instant newerThan(const FeedRequest &request, const TableFollower &follower,
                              Instant now);
-    static Encoded &changesFor(const Held &held, EncodedChanges &encoded);
-    bool isAnswered(const Held &held, EncodedChanges &encoded, Instant now);
+    static EncodedRows &changesFor(const HeldRequest &held, EncodedChanges &encoded);
+    bool tryAnswer(const HeldRequest &held, EncodedChanges &encoded, Instant now);
 
-    RowsServed &m_served;
-    std::vector<Held> m_held;
+    RowsAdmission &m_admission;
+    std::vector<HeldRequest> m_heldRequests;
 };
 
 } // namespace bulrush
--- a/src/libbulrushentry/statepublisher.cpp
+++ b/src/libbulrushentry/statepublisher.cpp
@@ -13,33 +13,33 @@
 namespace {
 
 template<typename Budget>
-Confirmation confirmationBy(const Budget &budget)
+ConfirmationDelays confirmationDelays(const Budget &budget)
 {
     return {budget.askBesideAfter(), budget.confirmAfter(), budget.confirmWithin()};
 }
 
 /** Changes come at once, and seldom: confirmations bound for how long a lost answer hides one. */
-FollowPace configPace(const ConfigBudget &budget)
+FollowTimings configTimings(const ConfigBudget &budget)
 {
     constexpr Duration wait = std::chrono::seconds{10};
-    return {wait, {}, budget.readerConfirmAfter(), confirmationBy(budget)};
+    return {wait, {}, budget.readerConfirmAfter(), confirmationDelays(budget)};
 }
 
 /** Servers that start write often, and one that leaves is to be heard of in time. */
-FollowPace serverPace(const DrainBudget &budget)
+FollowTimings serverTimings(const DrainBudget &budget)
 {
     return {budget.readerWait(), budget.readerPause(), budget.askBesideAfter(),
-            confirmationBy(budget)};
+            confirmationDelays(budget)};
 }
 
 } // namespace
 
-StatePublisher::StatePublisher(const FollowParts &parts, const Budgets &budgets,
+StatePublisher::StatePublisher(const FollowerDependencies &parts, const Budgets &budgets,
                                PublishHandler publish, KnowledgeHandler tellKnowledge)
     : m_publish(std::move(publish))
     , m_tellKnowledge(std::move(tellKnowledge))
-    , m_configs(parts, std::string{platform::operatorTable}, configPace(budgets.configs))
-    , m_servers(parts, std::string{platform::serverTable}, serverPace(budgets.servers))
+    , m_configs(parts, std::string{platform::operatorTable}, configTimings(budgets.configs))
+    , m_servers(parts, std::string{platform::serverTable}, serverTimings(budgets.servers))
 { }
 
 const TableFollower *StatePublisher::follower(std::string_view table) const
@@ -127,7 +127,7 @@
         return "bulrush_config_version 0\n";
     return "bulrush_config_version " + std::to_string(m_routes->config().version)
         + "\nbulrush_config_in_force_seconds " + seconds(m_routesSince)
-        + "bulrush_config_confirmed_age_seconds " + seconds(m_configs.knownAt());
+        + "bulrush_config_confirmed_age_seconds " + seconds(m_configs.confirmedAt());
 }
 
 void StatePublisher::takeServers(const TableChange &change)
@@ -151,7 +151,7 @@
         logSeen(*record, row.version, change);
         records.push_back(std::move(*record));
     }
-    if (change.isWhole) {
+    if (change.isComplete) {
         m_directory.takeAll(records, change.isAfterOutage, now, change.unchangedUntil);
     } else {
         for (const ServerRecord &record : records)
@@ -180,13 +180,13 @@
                   {"row", std::to_string(row)},
                   {"source", m_servers.source()},
                   {"unchanged-until-ms-ago", io::millisecondsText(now - change.unchangedUntil)},
-                  {"told-ms-ago", io::millisecondsText(now - m_servers.knownAt())}});
+                  {"told-ms-ago", io::millisecondsText(now - m_servers.confirmedAt())}});
 }
 
 void StatePublisher::tellKnowledge()
 {
-    const RoutingKnowledge knowledge{{m_servers.knownAt(), m_servers.isStoreAway()},
-                                     m_configs.knownAt()};
+    const RoutingKnowledge knowledge{{m_servers.confirmedAt(), m_servers.isStoreUnreachable()},
+                                     m_configs.confirmedAt()};
     if (knowledge == m_knowledge)
         return;
     const ServerKnowledge &servers = knowledge.servers;
--- a/src/libbulrushentry/statepublisher.h
+++ b/src/libbulrushentry/statepublisher.h
@@ -34,8 +34,8 @@
         ConfigBudget configs;
     };
 
-    StatePublisher(const FollowParts &parts, const Budgets &budgets, PublishHandler publish,
-                   KnowledgeHandler tellKnowledge);
+    StatePublisher(const FollowerDependencies &parts, const Budgets &budgets,
+                   PublishHandler publish, KnowledgeHandler tellKnowledge);
 
     /** Sets who is told whenever servers were taken in. */
     void setServersHandler(std::function<void()> handler);
--- a/src/libbulrushentry/tablefollower.cpp
+++ b/src/libbulrushentry/tablefollower.cpp
@@ -12,7 +12,7 @@
 
 constexpr std::string_view storeSource = "store";
 
-std::string_view nameOf(ReaderFailure failure)
+std::string_view reasonFor(ReaderFailure failure)
 {
     switch (failure) {
     case ReaderFailure::Refused:
@@ -27,169 +27,170 @@
 
 } // namespace
 
-TableFollower::TableFollower(const FollowParts &parts, std::string table, FollowPace pace)
-    : m_parts(parts)
+TableFollower::TableFollower(const FollowerDependencies &deps, std::string table,
+                             FollowTimings timings)
+    : m_deps(deps)
     , m_table(std::move(table))
-    , m_pace(pace)
+    , m_timings(timings)
 {
-    m_parts.group.add(*this);
+    m_deps.group.add(*this);
 }
 
 void TableFollower::start(ChangeHandler changed, AnswerHandler answered)
 {
     begin(std::move(changed), std::move(answered));
-    next();
+    runNextStep();
 }
 
-void TableFollower::startAtStore(ChangeHandler changed, AnswerHandler answered)
+void TableFollower::startWithStore(ChangeHandler changed, AnswerHandler answered)
 {
     begin(std::move(changed), std::move(answered));
-    carryOut(AskStore{});
+    execute(AskStore{});
 }
 
 void TableFollower::begin(ChangeHandler changed, AnswerHandler answered)
 {
-    m_changed = std::move(changed);
-    m_answered = std::move(answered);
-    m_parts.timers.every(lookEvery, [this](Instant now) { look(now); });
+    m_changeHandler = std::move(changed);
+    m_answerHandler = std::move(answered);
+    m_deps.timers.every(checkInterval, [this](Instant now) { checkAge(now); });
 }
 
-void TableFollower::next()
+void TableFollower::runNextStep()
 {
-    const FollowedTable table{m_rows.areKnown(), m_pace.confirmation.has_value()};
-    const FollowStep step = m_parts.plan.next(table, io::hostNow());
-    std::visit([this](const auto &known) { carryOut(known); }, step);
+    const FollowedTable table{m_rows.isLoaded(), m_timings.confirmation.has_value()};
+    const FollowStep step = m_deps.plan.next(table, io::hostNow());
+    std::visit([this](const auto &known) { execute(known); }, step);
 }
 
-void TableFollower::carryOut(const AskLater &step)
+void TableFollower::execute(const AskLater &step)
 {
-    if (m_parts.plan.isStoreFailing())
-        noteLost("nobody has rows to tell");
-    m_parts.timers.after(step.after, [this](Instant) { next(); });
+    if (m_deps.plan.isStoreFailing())
+        enterFailing("nobody has rows to tell");
+    m_deps.timers.after(step.after, [this](Instant) { runNextStep(); });
 }
 
-void TableFollower::carryOut(const AskStore & /*step*/)
+void TableFollower::execute(const AskStore & /*step*/)
 {
     setSource(std::string{storeSource});
-    m_chain = 0;
-    if (m_rows.areKnown() && !m_isAllWanted)
+    m_chainLength = 0;
+    if (m_rows.isLoaded() && !m_needsAllRows)
         followStore();
     else
-        read();
+        readAllRows();
 }
 
-void TableFollower::carryOut(const AskReader &step)
+void TableFollower::execute(const AskReader &step)
 {
     const RowsReader reader = step.reader;
     setSource(reader.host.value());
-    // One that has read all rows anew since then tells all of them.
-    m_parts.relay.follow(
+    // A reader that has read the complete table since this version returns all rows.
+    m_deps.rowsClient.follow(
         reader.address, {m_table, m_rows.version()},
-        [this, reader](FollowAnswer answer) { takenFromReader(reader, std::move(answer)); });
+        [this, reader](FollowAnswer answer) { handleReaderAnswer(reader, std::move(answer)); });
 }
 
-void TableFollower::read()
+void TableFollower::readAllRows()
 {
     const Instant sentAt = io::hostNow();
     m_isReading = true;
-    m_parts.store.read(m_table, [this, sentAt](platform::RowsOutcome outcome) {
+    m_deps.store.read(m_table, [this, sentAt](platform::RowsOutcome outcome) {
         m_isReading = false;
-        taken(std::move(outcome), true, sentAt);
+        handleRowsResult(std::move(outcome), true, sentAt);
     });
 }
 
 void TableFollower::followStore()
 {
     const Instant sentAt = io::hostNow();
-    // Where the store is tried, or others wait for what this daemon is to read, an answer is wanted
-    // at once.
-    const bool isFirst = std::exchange(m_isFirstAtStore, false);
-    const bool isUrgent = isFirst || m_isFailing || m_parts.plan.isStoreFailing();
-    const Duration wait = isUrgent ? Duration::zero() : m_pace.wait;
-    m_wait = m_parts.store.follow(m_table, m_rows.version(), wait,
-                                  [this, sentAt](platform::RowsOutcome outcome) {
-                                      m_wait.reset();
-                                      taken(std::move(outcome), false, sentAt);
-                                  });
+    // The answer must come at once if the call tests whether the store is reachable, or if other
+    // daemons wait for rows that this one reads.
+    const bool isFirst = std::exchange(m_isFirstStoreCall, false);
+    const bool isUrgent = isFirst || m_isFailing || m_deps.plan.isStoreFailing();
+    const Duration wait = isUrgent ? Duration::zero() : m_timings.wait;
+    m_waitCall = m_deps.store.follow(m_table, m_rows.version(), wait,
+                                     [this, sentAt](platform::RowsOutcome outcome) {
+                                         m_waitCall.reset();
+                                         handleRowsResult(std::move(outcome), false, sentAt);
+                                     });
 }
 
-void TableFollower::takenFromReader(const RowsReader &reader, FollowAnswer answer)
+void TableFollower::handleReaderAnswer(const RowsReader &reader, FollowAnswer answer)
 {
     if (!answer.rows) {
-        m_reason = nameOf(answer.failure);
-        readerFailed(reader, answer.failure);
+        m_switchReason = reasonFor(answer.failure);
+        handleReaderFailure(reader, answer.failure);
         return;
     }
-    m_chain = answer.rows->chain + 1;
-    if (m_chain > longestChain) {
-        m_reason = "chain-too-long";
-        readerFailed(reader, ReaderFailure::Refused);
+    m_chainLength = answer.rows->chain + 1;
+    if (m_chainLength > maxChainLength) {
+        m_switchReason = "chain-too-long";
+        handleReaderFailure(reader, ReaderFailure::Refused);
         return;
     }
-    m_parts.plan.readerServed(reader.host);
+    m_deps.plan.readerServed(reader.host);
     if (answer.rows->version < m_rows.version()) {
-        carryOut(AskLater{behindPause});
+        execute(AskLater{behindRetryDelay});
         return;
     }
-    const bool isNews = adoptRelayed(std::move(*answer.rows), answer.asOf);
+    const bool isNew = applyRelayedRows(std::move(*answer.rows), answer.asOf);
     logSource();
-    recovered();
-    if (isNews)
-        m_parts.group.published();
-    next();
+    leaveFailing();
+    if (isNew)
+        m_deps.group.notifyChanged();
+    runNextStep();
 }
 
-void TableFollower::readerFailed(const RowsReader &reader, ReaderFailure failure)
+void TableFollower::handleReaderFailure(const RowsReader &reader, ReaderFailure failure)
 {
-    // The store's link is wide. Who follows goes on with this reader afterwards.
-    if (failure == ReaderFailure::Busy && !m_parts.plan.isStoreFailing()) {
-        carryOut(AskStore{});
+    // The store has enough bandwidth. Only this read goes there; the next step is planned anew.
+    if (failure == ReaderFailure::Busy && !m_deps.plan.isStoreFailing()) {
+        execute(AskStore{});
         return;
     }
-    m_parts.plan.readerFailed(reader.host, failure, io::hostNow());
-    next();
+    m_deps.plan.readerFailed(reader.host, failure, io::hostNow());
+    runNextStep();
 }
 
-/** Takes in what another daemon told. \returns whether that is news. */
-bool TableFollower::adoptRelayed(RelayedRows rows, Instant asOf)
+/** Applies the answer of another daemon. \returns whether it changed or confirmed the rows. */
+bool TableFollower::applyRelayedRows(RelayedRows rows, Instant asOf)
 {
-    // One that knows less than this daemon has no rows for it, nor can tell that they still hold.
+    // A daemon with an older version has no new rows, and cannot confirm the rows held here.
     if (rows.version < m_rows.version())
         return false;
     const Instant now = io::hostNow();
-    const bool isAfterOutage = rows.isAfterOutage || wasAway(now);
-    const bool isNews =
-        rows.version > m_rows.version() || !m_rows.areKnown() || (m_isAllWanted && rows.isWhole);
-    if (!isNews && asOf <= m_knownAt)
+    const bool isAfterOutage = rows.isAfterOutage || isOutage(now);
+    const bool isNew = rows.version > m_rows.version() || !m_rows.isLoaded()
+        || (m_needsAllRows && rows.isComplete);
+    if (!isNew && asOf <= m_confirmedAt)
         return false;
-    const Instant unchangedUntil = m_knownAt;
-    noteKnown(asOf);
-    if (isNews) {
+    const Instant unchangedUntil = m_confirmedAt;
+    recordConfirmation(asOf);
+    if (isNew) {
         const platform::RowsOutcome outcome{{}, std::move(rows.rows), rows.version};
-        remember(outcome, rows.isWhole, isAfterOutage);
-        if (rows.isWhole || !outcome.rows.empty())
-            m_changed(
-                {outcome.rows, m_rows.version(), rows.isWhole, isAfterOutage, unchangedUntil});
+        updateRows(outcome, rows.isComplete, isAfterOutage);
+        if (rows.isComplete || !outcome.rows.empty())
+            m_changeHandler(
+                {outcome.rows, m_rows.version(), rows.isComplete, isAfterOutage, unchangedUntil});
     }
-    m_answered(asOf);
+    m_answerHandler(asOf);
     return true;
 }
 
-void TableFollower::noteKnown(Instant asOf)
+void TableFollower::recordConfirmation(Instant asOf)
 {
-    if (asOf <= m_knownAt)
+    if (asOf <= m_confirmedAt)
         return;
-    m_knownAt = asOf;
+    m_confirmedAt = asOf;
     m_isUnconfirmed = false;
 }
 
 void TableFollower::setSource(const std::string &source)
 {
     if (std::exchange(m_source, source) != source)
-        m_isFirstAtStore = source == storeSource;
+        m_isFirstStoreCall = source == storeSource;
 }
 
-/** Tells who has told of rows, if it is another one than before. */
+/** Logs the source of rows if it has changed. */
 void TableFollower::logSource()
 {
     if (std::exchange(m_loggedSource, m_source) == m_source)
@@ -197,199 +198,200 @@
     io::logEvent(LogLevel::Info, "rows-source",
                  {{"table", m_table},
                   {"source", m_source},
-                  {"reason", std::string{std::exchange(m_reason, "order")}},
-                  {"age-ms", io::millisecondsText(io::hostNow() - m_knownAt)}});
+                  {"reason", std::string{std::exchange(m_switchReason, "order")}},
+                  {"age-ms", io::millisecondsText(io::hostNow() - m_confirmedAt)}});
 }
 
-void TableFollower::taken(platform::RowsOutcome outcome, bool isWhole, Instant sentAt)
+void TableFollower::handleRowsResult(platform::RowsOutcome outcome, bool isComplete, Instant sentAt)
 {
     if (outcome.error == platform::StoreError::HistoryGone) {
         io::logEvent(LogLevel::Info, "store-history-gone", {{"table", m_table}});
-        m_parts.plan.storeAnswered();
-        m_isAllWanted = true;
-        read();
+        m_deps.plan.storeAnswered();
+        m_needsAllRows = true;
+        readAllRows();
         return;
     }
     if (outcome.error) {
-        failed(outcome.error);
+        handleStoreFailure(outcome.error);
         return;
     }
-    m_parts.plan.storeAnswered();
-    m_answered(adopt(std::move(outcome), isWhole, sentAt));
-    m_parts.group.published();
-    if (m_pace.pause > Duration::zero() && !isWhole)
-        m_parts.timers.after(m_pace.pause, [this](Instant) { next(); });
+    m_deps.plan.storeAnswered();
+    m_answerHandler(applyStoreRows(std::move(outcome), isComplete, sentAt));
+    m_deps.group.notifyChanged();
+    if (m_timings.pause > Duration::zero() && !isComplete)
+        m_deps.timers.after(m_timings.pause, [this](Instant) { runNextStep(); });
     else
-        next();
+        runNextStep();
 }
 
-/** Takes in an answer of the store. \returns an instant at which it held just these rows. */
-Instant TableFollower::adopt(platform::RowsOutcome outcome, bool isWhole, Instant sentAt)
+/** Applies an answer of the store. \returns an instant at which it held exactly these rows. */
+Instant TableFollower::applyStoreRows(platform::RowsOutcome outcome, bool isComplete,
+                                      Instant sentAt)
 {
     const Instant now = io::hostNow();
     const Instant givenAt =
-        outcome.storeTime ? m_parts.clock.givenAt(sentAt, now, *outcome.storeTime) : sentAt;
+        outcome.storeTime ? m_deps.clock.givenAt(sentAt, now, *outcome.storeTime) : sentAt;
     if (outcome.skipped > 0)
         io::logEvent(LogLevel::Error, "rows-unreadable",
                      {{"table", m_table}, {"count", std::to_string(outcome.skipped)}});
     const std::uint64_t storeVersion = outcome.version;
-    // What has come from elsewhere meanwhile must not be undone by a call that was sent before.
-    if (isWhole)
-        m_rows.bringUpToDate(outcome);
+    // The answer to an earlier call must not undo changes received from another source meanwhile.
+    if (isComplete)
+        m_rows.mergeLaterChanges(outcome);
     else if (outcome.version <= m_rows.version())
         outcome.rows.clear();
-    const bool isAfterOutage = wasAway(now);
-    const Instant unchangedUntil = m_knownAt;
-    noteKnown(givenAt);
+    const bool isAfterOutage = isOutage(now);
+    const Instant unchangedUntil = m_confirmedAt;
+    recordConfirmation(givenAt);
     if (m_source == storeSource)
         logSource();
-    recovered();
-    remember(outcome, isWhole, isAfterOutage);
-    if (isWhole || !outcome.rows.empty())
-        m_changed(
-            {std::move(outcome.rows), m_rows.version(), isWhole, isAfterOutage, unchangedUntil});
-    m_parts.group.noteStoreVersion(storeVersion, givenAt);
+    leaveFailing();
+    updateRows(outcome, isComplete, isAfterOutage);
+    if (isComplete || !outcome.rows.empty())
+        m_changeHandler(
+            {std::move(outcome.rows), m_rows.version(), isComplete, isAfterOutage, unchangedUntil});
+    m_deps.group.applyStoreVersion(storeVersion, givenAt);
     return givenAt;
 }
 
-/** Sees to it that the rows are confirmed, and that it shows when they can't be. */
-void TableFollower::look(Instant now)
+/** Requests a confirmation of rows that are too old, and records when none can be had. */
+void TableFollower::checkAge(Instant now)
 {
-    // Where the loop was held up, answers may be there that are yet to be taken: one look is
+    // If the loop was blocked, answers may have arrived that are not processed yet, so one check is
     // skipped.
-    const bool wasHeldUp = now - std::exchange(m_lookedAt, now) > 2 * lookEvery;
-    m_isLookSkipped = wasHeldUp && !m_isLookSkipped;
-    if (!m_rows.areKnown() || m_isFailing || m_isLookSkipped)
+    const bool wasHeldUp = now - std::exchange(m_checkedAt, now) > 2 * checkInterval;
+    m_isCheckSkipped = wasHeldUp && !m_isCheckSkipped;
+    if (!m_rows.isLoaded() || m_isFailing || m_isCheckSkipped)
         return;
-    const Duration age = now - m_knownAt;
-    if (m_source == storeSource && age >= m_pace.confirmAfter && !m_confirmingSince)
+    const Duration age = now - m_confirmedAt;
+    if (m_source == storeSource && age >= m_timings.confirmAfter && !m_confirmingSince)
         confirmAtStore(now);
-    if (!m_pace.confirmation)
+    if (!m_timings.confirmation)
         return;
     if (m_confirmingSince) {
-        const bool isLate = now - *m_confirmingSince >= m_pace.confirmation->within;
-        if (isLate && age >= m_pace.confirmation->after)
+        const bool isLate = now - *m_confirmingSince >= m_timings.confirmation->answerTimeout;
+        if (isLate && age >= m_timings.confirmation->askStoreAfter)
             m_isUnconfirmed = true;
         return;
     }
-    if (m_source == storeSource || age < m_pace.confirmation->askBesideAfter)
+    if (m_source == storeSource || age < m_timings.confirmation->askAlternatesAfter)
         return;
-    const bool isAskingOthers = askBeside(now);
-    if (!isAskingOthers || age >= m_pace.confirmation->after)
+    const bool isAskingAlternates = askAlternates(now);
+    if (!isAskingAlternates || age >= m_timings.confirmation->askStoreAfter)
         confirmAtStore(now);
 }
 
-/** Asks others than the one that is waited for. \returns whether any is being asked. */
-bool TableFollower::askBeside(Instant now)
+/** Asks daemons other than the silent source. \returns whether any request is pending. */
+bool TableFollower::askAlternates(Instant now)
 {
-    if (m_askedBeside > 0)
+    if (m_pendingAlternates > 0)
         return true;
-    const FollowQuestion question{m_table, m_rows.version(), now - m_knownAt};
-    for (const RowsReader &reader : m_parts.plan.readersBeside(HostName{m_source}, now)) {
-        ++m_askedBeside;
-        m_parts.relay.askBeside(
-            reader.address, question, [this, host = reader.host](FollowAnswer answer) {
-                --m_askedBeside;
+    const FollowRequest request{m_table, m_rows.version(), now - m_confirmedAt};
+    for (const RowsReader &reader : m_deps.plan.readersBeside(HostName{m_source}, now)) {
+        ++m_pendingAlternates;
+        m_deps.rowsClient.askAlternate(
+            reader.address, request, [this, host = reader.host](FollowAnswer answer) {
+                --m_pendingAlternates;
                 if (!answer.rows && answer.failure != ReaderFailure::Busy)
-                    m_parts.plan.readerFailed(host, ReaderFailure::Refused, io::hostNow());
-                else if (answer.rows && adoptRelayed(std::move(*answer.rows), answer.asOf))
-                    m_parts.group.published();
+                    m_deps.plan.readerFailed(host, ReaderFailure::Refused, io::hostNow());
+                else if (answer.rows && applyRelayedRows(std::move(*answer.rows), answer.asOf))
+                    m_deps.group.notifyChanged();
             });
     }
-    return m_askedBeside > 0;
+    return m_pendingAlternates > 0;
 }
 
 void TableFollower::confirmAtStore(Instant now)
 {
-    if (!m_parts.plan.mayAskStore(now)) {
+    if (!m_deps.plan.mayAskStore(now)) {
         m_isUnconfirmed = true;
         return;
     }
-    // A store that is silent is silent about all tables: one call finds out.
-    if (m_parts.group.isConfirming(now))
+    // A store that does not answer affects all tables, so one call at a time is enough.
+    if (m_deps.group.isConfirming(now))
         return;
-    const Duration age = now - m_knownAt;
-    if (m_pace.confirmation && age >= m_pace.confirmation->askBesideAfter)
+    const Duration age = now - m_confirmedAt;
+    if (m_timings.confirmation && age >= m_timings.confirmation->askAlternatesAfter)
         io::logEvent(
             LogLevel::Warning, "rows-old",
             {{"table", m_table}, {"source", m_source}, {"age-ms", io::millisecondsText(age)}});
-    confirm();
+    requestConfirmation();
 }
 
 bool TableFollower::isConfirming(Instant now) const
 {
-    return m_confirmingSince && now - *m_confirmingSince < confirmPatience;
+    return m_confirmingSince && now - *m_confirmingSince < confirmTimeout;
 }
 
-void TableFollower::noteStoreVersion(std::uint64_t version, Instant givenAt)
+void TableFollower::applyStoreVersion(std::uint64_t version, Instant givenAt)
 {
-    if (!m_rows.areKnown() || version != m_rows.version() || givenAt <= m_knownAt)
+    if (!m_rows.isLoaded() || version != m_rows.version() || givenAt <= m_confirmedAt)
         return;
-    noteKnown(givenAt);
-    m_answered(givenAt);
+    recordConfirmation(givenAt);
+    m_answerHandler(givenAt);
 }
 
-void TableFollower::confirm()
+void TableFollower::requestConfirmation()
 {
-    if (m_confirmingSince || !m_rows.areKnown() || m_isFailing || m_isReading)
+    if (m_confirmingSince || !m_rows.isLoaded() || m_isFailing || m_isReading)
         return;
     const Instant sentAt = io::hostNow();
     m_confirmingSince = sentAt;
-    m_waitDoubted = m_wait;
-    m_parts.store.follow(m_table, m_rows.version(), Duration::zero(),
-                         [this, sentAt](platform::RowsOutcome outcome) {
-                             m_confirmingSince.reset();
-                             confirmed(std::move(outcome), sentAt);
-                         });
+    m_suspectWait = m_waitCall;
+    m_deps.store.follow(m_table, m_rows.version(), Duration::zero(),
+                        [this, sentAt](platform::RowsOutcome outcome) {
+                            m_confirmingSince.reset();
+                            handleConfirmation(std::move(outcome), sentAt);
+                        });
 }
 
-void TableFollower::confirmed(platform::RowsOutcome outcome, Instant sentAt)
+void TableFollower::handleConfirmation(platform::RowsOutcome outcome, Instant sentAt)
 {
-    const bool isWaitDoubted = m_wait && m_wait == m_waitDoubted;
+    const bool isWaitSuspect = m_waitCall && m_waitCall == m_suspectWait;
     if (outcome.error) {
-        m_parts.plan.storeFailed(io::hostNow());
+        m_deps.plan.storeFailed(io::hostNow());
         m_isUnconfirmed = true;
-        if (isWaitDoubted)
-            askAnew();
+        if (isWaitSuspect)
+            rereadFromStore();
         return;
     }
-    m_parts.plan.storeAnswered();
+    m_deps.plan.storeAnswered();
     if (m_isFailing || m_isReading)
         return;
-    const bool isNews = !outcome.rows.empty();
-    m_answered(adopt(std::move(outcome), false, sentAt));
-    m_parts.group.published();
-    if (!isWaitDoubted || !isNews)
+    const bool isNew = !outcome.rows.empty();
+    m_answerHandler(applyStoreRows(std::move(outcome), false, sentAt));
+    m_deps.group.notifyChanged();
+    if (!isWaitSuspect || !isNew)
         return;
-    // The wait should have brought that: its answer may be lost.
-    m_parts.store.cancel(*m_wait);
+    // The pending wait should have returned these rows, so its answer may be lost.
+    m_deps.store.cancel(*m_waitCall);
     followStore();
 }
 
-void TableFollower::askAnew()
+void TableFollower::rereadFromStore()
 {
-    if (!m_wait)
+    if (!m_waitCall)
         return;
-    m_parts.store.cancel(*m_wait);
-    m_wait.reset();
-    failed(platform::StoreError::Unknown);
+    m_deps.store.cancel(*m_waitCall);
+    m_waitCall.reset();
+    handleStoreFailure(platform::StoreError::Unknown);
 }
 
-void TableFollower::failed(std::error_code error)
+void TableFollower::handleStoreFailure(std::error_code error)
 {
-    m_parts.plan.storeFailed(io::hostNow());
-    // Changes may have been missed: everything is read again.
-    m_isAllWanted = true;
-    m_reason = "store-failed";
-    const bool isFirst = noteLost(error.message());
+    m_deps.plan.storeFailed(io::hostNow());
+    // Changes may have been missed, so the complete table is read again.
+    m_needsAllRows = true;
+    m_switchReason = "store-failed";
+    const bool isFirst = enterFailing(error.message());
     if (isFirst && error == platform::StoreError::Unknown)
-        m_parts.group.storeSilent(*this);
-    m_parts.group.published();
-    next();
+        m_deps.group.handleStoreTimeout(*this);
+    m_deps.group.notifyChanged();
+    runNextStep();
 }
 
-/** Notes that nothing is heard of changes. \returns whether that is news. */
-bool TableFollower::noteLost(std::string_view reason)
+/** Records that no source supplies changes. \returns whether one did before. */
+bool TableFollower::enterFailing(std::string_view reason)
 {
     if (std::exchange(m_isFailing, true))
         return false;
@@ -400,26 +402,27 @@
     return true;
 }
 
-/** Notes that the store's word has come, here or by another daemon. */
-void TableFollower::recovered()
+/** Records that the store has answered, directly or through another daemon. */
+void TableFollower::leaveFailing()
 {
     if (std::exchange(m_isFailing, false))
         io::logEvent(LogLevel::Info, "store-regained", {{"table", m_table}, {"by", m_source}});
 }
 
-/** \returns whether nobody told of rows for so long that rows may have lapsed. */
-bool TableFollower::wasAway(Instant now) const
+/** \returns whether no source has answered for so long that rows may have expired. */
+bool TableFollower::isOutage(Instant now) const
 {
-    return m_isFailing && now - m_failingSince > outage;
+    return m_isFailing && now - m_failingSince > outageThreshold;
 }
 
-void TableFollower::remember(const platform::RowsOutcome &outcome, bool isWhole, bool isAfterOutage)
+void TableFollower::updateRows(const platform::RowsOutcome &outcome, bool isComplete,
+                               bool isAfterOutage)
 {
-    if (isWhole) {
-        m_rows.takeAll(outcome, isAfterOutage);
-        m_isAllWanted = false;
+    if (isComplete) {
+        m_rows.replaceAll(outcome, isAfterOutage);
+        m_needsAllRows = false;
     } else {
-        m_rows.takeChanges(outcome);
+        m_rows.applyChanges(outcome);
     }
 }
 
@@ -427,31 +430,32 @@
 {
     if (!m_isFailing)
         return;
-    m_parts.relay.ask({m_table, m_rows.version()}, [this](FollowAnswer answer) {
-        // One that lost the store as well tells what it knew; whoever serves rows is followed.
+    m_deps.rowsClient.ask({m_table, m_rows.version()}, [this](FollowAnswer answer) {
+        // The rows may be old, as that daemon may have lost the store as well. They are used, but
+        // only a daemon that serves rows becomes the source.
         if (m_isFailing && answer.rows)
-            adoptRelayed(std::move(*answer.rows), answer.asOf);
+            applyRelayedRows(std::move(*answer.rows), answer.asOf);
     });
-    m_parts.timers.after(askPeersEvery, [this](Instant) { askPeers(); });
+    m_deps.timers.after(askPeersInterval, [this](Instant) { askPeers(); });
 }
 
 bool TableFollower::isServing() const
 {
-    return m_parts.group.isServing() && !m_parts.plan.isStoreFailing();
+    return m_deps.group.isServing() && !m_deps.plan.isStoreFailing();
 }
 
 bool TableFollower::isFresh(Instant now) const
 {
-    return m_rows.areKnown()
-        && (!m_pace.confirmation || now - m_knownAt < m_pace.confirmation->after);
+    return m_rows.isLoaded()
+        && (!m_timings.confirmation || now - m_confirmedAt < m_timings.confirmation->askStoreAfter);
 }
 
 RelayedRows TableFollower::rowsSince(std::uint64_t version, Instant askedAt) const
 {
-    RelayedRows told = m_rows.since(version);
-    told.age = askedAt - m_knownAt;
-    told.chain = m_chain;
-    return told;
+    RelayedRows result = m_rows.since(version);
+    result.age = askedAt - m_confirmedAt;
+    result.chain = m_chainLength;
+    return result;
 }
 
 } // namespace bulrush
--- a/src/libbulrushentry/tablefollower.h
+++ b/src/libbulrushentry/tablefollower.h
@@ -6,7 +6,7 @@
 #include "process/followplan.h"
 #include "process/looptimers.h"
 #include "process/storeclock.h"
-#include "rowsrelay.h"
+#include "rowsclient.h"
 
 #include <functional>
 #include <optional>
@@ -16,59 +16,62 @@
 
 namespace bulrush {
 
-/** Rows of a table: all there are, or those that have changed. */
+/** Rows of a table: the complete table, or only the rows that changed. */
 struct TableChange
 {
     std::vector<platform::StoreRow> rows;
-    /** Of the store, up to which all changes are known with these. */
+    /** The store version that the table has reached with these rows. */
     std::uint64_t version = 0;
-    bool isWhole = false;
-    /** The store could not be reached before; rows may have lapsed meanwhile. */
+    bool isComplete = false;
+    /** The store was unreachable before, so that rows may have expired in the meantime. */
     bool isAfterOutage = false;
-    /** At that instant the store was known to hold the rows as they were before these. */
+    /** The last instant at which the store was confirmed to hold the previous rows. */
     Instant unchangedUntil;
 };
 
-/** How soon a table's rows are confirmed elsewhere when whoever should tell of them is silent. */
-struct Confirmation
+/** When to confirm a table's rows with another source while the current source is silent. */
+struct ConfirmationDelays
 {
-    /** After this without an answer another daemon is asked, beside any call that waits, */
-    Duration askBesideAfter;
-    /** and after this the store. */
-    Duration after;
-    /** For the store's answer; without one it counts as away. */
-    Duration within;
+    /** Age of the rows at which other daemons are asked, in parallel with any pending call. */
+    Duration askAlternatesAfter;
+    /** Age of the rows at which the store is asked. */
+    Duration askStoreAfter;
+    /** The store counts as unreachable if it does not answer a confirmation within this time. */
+    Duration answerTimeout;
 };
 
-/** How a table is followed: a matter of how soon changes are known and what the calls cost. */
-struct FollowPace
+/** Timing of following a table: trades how soon changes arrive against the cost of calls. */
+struct FollowTimings
 {
-    /** How long the store may hold a call without changes. */
+    /** How long the store may hold a call while there are no changes. */
     Duration wait;
-    /** Between a change and the next call, so that one call brings several changes. */
+    /** Between a change and the next call, so that one call returns several changes. */
     Duration pause;
-    /** Who reads the store asks it again after this without word, as its wait may be lost. */
+    /**
+     * A daemon that reads from the store asks again after this time without an answer, because the
+     * pending wait may be lost.
+     */
     Duration confirmAfter;
-    /** Of tables whose age binds. */
-    std::optional<Confirmation> confirmation = std::nullopt;
+    /** For tables whose age is limited. */
+    std::optional<ConfirmationDelays> confirmation = std::nullopt;
 };
 
-/** What all followers of a daemon share. */
-struct FollowParts
+/** The objects that all followers of a daemon share. */
+struct FollowerDependencies
 {
     platform::StoreClient &store;
     io::LoopTimers &timers;
-    RowsRelay &relay;
+    RowsClient &rowsClient;
     StoreClock &clock;
     FollowPlan &plan;
     FollowerGroup &group;
 };
 
 /**
- * Keeps up with one table of the store: reads it, then waits for changes, and starts over where
- * changes may have been missed. FollowPlan tells where: at the store, or at another daemon of the
- * failure domain. While nobody of the failure domain has rows to tell, daemons elsewhere are asked
- * for those that they know.
+ * Follows one table of the store: reads it, waits for changes, and reads it again if changes may
+ * have been missed. FollowPlan selects the source: the store, or another daemon of the failure
+ * domain. While no daemon of the failure domain can serve rows, daemons of other failure domains
+ * are asked for theirs.
  *
  * Used on the loop's thread; the handlers run there.
  */
@@ -76,141 +79,142 @@
 {
 public:
     using ChangeHandler = std::function<void(const TableChange &)>;
-    /** Told of each answer of the store, with an instant before which it was not given. */
+    /** Called for each answer of the store, with an instant that is no later than the answer. */
     using AnswerHandler = std::function<void(Instant givenAt)>;
 
-    /** Failures that last this long count as an outage, in which rows may lapse. */
-    static constexpr Duration outage = std::chrono::seconds{1};
-    /** Daemons elsewhere are asked this often while nobody else tells of rows. */
-    static constexpr Duration askPeersEvery = std::chrono::milliseconds{450};
-    /** An answer to a confirmation comes within this, or others may try. */
-    static constexpr Duration confirmPatience = std::chrono::milliseconds{400};
-    /** How often the age of rows that have to be confirmed is looked at. */
-    static constexpr Duration lookEvery = std::chrono::milliseconds{50};
+    /** Failures that last longer than this count as an outage, in which rows may expire. */
+    static constexpr Duration outageThreshold = std::chrono::seconds{1};
+    /** Interval at which daemons of other failure domains are asked while all sources fail. */
+    static constexpr Duration askPeersInterval = std::chrono::milliseconds{450};
+    /** If a confirmation takes longer than this, other followers may request one, too. */
+    static constexpr Duration confirmTimeout = std::chrono::milliseconds{400};
+    /** Interval at which the age of the rows is checked. */
+    static constexpr Duration checkInterval = std::chrono::milliseconds{50};
     /**
-     * Daemons between the store and this one, at most. While two that follow each other by rows
-     * that differ take turns, each counts one more than the other, so that it ends here.
+     * Maximum number of daemons between the store and this one. If two daemons follow each other,
+     * which can happen while their rows differ, each reports a chain one longer than the other's;
+     * this limit breaks the cycle.
      */
-    static constexpr unsigned longestChain = 4;
+    static constexpr unsigned maxChainLength = 4;
 
     /**
-     * One that has told less than is known here is asked again after this: it would answer at once,
-     * with all rows if these are wanted, some 140 KB of 480 servers.
+     * Delay before the next request to a reader whose rows are older than those here. Such a reader
+     * answers at once, and with all rows if these are requested: some 140 KB for 480 servers.
      */
-    static constexpr Duration behindPause = std::chrono::milliseconds{200};
+    static constexpr Duration behindRetryDelay = std::chrono::milliseconds{200};
 
-    /** \pre the parts outlive this object */
-    TableFollower(const FollowParts &parts, std::string table, FollowPace pace);
+    /** \pre the dependencies outlive this object */
+    TableFollower(const FollowerDependencies &deps, std::string table, FollowTimings timings);
 
     TableFollower(const TableFollower &) = delete;
     TableFollower &operator=(const TableFollower &) = delete;
 
-    /** Starts to follow. Called once. */
+    /** Starts to follow the table. Call it or startWithStore() once. */
     void start(ChangeHandler changed, AnswerHandler answered);
 
-    /** The same, but reads the store at once, whatever the plan says. Called once. */
-    void startAtStore(ChangeHandler changed, AnswerHandler answered);
+    /** As start(), but reads from the store first, whatever the plan says. */
+    void startWithStore(ChangeHandler changed, AnswerHandler answered);
 
-    /** Gives up a wait for changes at the store, which may be lost, and reads all rows. */
-    void askAnew();
+    /** Cancels a pending wait at the store, which may be lost, and reads all rows. */
+    void rereadFromStore();
 
-    /** Notes that no table has changed after \a version, as the store told at \a givenAt. */
-    void noteStoreVersion(std::uint64_t version, Instant givenAt);
+    /** Records that no table has changed after \a version, which the store sent at \a givenAt. */
+    void applyStoreVersion(std::uint64_t version, Instant givenAt);
 
-    /** \returns whether the store is being asked if the rows still hold, and may yet answer. */
+    /** \returns whether a confirmation by the store is pending and has not timed out. */
     bool isConfirming(Instant now) const;
 
-    /** \returns whether the last call failed, and nobody else has told of rows since. */
-    bool isCutOff() const;
+    /** \returns whether the last call failed and no other source has answered since. */
+    bool isFailing() const;
 
-    /** \returns whether nothing newer than what is known is to be had from the store now. */
-    bool isStoreAway() const;
+    /** \returns whether the store cannot confirm or update the rows at present. */
+    bool isStoreUnreachable() const;
 
-    /** \returns when the store, asked here or by another daemon, told last that rows are so. */
-    Instant knownAt() const;
+    /** \returns when the store last confirmed the rows, directly or through another daemon. */
+    Instant confirmedAt() const;
 
-    /** \returns whether the rows are known, and well enough to be told to others. */
+    /** \returns whether the rows are loaded and recent enough to be served to other daemons. */
     bool isFresh(Instant now) const;
 
-    /** \returns whom changes come from: "store", or a host. */
+    /** \returns the current source of changes: "store", or a host. */
     const std::string &source() const;
 
     const std::string &table() const;
 
-    /** \returns whether the rows are known. */
+    /** \returns whether the rows are loaded. */
     bool hasRows() const;
 
-    /** \returns whether other daemons are served rows, once they are fresh. */
+    /** \returns whether this daemon serves rows to others, provided that they are fresh. */
     bool isServing() const;
 
-    /** \returns the version of the store up to which the rows are known. */
+    /** \returns the store version of the rows. */
     std::uint64_t version() const;
 
-    /** \returns what has changed after \a version, or all rows. \pre hasRows() */
+    /** \returns the changes after \a version, or all rows. \pre hasRows() */
     RelayedRows rowsSince(std::uint64_t version, Instant askedAt) const;
 
 private:
     void begin(ChangeHandler changed, AnswerHandler answered);
-    void next();
-    void carryOut(const AskStore &step);
-    void carryOut(const AskReader &step);
-    void carryOut(const AskLater &step);
-    void read();
+    void runNextStep();
+    void execute(const AskStore &step);
+    void execute(const AskReader &step);
+    void execute(const AskLater &step);
+    void readAllRows();
     void followStore();
-    void takenFromReader(const RowsReader &reader, FollowAnswer answer);
-    void readerFailed(const RowsReader &reader, ReaderFailure failure);
-    bool adoptRelayed(RelayedRows rows, Instant asOf);
+    void handleReaderAnswer(const RowsReader &reader, FollowAnswer answer);
+    void handleReaderFailure(const RowsReader &reader, ReaderFailure failure);
+    bool applyRelayedRows(RelayedRows rows, Instant asOf);
     void askPeers();
     void setSource(const std::string &source);
     void logSource();
-    void taken(platform::RowsOutcome outcome, bool isWhole, Instant sentAt);
-    void failed(std::error_code error);
-    bool noteLost(std::string_view reason);
-    void recovered();
-    void look(Instant now);
-    bool askBeside(Instant now);
-    void confirm();
+    void handleRowsResult(platform::RowsOutcome outcome, bool isComplete, Instant sentAt);
+    void handleStoreFailure(std::error_code error);
+    bool enterFailing(std::string_view reason);
+    void leaveFailing();
+    void checkAge(Instant now);
+    bool askAlternates(Instant now);
+    void requestConfirmation();
     void confirmAtStore(Instant now);
-    void confirmed(platform::RowsOutcome outcome, Instant sentAt);
-    Instant adopt(platform::RowsOutcome outcome, bool isWhole, Instant sentAt);
-    void remember(const platform::RowsOutcome &outcome, bool isWhole, bool isAfterOutage);
-    void noteKnown(Instant asOf);
-    bool wasAway(Instant now) const;
+    void handleConfirmation(platform::RowsOutcome outcome, Instant sentAt);
+    Instant applyStoreRows(platform::RowsOutcome outcome, bool isComplete, Instant sentAt);
+    void updateRows(const platform::RowsOutcome &outcome, bool isComplete, bool isAfterOutage);
+    void recordConfirmation(Instant asOf);
+    bool isOutage(Instant now) const;
 
-    FollowParts m_parts;
+    FollowerDependencies m_deps;
     std::string m_table;
-    FollowPace m_pace;
-    ChangeHandler m_changed;
-    AnswerHandler m_answered;
+    FollowTimings m_timings;
+    ChangeHandler m_changeHandler;
+    AnswerHandler m_answerHandler;
     KnownRows m_rows;
-    /** Whom changes come from: "store", or a host. */
+    /** The current source of changes: "store", or a host. */
     std::string m_source;
-    /** The one that told of rows last, as it was logged. */
+    /** The last source of rows that was logged. */
     std::string m_loggedSource;
-    /** Why the one before it is not asked. */
-    std::string_view m_reason = "start";
-    /** The store was not asked yet since changes come from there. */
-    bool m_isFirstAtStore = false;
-    /** Daemons between the store and this one. */
-    unsigned m_chain = 0;
-    /** When the store, asked here or by another daemon, told last that there are no other rows. */
-    Instant m_knownAt;
-    /** Changes may have been missed: the next rows have to be all there are. */
-    bool m_isAllWanted = false;
-    /** The wait for changes at the store, while there is one. */
-    std::optional<platform::StoreClient::CallId> m_wait;
+    /** Why the previous source is no longer used. */
+    std::string_view m_switchReason = "start";
+    /** No call has been sent to the store since it became the source. */
+    bool m_isFirstStoreCall = false;
+    /** Number of daemons between the store and this one. */
+    unsigned m_chainLength = 0;
+    /** When the store last confirmed the rows, directly or through another daemon. */
+    Instant m_confirmedAt;
+    /** Changes may have been missed, so that the complete table has to be read next. */
+    bool m_needsAllRows = false;
+    /** The pending wait for changes at the store, if any. */
+    std::optional<platform::StoreClient::CallId> m_waitCall;
     Instant m_failingSince;
     bool m_isFailing = false;
-    /** When the age of the rows was looked at last. */
-    Instant m_lookedAt;
-    bool m_isLookSkipped = false;
-    /** How many daemons are being asked beside the one that is waited for. */
-    std::size_t m_askedBeside = 0;
-    /** When the confirmation that there is no answer to yet was asked for. */
+    /** When the age of the rows was last checked. */
+    Instant m_checkedAt;
+    bool m_isCheckSkipped = false;
+    /** Number of pending requests to daemons other than the current source. */
+    std::size_t m_pendingAlternates = 0;
+    /** When the pending confirmation was requested, if any. */
     std::optional<Instant> m_confirmingSince;
-    /** The wait that stood when it was asked for. */
-    std::optional<platform::StoreClient::CallId> m_waitDoubted;
-    /** A confirmation got no answer in time, or was refused, and nothing was heard since. */
+    /** The wait that was pending when the confirmation was requested. */
+    std::optional<platform::StoreClient::CallId> m_suspectWait;
+    /** A confirmation failed or timed out, and nothing has confirmed the rows since. */
     bool m_isUnconfirmed = false;
     bool m_isReading = false;
 };
@@ -222,7 +226,7 @@
 
 inline bool TableFollower::hasRows() const
 {
-    return m_rows.areKnown();
+    return m_rows.isLoaded();
 }
 
 inline std::uint64_t TableFollower::version() const
@@ -230,19 +234,19 @@
     return m_rows.version();
 }
 
-inline bool TableFollower::isCutOff() const
+inline bool TableFollower::isFailing() const
 {
     return m_isFailing;
 }
 
-inline bool TableFollower::isStoreAway() const
+inline bool TableFollower::isStoreUnreachable() const
 {
     return m_isFailing || m_isUnconfirmed;
 }
 
-inline Instant TableFollower::knownAt() const
+inline Instant TableFollower::confirmedAt() const
 {
-    return m_knownAt;
+    return m_confirmedAt;
 }
 
 inline const std::string &TableFollower::source() const
--- a/tests/knownrows/test_knownrows.cpp
+++ b/tests/knownrows/test_knownrows.cpp
@@ -42,63 +42,63 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(othersAreToldWhatHasChangedSinceTheirVersion)
+BOOST_AUTO_TEST_CASE(sinceReturnsChangesAfterAVersion)
 {
     KnownRows rows;
-    BOOST_TEST(!rows.areKnown());
+    BOOST_TEST(!rows.isLoaded());
     BOOST_TEST(rows.version() == 0U);
-    rows.takeAll(rowsAt(10, {row("a", 3), row("b", 7)}), false);
-    rows.takeChanges(rowsAt(14, {row("a", 12), removed("b", 13)}));
+    rows.replaceAll(rowsAt(10, {row("a", 3), row("b", 7)}), false);
+    rows.applyChanges(rowsAt(14, {row("a", 12), removed("b", 13)}));
     const RelayedRows changes = rows.since(10);
-    BOOST_TEST(!changes.isWhole);
+    BOOST_TEST(!changes.isComplete);
     BOOST_TEST(changes.version == 14U);
     BOOST_TEST(changes.rows.size() == 2U);
     const RelayedRows all = rows.since(9);
-    BOOST_TEST(all.isWhole);
+    BOOST_TEST(all.isComplete);
     BOOST_TEST((versionsOf(all.rows) == Versions{{"a", 12}}));
 }
 
-BOOST_AUTO_TEST_CASE(rowsThatWereReadEarlierDontTakeBackLaterChanges)
+BOOST_AUTO_TEST_CASE(olderReadKeepsLaterChanges)
 {
     KnownRows rows;
-    rows.takeAll(rowsAt(10, {row("a", 3), row("b", 7), row("c", 8)}), false);
-    rows.takeChanges(rowsAt(20, {row("a", 18), removed("b", 19)}));
+    rows.replaceAll(rowsAt(10, {row("a", 3), row("b", 7), row("c", 8)}), false);
+    rows.applyChanges(rowsAt(20, {row("a", 18), removed("b", 19)}));
     platform::RowsOutcome read = rowsAt(15, {row("a", 3), row("b", 7), row("d", 15)});
-    rows.bringUpToDate(read);
+    rows.mergeLaterChanges(read);
     BOOST_TEST(read.version == 20U);
     BOOST_TEST((versionsOf(read.rows) == Versions{{"a", 18}, {"d", 15}}));
 }
 
-BOOST_AUTO_TEST_CASE(rowsThatWereReadBeforeAllKnownOnesGiveWayToThem)
+BOOST_AUTO_TEST_CASE(readOlderThanTheTableIsReplacedByIt)
 {
     KnownRows rows;
-    rows.takeAll(rowsAt(20, {row("a", 18)}), false);
+    rows.replaceAll(rowsAt(20, {row("a", 18)}), false);
     platform::RowsOutcome read = rowsAt(15, {row("a", 3), row("b", 7)});
-    rows.bringUpToDate(read);
+    rows.mergeLaterChanges(read);
     BOOST_TEST(read.version == 20U);
     BOOST_TEST((versionsOf(read.rows) == Versions{{"a", 18}}));
 }
 
-BOOST_AUTO_TEST_CASE(rowsThatWereReadLaterStayAsTheyAre)
+BOOST_AUTO_TEST_CASE(newerReadIsLeftUnchanged)
 {
     KnownRows rows;
-    rows.takeAll(rowsAt(20, {row("a", 18), row("b", 19)}), false);
+    rows.replaceAll(rowsAt(20, {row("a", 18), row("b", 19)}), false);
     platform::RowsOutcome read = rowsAt(22, {row("a", 21)});
-    rows.bringUpToDate(read);
+    rows.mergeLaterChanges(read);
     BOOST_TEST(read.version == 22U);
     BOOST_TEST((versionsOf(read.rows) == Versions{{"a", 21}}));
 }
 
-BOOST_AUTO_TEST_CASE(tooManyRemovedRowsAreForgottenSoThatOthersAreToldAll)
+BOOST_AUTO_TEST_CASE(sinceReturnsAllRowsAfterTooManyRemovals)
 {
     KnownRows rows;
-    rows.takeAll(rowsAt(1, {row("a", 1)}), true);
+    rows.replaceAll(rowsAt(1, {row("a", 1)}), true);
     std::vector<platform::StoreRow> many;
-    for (std::size_t i = 0; i <= KnownRows::mostRemoved; ++i)
+    for (std::size_t i = 0; i <= KnownRows::maxRemoved; ++i)
         many.push_back(removed("r" + std::to_string(i), 2));
-    rows.takeChanges(rowsAt(2, many));
-    const RelayedRows told = rows.since(1);
-    BOOST_TEST(told.isWhole);
-    BOOST_TEST(told.isAfterOutage);
-    BOOST_TEST((versionsOf(told.rows) == Versions{{"a", 1}}));
+    rows.applyChanges(rowsAt(2, many));
+    const RelayedRows result = rows.since(1);
+    BOOST_TEST(result.isComplete);
+    BOOST_TEST(result.isAfterOutage);
+    BOOST_TEST((versionsOf(result.rows) == Versions{{"a", 1}}));
 }
