--- a/src/libbulrushentry/crashcontrol.cpp
+++ b/src/libbulrushentry/crashcontrol.cpp
@@ -20,7 +20,7 @@
     return std::string{crashPrefix} + host.value();
 }
 
-std::string textOf(const std::vector<ServerName> &servers)
+std::string joinNames(const std::vector<ServerName> &servers)
 {
     std::string text;
     for (const ServerName &server : servers)
@@ -30,75 +30,75 @@
 
 } // namespace
 
-CrashControl::CrashControl(const FollowerDependencies &parts, const HostName &self,
+CrashControl::CrashControl(const FollowerDependencies &deps, const HostName &self,
                            QuarantineHandler publish)
-    : m_store(parts.store)
-    , m_plan(parts.plan)
+    : m_store(deps.store)
+    , m_plan(deps.plan)
     , m_self(self)
     , m_publish(std::move(publish))
-    , m_ledger(self)
+    , m_crashes(self)
 { }
 
-void CrashControl::takeRows(const TableChange &change)
+void CrashControl::applyRows(const TableChange &change)
 {
     const Instant now = io::hostNow();
     for (const platform::StoreRow &row : change.rows) {
         if (row.key.starts_with(crashPrefix))
-            takeRow(row, now);
+            applyRow(row, now);
     }
     if (change.isComplete)
-        noteMissing(change, now);
-    m_ledger.rowsSeen();
+        applyMissingRows(change, now);
+    m_crashes.rowsSeen();
     advance(now);
 }
 
-void CrashControl::takeRow(const platform::StoreRow &row, Instant now)
+void CrashControl::applyRow(const platform::StoreRow &row, Instant now)
 {
     std::optional<CrashRow> decoded;
     if (!row.isRemoved) {
         decoded = io::decodeCrashRow(row.value);
         if (!decoded)
             io::logEvent(LogLevel::Error, "crash-row-unreadable", {{"row", row.key}});
-        // The row is there all the same, and its version is needed to write it anew.
+        // The row exists even if it can't be decoded; its version is needed to overwrite it.
         decoded = decoded.value_or(CrashRow{});
     }
     const HostName host{row.key.substr(crashPrefix.size())};
-    m_ledger.rowSeen(host, row.version, std::move(decoded), now);
+    m_crashes.rowSeen(host, row.version, std::move(decoded), now);
 }
 
-void CrashControl::noteMissing(const TableChange &change, Instant now)
+void CrashControl::applyMissingRows(const TableChange &change, Instant now)
 {
-    std::vector<HostName> hosts = m_ledger.hosts();
+    std::vector<HostName> hosts = m_crashes.hosts();
     hosts.push_back(m_self);
     for (const HostName &host : hosts) {
         if (std::ranges::find(change.rows, rowKey(host), &platform::StoreRow::key)
             == change.rows.end())
-            m_ledger.rowSeen(host, change.version, std::nullopt, now);
+            m_crashes.rowSeen(host, change.version, std::nullopt, now);
     }
 }
 
 void CrashControl::setDaemons(std::vector<HostName> daemons)
 {
-    m_ledger.setDaemons(std::move(daemons));
+    m_crashes.setDaemons(std::move(daemons));
 }
 
-void CrashControl::reported(const std::vector<CrashReport> &reports)
+void CrashControl::applyReports(const std::vector<CrashReport> &reports)
 {
     const Instant now = io::hostNow();
-    m_ledger.reported(reports, now);
+    m_crashes.reported(reports, now);
     advance(now);
 }
 
-void CrashControl::answered(const RequestFingerprint &request)
+void CrashControl::recordAnswer(const RequestFingerprint &request)
 {
     const Instant now = io::hostNow();
-    m_ledger.answered(request, now);
+    m_crashes.answered(request, now);
     advance(now);
 }
 
 bool CrashControl::lift(const RequestFingerprint &request)
 {
-    const bool isLifted = m_ledger.lift(request);
+    const bool isLifted = m_crashes.lift(request);
     io::logEvent(LogLevel::Info, "quarantine-lifted",
                  {{"request", request.toString()}, {"known", isLifted ? "yes" : "no"}});
     advance(io::hostNow());
@@ -110,19 +110,19 @@
     std::string text;
     for (const auto &[request, suspect] : m_quarantine->requests())
         text += request.toString() + (suspect.isBlocked() ? " blocked " : " suspect ")
-            + textOf(suspect.servers) + '\n';
+            + joinNames(suspect.servers) + '\n';
     return text;
 }
 
 void CrashControl::advance(Instant now)
 {
-    // Refused calls are paid for as well: while the store turns this daemon away, reports wait.
+    // Refused calls cost money as well, so reports wait while the store refuses this daemon.
     if (!m_plan.isStoreFailing()) {
-        if (const auto action = m_ledger.dueWrite(now))
+        if (const auto action = m_crashes.dueWrite(now))
             write(*action);
     }
-    if (auto next = m_ledger.changed(now)) {
-        logBlocked(*next);
+    if (auto next = m_crashes.changed(now)) {
+        logBlockChanges(*next);
         m_quarantine = next;
         m_publish(std::move(next));
     }
@@ -138,19 +138,19 @@
             io::logEvent(LogLevel::Warning, "crash-row-not-written",
                          {{"error", outcome.error.message()}});
         const Instant now = io::hostNow();
-        m_ledger.written(rowWriteEndOf(outcome.error), outcome.version, now);
+        m_crashes.written(rowWriteEndOf(outcome.error), outcome.version, now);
         advance(now);
     });
 }
 
-/** Tells of requests that are blocked or let through from now on. */
-void CrashControl::logBlocked(const Quarantine &next) const
+/** Logs requests that \a next blocks or unblocks. */
+void CrashControl::logBlockChanges(const Quarantine &next) const
 {
     for (const auto &[request, suspect] : next.requests()) {
         if (suspect.isBlocked() && !m_quarantine->blocks(request))
             io::logEvent(
                 LogLevel::Warning, "request-blocked",
-                {{"fingerprint", request.toString()}, {"servers", textOf(suspect.servers)}});
+                {{"fingerprint", request.toString()}, {"servers", joinNames(suspect.servers)}});
     }
     for (const auto &[request, suspect] : m_quarantine->requests()) {
         if (suspect.isBlocked() && !next.blocks(request))
--- a/src/libbulrushentry/crashcontrol.h
+++ b/src/libbulrushentry/crashcontrol.h
@@ -12,8 +12,8 @@
 namespace bulrush {
 
 /**
- * Carries out what CrashLedger decides: tells other daemons, by a row of the table that all follow,
- * under which requests servers ended here, and hands on which requests are kept from servers.
+ * Executes the decisions of CrashLedger: reports to other daemons, in a row of the table that all
+ * follow, during which requests servers crashed here, and publishes the requests to block.
  *
  * Used on the control thread.
  */
@@ -22,45 +22,44 @@
 public:
     using QuarantineHandler = std::function<void(std::shared_ptr<const Quarantine>)>;
 
-    /** \pre the parts outlive this object and its calls */
-    CrashControl(const FollowerDependencies &parts, const HostName &self,
-                 QuarantineHandler publish);
+    /** \pre the dependencies outlive this object and its calls */
+    CrashControl(const FollowerDependencies &deps, const HostName &self, QuarantineHandler publish);
 
     CrashControl(const CrashControl &) = delete;
     CrashControl &operator=(const CrashControl &) = delete;
 
-    /** Takes in rows of the table; those of others than daemons' crash rows are passed over. */
-    void takeRows(const TableChange &change);
+    /** Applies changed rows of the table; rows other than daemons' crash rows are ignored. */
+    void applyRows(const TableChange &change);
 
-    /** Takes in the daemons that have rows. */
+    /** Sets the daemons that have rows. */
     void setDaemons(std::vector<HostName> daemons);
 
-    /** Takes in what this daemon saw. */
-    void reported(const std::vector<CrashReport> &reports);
+    /** Records crashes that this daemon observed. */
+    void applyReports(const std::vector<CrashReport> &reports);
 
-    /** Takes in that this daemon got an answer to a request under which servers had ended. */
-    void answered(const RequestFingerprint &request);
+    /** Records that this daemon got an answer to a request during which servers had crashed. */
+    void recordAnswer(const RequestFingerprint &request);
 
-    /** Lets a blocked or suspect request through again. \returns whether there is such a one. */
+    /** Admits a blocked or suspect request again. \returns whether there was such a request. */
     bool lift(const RequestFingerprint &request);
 
-    /** \returns a page with a line for each request under which servers ended. */
+    /** \returns a page with a line for each request during which servers crashed. */
     std::string page() const;
 
-    /** Does what is due. To be called often. */
+    /** Writes and publishes what is due. To be called often. */
     void advance(Instant now);
 
 private:
-    void takeRow(const platform::StoreRow &row, Instant now);
-    void noteMissing(const TableChange &change, Instant now);
+    void applyRow(const platform::StoreRow &row, Instant now);
+    void applyMissingRows(const TableChange &change, Instant now);
     void write(const CrashRowWrite &action);
-    void logBlocked(const Quarantine &next) const;
+    void logBlockChanges(const Quarantine &next) const;
 
     platform::StoreClient &m_store;
     FollowPlan &m_plan;
     HostName m_self;
     QuarantineHandler m_publish;
-    CrashLedger m_ledger;
+    CrashLedger m_crashes;
     std::shared_ptr<const Quarantine> m_quarantine = std::make_shared<const Quarantine>();
 };
 
--- a/src/libbulrushentry/entrydaemon.cpp
+++ b/src/libbulrushentry/entrydaemon.cpp
@@ -123,14 +123,14 @@
     m_worker.setCrashHandlers(
         {[this](std::vector<CrashReport> reports) {
              asio::post(m_loop,
-                        [this, reports = std::move(reports)] { m_crashes.reported(reports); });
+                        [this, reports = std::move(reports)] { m_crashes.applyReports(reports); });
          },
          [this](const RequestFingerprint &request) {
-             asio::post(m_loop, [this, request] { m_crashes.answered(request); });
+             asio::post(m_loop, [this, request] { m_crashes.recordAnswer(request); });
          }});
-    m_keys.setRowsHandler([this](const TableChange &change) {
+    m_keys.setChangeHandler([this](const TableChange &change) {
         m_crashes.setDaemons(m_keys.hosts());
-        m_crashes.takeRows(change);
+        m_crashes.applyRows(change);
     });
 }
 
--- a/src/libbulrushentry/keycontrol.cpp
+++ b/src/libbulrushentry/keycontrol.cpp
@@ -22,15 +22,15 @@
 constexpr std::string_view daemonPrefix = "daemon/";
 
 /**
- * A change ends the wait. Confirmations bound how old the last answer of the store may get while
- * all is well: well below the time that the right to renew lasts. What is committed within the
- * pause comes in one answer.
+ * A change ends the wait. Confirmations limit the age of the store's last answer, when nothing
+ * fails, to well below the duration of the right to renew. Commits within the pause are returned in
+ * one answer.
  */
 constexpr FollowTimings ownershipTimings{std::chrono::seconds{10}, std::chrono::milliseconds{100},
                                          std::chrono::milliseconds{1000}};
 
-/** Servers that no connection came about to are tried again after this. */
-constexpr Duration connectEvery = std::chrono::milliseconds{250};
+/** Interval at which connections to servers that have none are tried. */
+constexpr Duration connectInterval = std::chrono::milliseconds{250};
 
 std::string assignmentKey(const ServiceName &service)
 {
@@ -47,12 +47,12 @@
     return error ? error.message() : "none";
 }
 
-std::string textOf(const KeyRange &range)
+std::string toText(const KeyRange &range)
 {
     return std::to_string(range.first) + '-' + std::to_string(range.last);
 }
 
-std::string_view nameOf(platform::GrantAnswer answer)
+std::string_view outcomeName(platform::GrantAnswer answer)
 {
     switch (answer) {
     case platform::GrantAnswer::Granted:
@@ -87,34 +87,35 @@
         return;
     io::logEvent(LogLevel::Warning, "grant-failed",
                  {{"server", grant.owned.owner.value()},
-                  {"keys", textOf(grant.owned.range)},
+                  {"keys", toText(grant.owned.range)},
                   {"fence", std::to_string(grant.owned.fence)},
-                  {"outcome", std::string{nameOf(answer)}}});
+                  {"outcome", std::string{outcomeName(answer)}}});
 }
 
 } // namespace
 
-KeyControl::KeyControl(Parts parts, const KeySelf &self)
-    : m_deps(parts)
+KeyControl::KeyControl(Dependencies deps, const KeySelf &self)
+    : m_deps(deps)
     , m_host(self.host)
     , m_coordinator(self, io::hostNow())
-    , m_rows(parts.follow, std::string{platform::ownershipTable}, ownershipTimings)
+    , m_rows(deps.follow, std::string{platform::ownershipTable}, ownershipTimings)
 { }
 
 void KeyControl::start()
 {
-    m_deps.servers.setLinkHandler(
-        [this](const std::string &run, io::ServerClient::Link link) { linkChanged(run, link); });
-    // A server that was just seen is connected to before keys are planned for it.
+    m_deps.servers.setLinkHandler([this](const std::string &run, io::ServerClient::Link link) {
+        handleLinkChange(run, link);
+    });
+    // A new server is connected to before keys are planned for it.
     m_deps.state.setServersHandler([this] { connectServers(); });
-    // Its rows tell whom to follow.
-    m_rows.startWithStore([this](const TableChange &change) { takeRows(change); },
+    // Its rows list the daemons, which FollowPlan needs to select a source for the other tables.
+    m_rows.startWithStore([this](const TableChange &change) { applyRows(change); },
                           [this](Instant givenAt) { m_coordinator.storeAnswered(givenAt); });
 }
 
-void KeyControl::setRowsHandler(RowsHandler handler)
+void KeyControl::setChangeHandler(ChangeHandler handler)
 {
-    m_rowsTaken = std::move(handler);
+    m_changeHandler = std::move(handler);
 }
 
 void KeyControl::resign()
@@ -151,12 +152,12 @@
     return hosts;
 }
 
-RenewerAnswer KeyControl::answerOn(const io::RenewalQuestion &question)
+RenewerAnswer KeyControl::answer(const io::RenewalQuestion &question)
 {
     const Instant now = io::hostNow();
-    const auto &told = question.assignment;
-    if (told && m_coordinator.assignmentSeen(*told, question.version, now))
-        m_deps.state.setAssignment(*told);
+    const auto &received = question.assignment;
+    if (received && m_coordinator.assignmentSeen(*received, question.version, now))
+        m_deps.state.setAssignment(*received);
     return m_coordinator.answerOn(question.service, question.servers, now);
 }
 
@@ -175,7 +176,7 @@
     m_coordinator.addLoads(samples, io::hostNow());
     for (const LoadSample &sample : samples) {
         for (const ServerName &server : sample.ended)
-            m_deps.state.noteEnded(server);
+            m_deps.state.recordServerStopped(server);
     }
 }
 
@@ -186,18 +187,18 @@
 
 void KeyControl::advance(Instant now)
 {
-    if (now - m_connectedAt >= connectEvery) {
-        m_connectedAt = now;
+    if (now - m_connectCheckedAt >= connectInterval) {
+        m_connectCheckedAt = now;
         connectServers();
     }
     const std::vector<KeyAction> actions =
         m_coordinator.advance(m_deps.state.directory(), keyedServices(m_deps.state), now);
-    logPlanning();
+    logPlannerChange();
     for (const KeyAction &action : actions)
         std::visit([this](const auto &known) { execute(known); }, action);
 }
 
-void KeyControl::takeRows(const TableChange &change)
+void KeyControl::applyRows(const TableChange &change)
 {
     const Instant now = io::hostNow();
     bool hasPlanner = false;
@@ -207,25 +208,25 @@
             m_coordinator.plannerRowSeen(row.version, planner.value_or(PlannerRow{}), now);
             hasPlanner = true;
         } else if (row.key.starts_with(assignmentPrefix) && !row.isRemoved) {
-            takeAssignment(row, now);
+            applyAssignment(row, now);
         } else if (row.key.starts_with(daemonPrefix)) {
-            takeDaemon(row, now);
+            applyDaemonRow(row, now);
         }
     }
     if (change.isComplete)
-        noteMissing(change, hasPlanner, now);
+        applyMissingRows(change, hasPlanner, now);
     m_coordinator.rowsSeen(change.version);
     m_deps.state.setDaemonCount(peers().size() + 1);
     std::vector<Renewer> daemons;
     for (const auto &[host, renewer] : m_coordinator.renewers().renewers())
         daemons.push_back(renewer);
     m_deps.follow.plan.setDaemons(daemons);
-    if (m_rowsTaken)
-        m_rowsTaken(change);
+    if (m_changeHandler)
+        m_changeHandler(change);
     advance(now);
 }
 
-void KeyControl::takeAssignment(const platform::StoreRow &row, Instant now)
+void KeyControl::applyAssignment(const platform::StoreRow &row, Instant now)
 {
     const std::optional<KeyAssignment> assignment = io::decodeAssignment(row.value);
     if (!assignment)
@@ -234,7 +235,7 @@
         m_deps.state.setAssignment(*assignment);
 }
 
-void KeyControl::takeDaemon(const platform::StoreRow &row, Instant now)
+void KeyControl::applyDaemonRow(const platform::StoreRow &row, Instant now)
 {
     const HostName host{row.key.substr(daemonPrefix.size())};
     std::optional<DaemonRow> daemon;
@@ -243,8 +244,8 @@
     m_coordinator.daemonRowSeen(host, row.version, daemon, now);
 }
 
-/** Takes in what is not among all rows there are. */
-void KeyControl::noteMissing(const TableChange &change, bool hasPlanner, Instant now)
+/** Treats rows that are missing from the complete table as removed. */
+void KeyControl::applyMissingRows(const TableChange &change, bool hasPlanner, Instant now)
 {
     if (!hasPlanner)
         m_coordinator.plannerRowSeen(0, {}, now);
@@ -273,18 +274,19 @@
 void KeyControl::execute(const CommitKeyAssignment &action)
 {
     platform::StoreCommit commit{std::string{platform::ownershipTable}, {}};
-    // Whoever lost the lease can't commit, whatever it believes.
+    // This condition prevents commits by a daemon that has lost the planner's lease.
     commit.writes.push_back(
         {std::string{plannerKey}, action.plannerVersion, {}, platform::RowChange::None});
     commit.writes.push_back({assignmentKey(action.next.service), action.expectedVersion,
                              io::encodeAssignment(action.next)});
     m_deps.follow.store.commit(commit,
                                [this, next = action.next](const platform::CommitOutcome &outcome) {
-                                   committed(next, outcome);
+                                   handleCommitResult(next, outcome);
                                });
 }
 
-void KeyControl::committed(const KeyAssignment &next, const platform::CommitOutcome &outcome)
+void KeyControl::handleCommitResult(const KeyAssignment &next,
+                                    const platform::CommitOutcome &outcome)
 {
     const Instant now = io::hostNow();
     const auto moving = std::ranges::count_if(next.ranges, &OwnedRange::isMoving);
@@ -311,7 +313,7 @@
         sendNextGrant(action.address);
 }
 
-/** One call at a time to each server, over one kept connection. */
+/** Sends one call at a time to each server, so that one persistent connection is enough. */
 void KeyControl::sendNextGrant(const Endpoint &address)
 {
     std::vector<SendGrant> &queue = m_grants[address];
@@ -330,49 +332,49 @@
     call.acknowledgeWithin = KeyTimings{}.grantCall;
     m_coordinator.grantSent(grant, now);
     m_deps.servers.send(std::move(call), [this, grant](const io::HttpResult &result) {
-        granted(grant, result);
+        handleGrantResult(grant, result);
         sendNextGrant(grant.address);
     });
 }
 
-void KeyControl::granted(const SendGrant &grant, const io::HttpResult &result)
+void KeyControl::handleGrantResult(const SendGrant &grant, const io::HttpResult &result)
 {
     const platform::GrantAnswer answer = platform::grantAnswerOf(result);
     const bool isReplaced = answer == platform::GrantAnswer::Replaced;
-    const bool hasCome = result.stage != io::TransferStage::NotConnected && !isReplaced;
-    m_coordinator.grantEnded(grant, hasCome, io::hostNow());
-    // Before the next grant goes there, on a new connection.
+    const bool wasReached = result.stage != io::TransferStage::NotConnected && !isReplaced;
+    m_coordinator.grantEnded(grant, wasReached, io::hostNow());
+    // This must precede the next grant to the server, which uses a new connection.
     if (result.error == io::TransportError::TimedOut)
         m_coordinator.connectionGivenUp(grant.owned.owner);
     else if (result.error)
         m_coordinator.connectionLost(grant.owned.owner);
     logGrant(grant, answer);
-    // Its record lapses later; its keys need not wait for that.
+    // The server's record expires later; its keys can be reassigned before that.
     if (isReplaced)
-        m_deps.state.noteEnded(grant.owned.owner);
+        m_deps.state.recordServerStopped(grant.owned.owner);
 }
 
-void KeyControl::linkChanged(const std::string &run, io::ServerClient::Link link)
+void KeyControl::handleLinkChange(const std::string &run, io::ServerClient::Link link)
 {
     if (run.empty())
-        return; // to the store, or to another daemon
+        return; // the connection is to the store or to another daemon
     if (link == io::ServerClient::Link::Made)
         m_coordinator.connectionMade(ServerName{run}, io::hostNow());
     else
         m_coordinator.connectionLost(ServerName{run});
 }
 
-/** Grants go over connections that were there before, see KeyRenewal. */
+/** Opens connections in advance, as grants use existing connections only, see KeyRenewal. */
 void KeyControl::connectServers()
 {
     const ServerDirectory &servers = m_deps.state.directory();
     for (const ServerName &id :
          m_coordinator.serversToConnect(servers, keyedServices(m_deps.state))) {
-        io::ServerCall like;
-        like.server = servers.find(id)->record.address;
-        like.run = id.value();
-        like.acknowledgeWithin = KeyTimings{}.grantCall;
-        m_deps.servers.keepConnected(like);
+        io::ServerCall connectCall;
+        connectCall.server = servers.find(id)->record.address;
+        connectCall.run = id.value();
+        connectCall.acknowledgeWithin = KeyTimings{}.grantCall;
+        m_deps.servers.keepConnected(connectCall);
     }
 }
 
@@ -382,8 +384,9 @@
                                                 action.owned.range, action.owned.fence);
     call.timeout = releaseTimeout;
     call.acknowledgeWithin = KeyTimings{}.grantCall;
-    m_deps.servers.send(std::move(call),
-                        [this, action](const io::HttpResult &result) { released(action, result); });
+    m_deps.servers.send(std::move(call), [this, action](const io::HttpResult &result) {
+        handleReleaseResult(action, result);
+    });
 }
 
 void KeyControl::execute(const AskRenewer &action)
@@ -406,7 +409,7 @@
     m_deps.servers.send(std::move(call), [this](const io::HttpResult &result) {
         const auto answer = io::decodeAnswer(result.error ? "" : result.response.body);
         if (!answer)
-            return; // it is asked again, or reckoned with as silent
+            return; // the coordinator retries, or treats the renewer as silent
         const Instant now = io::hostNow();
         m_coordinator.renewerAnswered(*answer, now);
         advance(now);
@@ -432,7 +435,7 @@
 void KeyControl::execute(const RemoveDaemonRows &action)
 {
     platform::StoreCommit commit{std::string{platform::ownershipTable}, {}};
-    // A daemon that lost the planner's lease judges nobody any more.
+    // This condition prevents removals by a daemon that has lost the planner's lease.
     commit.writes.push_back(
         {std::string{plannerKey}, action.plannerVersion, {}, platform::RowChange::None});
     std::string hosts;
@@ -448,12 +451,12 @@
     });
 }
 
-void KeyControl::released(const SendRelease &release, const io::HttpResult &result)
+void KeyControl::handleReleaseResult(const SendRelease &release, const io::HttpResult &result)
 {
     const platform::ReleaseAnswer answer = platform::releaseAnswerOf(result);
     io::logEvent(answer.isReleased ? LogLevel::Info : LogLevel::Warning, "keys-released",
                  {{"server", release.owned.previous.value()},
-                  {"keys", textOf(release.owned.range)},
+                  {"keys", toText(release.owned.range)},
                   {"fence", std::to_string(release.owned.fence)},
                   {"outcome", answer.isReleased ? "released" : "no-answer"}});
     if (!answer.isReleased)
@@ -464,7 +467,7 @@
     m_deps.follow.timers.after(KeyMoves::settleTogether, [this](Instant due) { advance(due); });
 }
 
-void KeyControl::logPlanning()
+void KeyControl::logPlannerChange()
 {
     if (std::exchange(m_wasPlanning, isPlanning()) == isPlanning())
         return;
--- a/src/libbulrushentry/keycontrol.h
+++ b/src/libbulrushentry/keycontrol.h
@@ -14,75 +14,76 @@
 namespace bulrush {
 
 /**
- * Carries out what KeyCoordinator decides, by the store and by calls to backend servers, and tells
- * it what came of it.
+ * Executes the decisions of KeyCoordinator with writes to the store and calls to backend servers,
+ * and reports their results to it.
  *
  * Used on the control thread.
  */
 class KeyControl
 {
 public:
-    /** For the call of a release, which waits for work that runs. */
+    /** For the call that releases keys: the server answers it when running work has finished. */
     static constexpr Duration releaseTimeout = std::chrono::milliseconds{2500};
 
-    struct Parts
+    struct Dependencies
     {
         FollowerDependencies follow;
         io::ServerClient &servers;
         StatePublisher &state;
     };
 
-    KeyControl(Parts parts, const KeySelf &self);
+    KeyControl(Dependencies deps, const KeySelf &self);
 
     KeyControl(const KeyControl &) = delete;
     KeyControl &operator=(const KeyControl &) = delete;
 
-    using RowsHandler = TableFollower::ChangeHandler;
+    using ChangeHandler = TableFollower::ChangeHandler;
 
-    /** Sets who is told of all rows of the table that holds the assignments. \pre before start() */
-    void setRowsHandler(RowsHandler handler);
+    /** Sets the handler for changes of the table of assignments. \pre start() was not called */
+    void setChangeHandler(ChangeHandler handler);
 
     /** Starts to follow the assignments. */
     void start();
 
-    /** Gives the planner's lease up for good, for a shutdown. */
+    /** Gives up the planner's lease permanently, for a shutdown. */
     void resign();
 
-    /** \returns whether this daemon plans. */
+    /** \returns whether this daemon is the planner. */
     bool isPlanning() const;
 
-    /** \returns where the planner takes loads, if another daemon plans. */
+    /** \returns the address for load reports to the planner, if another daemon is the planner. */
     std::optional<Endpoint> plannerAddress() const;
 
-    /** \returns where the other daemons take messages. */
+    /** \returns the addresses of the other daemons for messages between daemons. */
     std::vector<Endpoint> peers() const;
 
     /** \returns the hosts whose daemons have rows. */
     std::vector<HostName> hosts() const;
 
-    /** Takes in a planner's question, and the assignment in it. \returns the answer. */
-    RenewerAnswer answerOn(const io::RenewalQuestion &question);
+    /** Applies the assignment in a planner's question, if any. \returns the answer to it. */
+    RenewerAnswer answer(const io::RenewalQuestion &question);
 
-    /** \returns the follower of \a table, or null if it is none that is followed here. */
+    /** \returns the follower of \a table, or null if this object does not follow it. */
     const TableFollower *follower(std::string_view table) const;
 
-    /** \returns whether the store is reached. */
+    /** \returns whether the rows are loaded and the last call had a working source. */
     bool isStoreReached() const;
 
-    /** Takes in what a daemon saw, if this one plans. */
+    /** Adds loads reported by a daemon, if this one is the planner, and records stopped servers. */
     void addLoads(std::span<const LoadSample> samples);
 
-    /** \returns the keys that are asked for too much, if this daemon plans. */
+    /** \returns the keys with more requests than can be served, if this daemon is the planner. */
     const std::vector<KeyShares> &keyShares();
 
-    /** Does what is due. To be called every some tens of milliseconds. */
+    /** Executes the actions that are due. To be called at intervals of some tens of milliseconds.
+     */
     void advance(Instant now);
 
 private:
-    void takeRows(const TableChange &change);
-    void takeAssignment(const platform::StoreRow &row, Instant now);
-    void takeDaemon(const platform::StoreRow &row, Instant now);
-    void noteMissing(const TableChange &change, bool hasPlanner, Instant now);
+    void applyRows(const TableChange &change);
+    void applyAssignment(const platform::StoreRow &row, Instant now);
+    void applyDaemonRow(const platform::StoreRow &row, Instant now);
+    void applyMissingRows(const TableChange &change, bool hasPlanner, Instant now);
     void execute(const WritePlannerRow &action);
     void execute(const CommitKeyAssignment &action);
     void execute(const SendGrant &action);
@@ -90,22 +91,22 @@
     void execute(const AskRenewer &action);
     void execute(const WriteDaemonRow &action);
     void execute(const RemoveDaemonRows &action);
-    void committed(const KeyAssignment &next, const platform::CommitOutcome &outcome);
+    void handleCommitResult(const KeyAssignment &next, const platform::CommitOutcome &outcome);
     void sendNextGrant(const Endpoint &address);
-    void linkChanged(const std::string &run, io::ServerClient::Link link);
+    void handleLinkChange(const std::string &run, io::ServerClient::Link link);
     void connectServers();
-    void granted(const SendGrant &grant, const io::HttpResult &result);
-    void released(const SendRelease &release, const io::HttpResult &result);
-    void logPlanning();
+    void handleGrantResult(const SendGrant &grant, const io::HttpResult &result);
+    void handleReleaseResult(const SendRelease &release, const io::HttpResult &result);
+    void logPlannerChange();
 
-    Parts m_deps;
+    Dependencies m_deps;
     HostName m_host;
     KeyCoordinator m_coordinator;
     TableFollower m_rows;
-    RowsHandler m_rowsTaken;
-    /** Grants that wait for the one before them at the same server. */
+    ChangeHandler m_changeHandler;
+    /** Grants that wait for the previous grant to the same server to finish. */
     std::map<Endpoint, std::vector<SendGrant>> m_grants;
-    Instant m_connectedAt;
+    Instant m_connectCheckedAt;
     bool m_wasPlanning = false;
 };
 
--- a/src/libbulrushentry/peerdesk.cpp
+++ b/src/libbulrushentry/peerdesk.cpp
@@ -109,7 +109,7 @@
     const auto question = io::decodeQuestion(body);
     if (!question)
         return io::textPage(badRequest, "body: not a question for grants\n");
-    return jsonPage(io::encodeAnswer(m_keys.answerOn(*question)));
+    return jsonPage(io::encodeAnswer(m_keys.answer(*question)));
 }
 
 } // namespace bulrush
--- a/src/libbulrushentry/statepublisher.cpp
+++ b/src/libbulrushentry/statepublisher.cpp
@@ -18,14 +18,18 @@
     return {budget.askBesideAfter(), budget.confirmAfter(), budget.confirmWithin()};
 }
 
-/** Changes come at once, and seldom: confirmations bound for how long a lost answer hides one. */
+/**
+ * Changes of the configuration are rare and reported at once. Confirmations limit the time for
+ * which a lost answer can hide a change.
+ */
 FollowTimings configTimings(const ConfigBudget &budget)
 {
     constexpr Duration wait = std::chrono::seconds{10};
     return {wait, {}, budget.readerConfirmAfter(), confirmationDelays(budget)};
 }
 
-/** Servers that start write often, and one that leaves is to be heard of in time. */
+/** Starting servers write often, so reads are spaced out, but a leaving server must be seen in
+ * time. */
 FollowTimings serverTimings(const DrainBudget &budget)
 {
     return {budget.readerWait(), budget.readerPause(), budget.askBesideAfter(),
@@ -34,12 +38,12 @@
 
 } // namespace
 
-StatePublisher::StatePublisher(const FollowerDependencies &parts, const Budgets &budgets,
-                               PublishHandler publish, KnowledgeHandler tellKnowledge)
+StatePublisher::StatePublisher(const FollowerDependencies &deps, const Budgets &budgets,
+                               PublishHandler publish, FreshnessHandler freshnessHandler)
     : m_publish(std::move(publish))
-    , m_tellKnowledge(std::move(tellKnowledge))
-    , m_configs(parts, std::string{platform::operatorTable}, configTimings(budgets.configs))
-    , m_servers(parts, std::string{platform::serverTable}, serverTimings(budgets.servers))
+    , m_freshnessHandler(std::move(freshnessHandler))
+    , m_configs(deps, std::string{platform::operatorTable}, configTimings(budgets.configs))
+    , m_servers(deps, std::string{platform::serverTable}, serverTimings(budgets.servers))
 { }
 
 const TableFollower *StatePublisher::follower(std::string_view table) const
@@ -51,15 +55,15 @@
 
 void StatePublisher::setServersHandler(std::function<void()> handler)
 {
-    m_serversTaken = std::move(handler);
+    m_serversHandler = std::move(handler);
 }
 
 void StatePublisher::start()
 {
-    m_configs.start([this](const TableChange &change) { takeConfig(change); },
-                    [this](Instant) { tellKnowledge(); });
-    m_servers.start([this](const TableChange &change) { takeServers(change); },
-                    [this](Instant) { tellKnowledge(); });
+    m_configs.start([this](const TableChange &change) { applyConfig(change); },
+                    [this](Instant) { reportFreshness(); });
+    m_servers.start([this](const TableChange &change) { applyServers(change); },
+                    [this](Instant) { reportFreshness(); });
 }
 
 void StatePublisher::setAssignment(KeyAssignment assignment)
@@ -75,7 +79,7 @@
         publish();
 }
 
-void StatePublisher::noteEnded(const ServerName &id)
+void StatePublisher::recordServerStopped(const ServerName &id)
 {
     if (!m_directory.noteEnded(id, io::hostNow()))
         return;
@@ -87,10 +91,10 @@
 {
     if (m_directory.advance(now))
         publish();
-    tellKnowledge();
+    reportFreshness();
 }
 
-void StatePublisher::takeConfig(const TableChange &change)
+void StatePublisher::applyConfig(const TableChange &change)
 {
     for (const platform::StoreRow &row : change.rows) {
         if (row.key != platform::configKey || row.isRemoved)
@@ -112,7 +116,7 @@
                       {"unchanged-until-ms-ago",
                        io::millisecondsText(io::hostNow() - change.unchangedUntil)}});
         m_routes = std::make_shared<const RouteTable>(std::move(config));
-        m_routesSince = io::hostNow();
+        m_routesAppliedAt = io::hostNow();
         m_routesUnchangedUntil = change.unchangedUntil;
         publish();
     }
@@ -126,11 +130,11 @@
     if (!m_routes)
         return "bulrush_config_version 0\n";
     return "bulrush_config_version " + std::to_string(m_routes->config().version)
-        + "\nbulrush_config_in_force_seconds " + seconds(m_routesSince)
+        + "\nbulrush_config_in_force_seconds " + seconds(m_routesAppliedAt)
         + "bulrush_config_confirmed_age_seconds " + seconds(m_configs.confirmedAt());
 }
 
-void StatePublisher::takeServers(const TableChange &change)
+void StatePublisher::applyServers(const TableChange &change)
 {
     const Instant now = io::hostNow();
     std::vector<ServerRecord> records;
@@ -142,13 +146,13 @@
         }
         std::optional<ServerRecord> record = platform::decodeServer(row.key, row.value);
         if (!record) {
-            // What another writer put there names no server, whatever the row said before.
+            // A row that can't be decoded describes no server, even if its previous value did.
             m_directory.remove(ServerName{row.key}, now);
             io::logEvent(LogLevel::Error, "server-unreadable",
                          {{"server", row.key}, {"row", std::to_string(row.version)}});
             continue;
         }
-        logSeen(*record, row.version, change);
+        logServerChange(*record, row.version, change);
         records.push_back(std::move(*record));
     }
     if (change.isComplete) {
@@ -159,19 +163,19 @@
     }
     m_hasServers = true;
     publish();
-    if (m_serversTaken)
-        m_serversTaken();
+    if (m_serversHandler)
+        m_serversHandler();
 }
 
-/** Tells of a server that is new here, or says something else of itself. */
-void StatePublisher::logSeen(const ServerRecord &record, std::uint64_t row,
-                             const TableChange &change) const
+/** Logs a server that is new, has returned, or has started or stopped draining. */
+void StatePublisher::logServerChange(const ServerRecord &record, std::uint64_t row,
+                                     const TableChange &change) const
 {
     const KnownServer *known = m_directory.find(record.id);
     if (known && known->record.isDraining == record.isDraining && !known->goneSince)
         return;
     const Instant now = io::hostNow();
-    // It wrote that between the two instants.
+    // The server wrote its row between the instants of the last two fields.
     io::logEvent(LogLevel::Info, "server-seen",
                  {{"server", record.id.value()},
                   {"service", record.service.value()},
@@ -183,26 +187,26 @@
                   {"told-ms-ago", io::millisecondsText(now - m_servers.confirmedAt())}});
 }
 
-void StatePublisher::tellKnowledge()
+void StatePublisher::reportFreshness()
 {
-    const RoutingKnowledge knowledge{{m_servers.confirmedAt(), m_servers.isStoreUnreachable()},
+    const RoutingKnowledge freshness{{m_servers.confirmedAt(), m_servers.isStoreUnreachable()},
                                      m_configs.confirmedAt()};
-    if (knowledge == m_knowledge)
+    if (freshness == m_reportedFreshness)
         return;
-    const ServerKnowledge &servers = knowledge.servers;
-    if (servers.isStoreAway != m_knowledge.servers.isStoreAway)
+    const ServerKnowledge &servers = freshness.servers;
+    if (servers.isStoreAway != m_reportedFreshness.servers.isStoreAway)
         io::logEvent(LogLevel::Info, "servers-confirmable",
                      {{"by", servers.isStoreAway ? "nobody" : m_servers.source()},
                       {"age-ms", io::millisecondsText(io::hostNow() - servers.asOf)}});
-    m_knowledge = knowledge;
-    m_tellKnowledge(knowledge);
+    m_reportedFreshness = freshness;
+    m_freshnessHandler(freshness);
 }
 
 void StatePublisher::publish()
 {
     auto state = std::make_shared<RoutingState>();
     state->routes = m_routes;
-    state->routesTakenAt = m_routesSince;
+    state->routesTakenAt = m_routesAppliedAt;
     state->routesUnchangedUntil = m_routesUnchangedUntil;
     state->assignments = m_assignments;
     state->daemonCount = m_daemonCount;
--- a/src/libbulrushentry/statepublisher.h
+++ b/src/libbulrushentry/statepublisher.h
@@ -14,8 +14,8 @@
 namespace bulrush {
 
 /**
- * The control thread's part that learns of configurations and backend servers, and publishes what
- * requests are routed by. Versions of the configuration never go back.
+ * Follows configurations and backend servers on the control thread, and publishes the routing state
+ * for the traffic thread. The version of the configuration never decreases.
  *
  * Used on the control thread.
  */
@@ -24,38 +24,38 @@
 public:
     using PublishHandler = std::function<void(std::shared_ptr<const RoutingState>)>;
 
-    /** Told how far what was published last can be relied on. */
-    using KnowledgeHandler = std::function<void(const RoutingKnowledge &)>;
+    /** Called with the age of the published routing data, and whether the store can confirm it. */
+    using FreshnessHandler = std::function<void(const RoutingKnowledge &)>;
 
-    /** Within which changes are to be known. */
+    /** Time limits within which changes must arrive. */
     struct Budgets
     {
         DrainBudget servers;
         ConfigBudget configs;
     };
 
-    StatePublisher(const FollowerDependencies &parts, const Budgets &budgets,
-                   PublishHandler publish, KnowledgeHandler tellKnowledge);
+    StatePublisher(const FollowerDependencies &deps, const Budgets &budgets, PublishHandler publish,
+                   FreshnessHandler freshnessHandler);
 
-    /** Sets who is told whenever servers were taken in. */
+    /** Sets the handler that is called after each change of servers. */
     void setServersHandler(std::function<void()> handler);
 
     /** Starts to follow configurations and servers. */
     void start();
 
-    /** Takes in the assignment in force of a service. */
+    /** Sets the assignment in force of a service, and publishes it. */
     void setAssignment(KeyAssignment assignment);
 
-    /** Notes how many daemons there are. */
+    /** Sets the number of daemons, and publishes it if it has changed. */
     void setDaemonCount(std::size_t count);
 
-    /** Notes that the server \a id has ended, though its record may still be there. */
-    void noteEnded(const ServerName &id);
+    /** Records that the server \a id has stopped, even if its record still exists. */
+    void recordServerStopped(const ServerName &id);
 
-    /** Lets what waits for time go on. To be called often. */
+    /** Handles what has become due by \a now. To be called often. */
     void advance(Instant now);
 
-    /** \returns the follower of \a table, or null if it is none that is followed here. */
+    /** \returns the follower of \a table, or null if this object does not follow it. */
     const TableFollower *follower(std::string_view table) const;
 
     const ServerDirectory &directory() const;
@@ -64,32 +64,33 @@
     const std::shared_ptr<const RouteTable> &routes() const;
 
     /**
-     * \returns lines for a metrics page: the version of the configuration in force, since when it
-     * is, and how long ago the store is known to have had no later one.
+     * \returns lines for a metrics page: the version of the configuration in force, how long it has
+     * been in force, and the time since the store last confirmed that there is no later one.
      */
     std::string configMetrics(Instant now) const;
 
-    /** \returns whether a configuration and the servers are known. */
+    /** \returns whether a configuration and the servers are loaded. */
     bool isComplete() const;
 
 private:
-    void takeConfig(const TableChange &change);
-    void takeServers(const TableChange &change);
-    void logSeen(const ServerRecord &record, std::uint64_t row, const TableChange &change) const;
+    void applyConfig(const TableChange &change);
+    void applyServers(const TableChange &change);
+    void logServerChange(const ServerRecord &record, std::uint64_t row,
+                         const TableChange &change) const;
     void publish();
-    void tellKnowledge();
+    void reportFreshness();
 
     PublishHandler m_publish;
-    KnowledgeHandler m_tellKnowledge;
-    std::function<void()> m_serversTaken;
-    RoutingKnowledge m_knowledge;
+    FreshnessHandler m_freshnessHandler;
+    std::function<void()> m_serversHandler;
+    RoutingKnowledge m_reportedFreshness;
     TableFollower m_configs;
     TableFollower m_servers;
     ServerDirectory m_directory;
     std::shared_ptr<const RouteTable> m_routes;
-    /** When they came into force. */
-    Instant m_routesSince;
-    /** Until then the store is known to have held none later than those before. */
+    /** When these routes were applied here. */
+    Instant m_routesAppliedAt;
+    /** The last instant at which the store was confirmed to hold the previous routes. */
     Instant m_routesUnchangedUntil;
     std::map<ServiceName, std::shared_ptr<const KeyAssignment>> m_assignments;
     std::size_t m_daemonCount = 0;
