--- a/src/libbulrushentry/crashcontrol.cpp
+++ b/src/libbulrushentry/crashcontrol.cpp
@@ -3,7 +3,7 @@
 #include "platform/tables.h"
 #include "process/hostclock.h"
 #include "process/logging.h"
-#include "rowwriteends.h"
+#include "rowwriteresults.h"
 #include "version/crashrowcodec.h"
 
 #include <algorithm>
@@ -138,7 +138,7 @@
             io::logEvent(LogLevel::Warning, "crash-row-not-written",
                          {{"error", outcome.error.message()}});
         const Instant now = io::hostNow();
-        m_crashes.written(rowWriteEndOf(outcome.error), outcome.version, now);
+        m_crashes.written(rowWriteResultOf(outcome.error), outcome.version, now);
         advance(now);
     });
 }
--- a/src/libbulrushentry/entrycounters.cpp
+++ b/src/libbulrushentry/entrycounters.cpp
@@ -49,18 +49,18 @@
     m_latency.record(latency);
 }
 
-void EntryCounters::recordKnowledgeAge(Duration age)
+void EntryCounters::recordRoutingDataAge(Duration age)
 {
     const std::scoped_lock lock{m_mutex};
-    m_knowledgeAge.record(age);
-    m_oldestKnowledge = std::max(m_oldestKnowledge, age);
+    m_routingDataAge.record(age);
+    m_maxRoutingDataAge = std::max(m_maxRoutingDataAge, age);
 }
 
 void EntryCounters::recordConfigDelay(Duration delay)
 {
     const std::scoped_lock lock{m_mutex};
     m_configDelay.record(delay);
-    m_longestConfigDelay = std::max(m_longestConfigDelay, delay);
+    m_maxConfigDelay = std::max(m_maxConfigDelay, delay);
 }
 
 std::string EntryCounters::text() const
@@ -73,10 +73,10 @@
     }
     const std::scoped_lock lock{m_mutex};
     text += quantilesText("bulrush_latency_seconds", m_latency);
-    text += quantilesText("bulrush_knowledge_age_seconds", m_knowledgeAge);
-    text += "bulrush_knowledge_age_seconds_max " + secondsText(m_oldestKnowledge) + '\n';
+    text += quantilesText("bulrush_knowledge_age_seconds", m_routingDataAge);
+    text += "bulrush_knowledge_age_seconds_max " + secondsText(m_maxRoutingDataAge) + '\n';
     text += quantilesText("bulrush_config_delay_seconds", m_configDelay);
-    text += "bulrush_config_delay_seconds_max " + secondsText(m_longestConfigDelay) + '\n';
+    text += "bulrush_config_delay_seconds_max " + secondsText(m_maxConfigDelay) + '\n';
     return text;
 }
 
--- a/src/libbulrushentry/entrycounters.h
+++ b/src/libbulrushentry/entrycounters.h
@@ -10,21 +10,21 @@
 
 namespace bulrush {
 
-/** What an entry daemon counts; the names in metrics are those of the enumerators in snake case. */
+/** Counters of an entry daemon. Their names in metrics are the enumerators in snake case. */
 enum class EntryCounter {
     RequestsTaken,
     AnswersReturned, ///< a server's own answer, whatever its status
     RefusedNotRun,
     RefusedCrashing, ///< of these, requests that crash servers
     EndedUnknown,    ///< sent, but without an answer: it may have run
-    Rejected,        ///< no such route, or not a proper request
+    Rejected,        ///< no such route, or an invalid request
     CallersGone,
     AttemptsSent,
     AttemptsRepeated,
     AttemptsNotRun,
     AttemptsFailed,
     ConnectionsOpened,
-    Count, ///< how many there are
+    Count, ///< number of counters
 };
 
 /** Counts and latencies of one daemon. Thread safe. */
@@ -37,13 +37,13 @@
     /** Records the time from a request's arrival to its answer. */
     void recordLatency(Duration latency);
 
-    /** Records how old what was known of the backend servers was as one of them was chosen. */
-    void recordKnowledgeAge(Duration age);
+    /** Records the age of the data on backend servers when one of them was chosen. */
+    void recordRoutingDataAge(Duration age);
 
-    /** Records how long after its acknowledgement a configuration came into force, at most. */
+    /** Records the maximum time between a configuration's acknowledgement and its use here. */
     void recordConfigDelay(Duration delay);
 
-    /** \returns all of it as text for a metrics page, a line for each value. */
+    /** \returns all values in the text format of the metrics page, one line for each. */
     std::string text() const;
 
 private:
@@ -52,10 +52,10 @@
     std::array<std::atomic<std::uint64_t>, size> m_values{};
     mutable std::mutex m_mutex;
     LatencyHistogram m_latency;
-    LatencyHistogram m_knowledgeAge;
-    Duration m_oldestKnowledge{};
+    LatencyHistogram m_routingDataAge;
+    Duration m_maxRoutingDataAge{};
     LatencyHistogram m_configDelay;
-    Duration m_longestConfigDelay{};
+    Duration m_maxConfigDelay{};
 };
 
 } // namespace bulrush
--- a/src/libbulrushentry/entrydaemon.cpp
+++ b/src/libbulrushentry/entrydaemon.cpp
@@ -23,25 +23,26 @@
 constexpr int notFound = 404;
 constexpr int serviceUnavailable = 503;
 
-/** Requests under which servers ended, for operators. */
+/** The page of requests during which servers crashed, for operators. */
 constexpr std::string_view quarantinePath = "/quarantine";
-/** Followed by the fingerprint of one that is to be let through again. */
+/** Followed by the fingerprint of the request to admit again. */
 constexpr std::string_view liftPath = "/quarantine/lift/";
 
-/** How often control looks at what is due. */
+/** Interval at which the control thread executes what is due. */
 constexpr Duration controlInterval = std::chrono::milliseconds{100};
-/** Calls are logged once a second, so that a line is bounded however many they are. */
-constexpr Duration callsInterval = std::chrono::seconds{1};
-/** How often daemons tell the planner what they saw: hot keys come and go in some seconds. */
+/** Store calls are logged as one summary a second, so that their number does not affect the log. */
+constexpr Duration callLogInterval = std::chrono::seconds{1};
+/** Interval of load reports to the planner: hot keys appear and disappear within some seconds. */
 constexpr Duration loadInterval = std::chrono::milliseconds{600};
 constexpr Duration drainInterval = std::chrono::milliseconds{50};
 /**
- * The balancer asks once a second and takes a host out after two misses; callers may come until
- * then, and a while after. Where most hosts of a domain leave at once they come on and on.
+ * The load balancer polls once a second and removes a host after two failures; requests may arrive
+ * until then and a short time after. They continue to arrive if most hosts of a domain leave at
+ * once.
  */
-constexpr Duration balancerNotice = std::chrono::milliseconds{2700};
-/** After new requests are refused, for callers that were just sending. */
-constexpr Duration closeNotice = std::chrono::milliseconds{300};
+constexpr Duration balancerNoticePeriod = std::chrono::milliseconds{2700};
+/** After new requests are refused, for callers that were sending a request at that moment. */
+constexpr Duration closeGracePeriod = std::chrono::milliseconds{300};
 
 Incarnation newIncarnation(const HostName &host)
 {
@@ -49,7 +50,7 @@
     return Incarnation{host.value() + '/' + std::to_string(random())};
 }
 
-Duration patienceOf(const EntrySettings &settings)
+Duration plannerDelayOf(const EntrySettings &settings)
 {
     const std::string &name = settings.host.value();
     return plannerPatience(XXH3_64bits(name.data(), name.size()), settings.processors);
@@ -71,10 +72,10 @@
           [this](std::shared_ptr<const RoutingState> state) {
               m_worker.setState(std::move(state));
           },
-          [this](const RoutingKnowledge &knowledge) { m_worker.setKnowledge(knowledge); })
+          [this](const RoutingKnowledge &freshness) { m_worker.setFreshness(freshness); })
     , m_keys({followerDependencies(), m_client, m_state},
              {m_settings.host, newIncarnation(m_settings.host), m_settings.domain, m_settings.peers,
-              patienceOf(m_settings), m_settings.processors})
+              plannerDelayOf(m_settings), m_settings.processors})
     , m_crashes(followerDependencies(), m_settings.host,
                 [this](std::shared_ptr<const Quarantine> quarantine) {
                     m_worker.setQuarantine(std::move(quarantine));
@@ -101,11 +102,11 @@
                  {{"domain", m_settings.domain.value()}, {"store", toString(m_settings.store)}});
     awaitSignal();
     m_store.setCallObserver([this](const platform::StoreCallEnd &call) { m_storeCalls.add(call); });
-    m_timers.every(callsInterval, [this](Instant) {
+    m_timers.every(callLogInterval, [this](Instant) {
         m_storeCalls.log();
         m_peers.logServed();
     });
-    handOnCrashes();
+    connectCrashControl();
     m_worker.start();
     m_state.start();
     m_keys.start();
@@ -114,11 +115,11 @@
     m_loop.run();
     m_worker.stop();
     io::logEvent(LogLevel::Info, "stopped", {{"in-flight", std::to_string(m_worker.openCount())}});
-    return m_end;
+    return m_result;
 }
 
-/** Has what traffic sees of crashes told to control, and what others saw. */
-void EntryDaemon::handOnCrashes()
+/** Forwards crashes seen by the traffic thread, and the crash rows of other daemons. */
+void EntryDaemon::connectCrashControl()
 {
     m_worker.setCrashHandlers(
         {[this](std::vector<CrashReport> reports) {
@@ -136,11 +137,11 @@
 
 std::error_code EntryDaemon::listen()
 {
-    m_operators = pagesAt(m_settings.operators);
+    m_operators = createPageServer(m_settings.operators);
     if (const std::error_code error = m_operators->listen())
         return error;
     if (m_settings.metrics.port != 0) {
-        m_metrics = pagesAt(m_settings.metrics);
+        m_metrics = createPageServer(m_settings.metrics);
         if (const std::error_code error = m_metrics->listen())
             return error;
     }
@@ -149,7 +150,7 @@
     return m_worker.listen();
 }
 
-std::unique_ptr<io::CallerServer> EntryDaemon::pagesAt(const Endpoint &address)
+std::unique_ptr<io::CallerServer> EntryDaemon::createPageServer(const Endpoint &address)
 {
     io::CallerServerSettings settings;
     settings.address = address.address;
@@ -173,7 +174,7 @@
     m_signals.async_wait([this](const std::error_code &error, int signal) {
         if (error)
             return;
-        // Settings name addresses only, which do not change while the process runs.
+        // Nothing to reload: the settings are addresses, which can't change at run time.
         if (signal == SIGHUP)
             io::logEvent(LogLevel::Info, "reload", {{"changed", "nothing"}});
         else
@@ -201,19 +202,20 @@
         finish(m_worker.openCount() == 0 ? EntryEnd::Drained : EntryEnd::CutOff);
         return;
     }
-    if (passed < balancerNotice)
+    if (passed < balancerNoticePeriod)
         return;
     if (!std::exchange(m_isRefusing, true))
         m_worker.refuseNew();
-    // An answer may be given and not yet be written. Each connection ends with its last answer.
+    // An answer may not be written to its connection yet, so the connections must be closed as
+    // well. Each closes after its last answer.
     const bool isDone = m_worker.openCount() == 0 && m_worker.connectionCount() == 0;
-    if (passed > balancerNotice + closeNotice && isDone)
+    if (passed > balancerNoticePeriod + closeGracePeriod && isDone)
         finish(EntryEnd::Drained);
 }
 
 void EntryDaemon::finish(EntryEnd end)
 {
-    m_end = end;
+    m_result = end;
     m_loop.stop();
 }
 
@@ -228,13 +230,13 @@
 {
     m_worker.collectLoads([this](std::vector<LoadSample> samples) {
         asio::post(m_loop, [this, samples = std::move(samples)]() mutable {
-            tellLoads(std::move(samples));
+            reportLoads(std::move(samples));
         });
     });
 }
 
-/** Hands \a samples to the planner; those that don't reach it are not missed for long. */
-void EntryDaemon::tellLoads(std::vector<LoadSample> samples)
+/** Sends \a samples to the planner. Lost ones are not resent, as newer ones follow soon. */
+void EntryDaemon::reportLoads(std::vector<LoadSample> samples)
 {
     m_keys.addLoads(samples);
     if (m_keys.isPlanning())
--- a/src/libbulrushentry/entrydaemon.h
+++ b/src/libbulrushentry/entrydaemon.h
@@ -6,7 +6,7 @@
 #include "entrycounters.h"
 #include "forwardworker.h"
 #include "keycontrol.h"
-#include "peerdesk.h"
+#include "peerservice.h"
 #include "platform/storeclient.h"
 #include "process/entrysettings.h"
 #include "process/looptimers.h"
@@ -24,16 +24,16 @@
 
 namespace bulrush {
 
-/** How the run of an entry daemon ended. */
+/** How an entry daemon stopped. */
 enum class EntryEnd {
     Drained,      ///< with nothing in flight
     ListenFailed, ///< an address can't be listened on
-    CutOff,       ///< with requests in flight, as its time was up
+    CutOff,       ///< with requests in flight, because the drain time was over
 };
 
 /**
- * An entry daemon on the users' platform: the control thread, which is the one that calls run(),
- * and the traffic thread.
+ * An entry daemon on the users' platform. It has two threads: the control thread, which is the one
+ * that calls run(), and the traffic thread.
  */
 class EntryDaemon
 {
@@ -44,13 +44,13 @@
     EntryDaemon(const EntryDaemon &) = delete;
     EntryDaemon &operator=(const EntryDaemon &) = delete;
 
-    /** Listens, serves until a signal ends it, and drains. */
+    /** Listens, serves until a signal stops it, and drains. */
     EntryEnd run();
 
 private:
     FollowerDependencies followerDependencies();
     std::error_code listen();
-    std::unique_ptr<io::CallerServer> pagesAt(const Endpoint &address);
+    std::unique_ptr<io::CallerServer> createPageServer(const Endpoint &address);
     void printAddresses() const;
     void awaitSignal();
     void beginDrain();
@@ -58,9 +58,9 @@
     void finish(EntryEnd end);
     void advance(Instant now);
     void collectLoads();
-    void tellLoads(std::vector<LoadSample> samples);
+    void reportLoads(std::vector<LoadSample> samples);
     bool isReady() const;
-    void handOnCrashes();
+    void connectCrashControl();
     void answer(const io::IncomingRequest &request, io::ResponseWriter &writer);
     io::HttpResponse lift(const io::IncomingRequest &request);
     std::string metricsText() const;
@@ -83,11 +83,11 @@
     CrashControl m_crashes;
     std::unique_ptr<io::CallerServer> m_operators;
     std::unique_ptr<io::CallerServer> m_metrics;
-    PeerDesk m_peers;
+    PeerService m_peers;
     asio::signal_set m_signals;
     std::optional<Instant> m_drainingSince;
     bool m_isRefusing = false;
-    EntryEnd m_end = EntryEnd::Drained;
+    EntryEnd m_result = EntryEnd::Drained;
 };
 
 } // namespace bulrush
--- a/src/libbulrushentry/forwardcontext.cpp
+++ b/src/libbulrushentry/forwardcontext.cpp
@@ -12,8 +12,8 @@
 
 namespace {
 
-/** Requests that wait are looked at again after this time, if nothing else happens before. */
-constexpr Duration lookAgain = std::chrono::milliseconds{15};
+/** Interval at which queued requests are dispatched, unless another event does so earlier. */
+constexpr Duration dispatchInterval = std::chrono::milliseconds{15};
 
 } // namespace
 
@@ -26,29 +26,31 @@
     , picker(gauges, settings.domain, DrainBudget{settings.serverDrain})
     , queue(picker)
     , retries(settings.retries)
-    , answered(io::hostNow())
+    , answeredRequests(io::hostNow())
     , m_configBudget(settings.configInForce)
 {
-    servers.setLinkHandler(
-        [this](const std::string &run, io::ServerClient::Link link) { linkChanged(run, link); });
+    servers.setLinkHandler([this](const std::string &run, io::ServerClient::Link link) {
+        handleLinkChange(run, link);
+    });
 }
 
 void ForwardContext::setState(std::shared_ptr<const RoutingState> published)
 {
     if (state && published->routes && state->routes != published->routes)
-        noteRoutes(*published);
+        logRoutes(*published);
     state = std::move(published);
     retries.setDaemonCount(state->daemonCount);
     gauges.setDaemonCount(state->daemonCount);
-    noteGoneServers();
-    dispatchSoon();
+    handleRemovedServers();
+    scheduleDispatch();
 }
 
-/** Tells that requests go by other routes from now on, and how late at the most. */
-void ForwardContext::noteRoutes(const RoutingState &published)
+/** Logs that new routes are in force, and the maximum time for which the old ones were outdated. */
+void ForwardContext::logRoutes(const RoutingState &published)
 {
     const Instant now = io::hostNow();
-    // The first routes of a daemon were in force elsewhere before it started.
+    // The first routes of a daemon may have been in force elsewhere long before it started, so
+    // their delay is not measured.
     const bool isFirst = !state->routes;
     const Duration delay = now - published.routesUnchangedUntil;
     if (!isFirst)
@@ -63,18 +65,18 @@
 {
     quarantine = std::move(published);
     std::vector<std::shared_ptr<ForwardExchange>> waiting;
-    for (const auto &[ticket, exchange] : open)
+    for (const auto &[ticket, exchange] : openRequests)
         waiting.push_back(exchange);
     for (const auto &exchange : waiting)
-        exchange->quarantineChanged();
+        exchange->handleQuarantineChange();
 }
 
-RequestPassage ForwardContext::passage(const RequestFingerprint &request) const
+RequestPassage ForwardContext::admission(const RequestFingerprint &request) const
 {
-    return passageOf(request, *quarantine, answered, io::hostNow());
+    return passageOf(request, *quarantine, answeredRequests, io::hostNow());
 }
 
-void ForwardContext::serverEnded(const ServerName &server, std::string_view sign)
+void ForwardContext::recordServerStopped(const ServerName &server, std::string_view sign)
 {
     std::vector<CrashReport> reports = crashes.serverEnded(server, io::hostNow());
     if (reports.empty())
@@ -89,21 +91,24 @@
     crashHandlers.reported(std::move(reports));
 }
 
-/** A server that requests broke at is connected to: it has ended if nobody listens there. */
-void ForwardContext::linkChanged(const std::string &run, io::ServerClient::Link link)
+/**
+ * Connects to a server whose connection was lost during requests: if the connection is refused, the
+ * server has stopped.
+ */
+void ForwardContext::handleLinkChange(const std::string &run, io::ServerClient::Link link)
 {
     const ServerName server{run};
     if (link == io::ServerClient::Link::Refused)
-        serverEnded(server, "refused");
+        recordServerStopped(server, "refused");
     if (link != io::ServerClient::Link::Lost)
         return;
     const ServerRecord *record = findServer(server);
     if (!record || !crashes.takeLook(server, io::hostNow()))
         return;
-    io::ServerCall like;
-    like.server = record->address;
-    like.run = run;
-    servers.keepConnected(like);
+    io::ServerCall connectCall;
+    connectCall.server = record->address;
+    connectCall.run = run;
+    servers.keepConnected(connectCall);
 }
 
 const ServerRecord *ForwardContext::findServer(const ServerName &server) const
@@ -118,26 +123,26 @@
     return nullptr;
 }
 
-/** A server that requests broke at, and whose record is gone, has ended as well. */
-void ForwardContext::noteGoneServers()
+/** Treats suspect servers whose records were removed as stopped. */
+void ForwardContext::handleRemovedServers()
 {
     for (const ServerName &server : crashes.doubted()) {
         if (!findServer(server))
-            serverEnded(server, "record-gone");
+            recordServerStopped(server, "record-gone");
     }
 }
 
-void ForwardContext::setKnowledge(const RoutingKnowledge &knowledge)
+void ForwardContext::setFreshness(const RoutingKnowledge &freshness)
 {
-    m_configAsOf = knowledge.configAsOf;
-    picker.setKnowledge(knowledge.servers);
+    m_configConfirmedAt = freshness.configAsOf;
+    picker.setKnowledge(freshness.servers);
     if (queue.size() > 0)
-        dispatchSoon();
+        scheduleDispatch();
 }
 
-bool ForwardContext::isConfigInDoubt(Instant now) const
+bool ForwardContext::mayConfigBeOutdated(Instant now) const
 {
-    return now - m_configAsOf > m_configBudget.doubtAfter();
+    return now - m_configConfirmedAt > m_configBudget.doubtAfter();
 }
 
 void ForwardContext::dispatch(Instant now)
@@ -146,30 +151,30 @@
         return;
     const std::vector<GivenUp> givenUp =
         queue.dispatch(*state, now, [this](std::uint64_t ticket, const ServerRecord &server) {
-            if (const auto exchange = open.find(ticket); exchange != open.end())
+            if (const auto exchange = openRequests.find(ticket); exchange != openRequests.end())
                 exchange->second->sendTo(server);
         });
     for (const GivenUp &request : givenUp) {
-        const auto place = open.find(request.ticket);
-        if (place == open.end())
+        const auto place = openRequests.find(request.ticket);
+        if (place == openRequests.end())
             continue;
-        // The refusal takes it out of the open ones.
+        // The refusal removes the exchange from openRequests.
         const std::shared_ptr<ForwardExchange> exchange = place->second;
         exchange->refuse(nameOf(request.reason));
     }
-    if (queue.size() > 0 && !std::exchange(m_isLookDue, true))
-        timers.after(lookAgain, [this](Instant later) {
-            m_isLookDue = false;
+    if (queue.size() > 0 && !std::exchange(m_isDispatchTimerSet, true))
+        timers.after(dispatchInterval, [this](Instant later) {
+            m_isDispatchTimerSet = false;
             dispatch(later);
         });
 }
 
-void ForwardContext::dispatchSoon()
+void ForwardContext::scheduleDispatch()
 {
-    if (std::exchange(m_isDispatchDue, true))
+    if (std::exchange(m_isDispatchScheduled, true))
         return;
     asio::post(loop, [this] {
-        m_isDispatchDue = false;
+        m_isDispatchScheduled = false;
         dispatch(io::hostNow());
     });
 }
--- a/src/libbulrushentry/forwardcontext.h
+++ b/src/libbulrushentry/forwardcontext.h
@@ -26,18 +26,18 @@
 
 class ForwardExchange;
 
-/** Who is told of what requests did to servers. */
+/** Handlers for what requests did to servers. */
 struct CrashHandlers
 {
-    /** Servers have ended under requests. */
+    /** Called when servers have crashed during requests. */
     std::function<void(std::vector<CrashReport>)> reported;
-    /** A request under which servers have ended was answered. */
+    /** Called when a request during which servers have crashed was answered. */
     std::function<void(const RequestFingerprint &)> answered;
 };
 
 /**
- * What the requests of one traffic thread share. Everything lives as long as the thread and is used
- * on it alone, but for the counters.
+ * The state that the requests of one traffic thread share. All of it lives as long as the thread
+ * and is used only there, except for the counters.
  */
 struct ForwardContext
 {
@@ -47,7 +47,7 @@
     io::ServerClient servers;
     io::LoopTimers timers;
     EntryCounters &counters;
-    /** The latest that the control thread published; set by setState(). */
+    /** The latest state published by the control thread; set by setState(). */
     std::shared_ptr<const RoutingState> state;
     ServerGauges gauges;
     ServerPicker picker;
@@ -55,58 +55,61 @@
     RetryBudgets retries;
     KeyGate keyGate;
     CrashWatch crashes;
-    /** The latest that the control thread published; set by setQuarantine(). */
+    /** The latest quarantine published by the control thread; set by setQuarantine(). */
     std::shared_ptr<const Quarantine> quarantine = std::make_shared<const Quarantine>();
-    AnsweredRequests answered;
-    /** Suspects that are at a server: one copy of each at a time. */
-    std::set<RequestFingerprint> trials;
-    /** Told on this thread. */
+    AnsweredRequests answeredRequests;
+    /** Suspect requests that are at a server; only one copy of each may be at a time. */
+    std::set<RequestFingerprint> probes;
+    /** Called on this thread. */
     CrashHandlers crashHandlers;
-    /** In whose places others answered, since that was last told to the planner. */
-    std::map<ServiceName, std::set<ServerName>> endedServers;
-    /** Of services that are divided by key, since they were last told to the planner. */
-    std::map<ServiceName, std::vector<KeyPlace>> askedKeys;
+    /** Servers that were found to be replaced, since the last report to the planner. */
+    std::map<ServiceName, std::set<ServerName>> stoppedServers;
+    /** Requested keys of services that are divided by key, since the last report to the planner. */
+    std::map<ServiceName, std::vector<KeyPlace>> requestedKeys;
     /** Requests that have no answer yet, by ticket. */
-    std::map<std::uint64_t, std::shared_ptr<ForwardExchange>> open;
+    std::map<std::uint64_t, std::shared_ptr<ForwardExchange>> openRequests;
     std::uint64_t nextTicket = 1;
-    /** The process is about to end: requests that come now could not be finished. */
+    /** The process is about to stop, so that requests that arrive now could not be completed. */
     bool isRefusing = false;
 
-    /** Takes in what the control thread published. */
+    /** Applies the state that the control thread published. */
     void setState(std::shared_ptr<const RoutingState> published);
 
-    /** Takes in which requests are kept from servers, and refuses those that wait here. */
+    /** Applies the published quarantine, and refuses queued requests that it blocks. */
     void setQuarantine(std::shared_ptr<const Quarantine> published);
 
     /** \returns whether \a request may go to a server now. */
-    RequestPassage passage(const RequestFingerprint &request) const;
+    RequestPassage admission(const RequestFingerprint &request) const;
 
-    /** Notes that the run \a server has ended, by what shows it, and reports what it was at. */
-    void serverEnded(const ServerName &server, std::string_view sign);
+    /**
+     * Records that the run \a server has stopped, and reports the requests that it was processing.
+     * \a sign is logged as the reason for this conclusion.
+     */
+    void recordServerStopped(const ServerName &server, std::string_view sign);
 
-    /** Takes in how far what was published can be relied on. */
-    void setKnowledge(const RoutingKnowledge &knowledge);
+    /** Applies the age of the published routing data, and whether the store can confirm it. */
+    void setFreshness(const RoutingKnowledge &freshness);
 
     /** \returns whether a later configuration may be in force elsewhere. */
-    bool isConfigInDoubt(Instant now) const;
+    bool mayConfigBeOutdated(Instant now) const;
 
-    /** Sends what may be sent, and refuses what can't be served any more. */
+    /** Sends the requests that may be sent, and refuses those that can no longer be served. */
     void dispatch(Instant now);
 
-    /** Dispatches soon, once for all that ask for it. */
-    void dispatchSoon();
+    /** Schedules one dispatch, however often it is called before that runs. */
+    void scheduleDispatch();
 
 private:
-    void linkChanged(const std::string &run, io::ServerClient::Link link);
+    void handleLinkChange(const std::string &run, io::ServerClient::Link link);
     const ServerRecord *findServer(const ServerName &server) const;
-    void noteGoneServers();
-    void noteRoutes(const RoutingState &published);
+    void handleRemovedServers();
+    void logRoutes(const RoutingState &published);
 
     ConfigBudget m_configBudget;
-    /** At that instant the store held no later configuration. */
-    Instant m_configAsOf;
-    bool m_isDispatchDue = false;
-    bool m_isLookDue = false;
+    /** The last instant at which the store was confirmed to hold no later configuration. */
+    Instant m_configConfirmedAt;
+    bool m_isDispatchScheduled = false;
+    bool m_isDispatchTimerSet = false;
 };
 
 } // namespace bulrush
--- a/src/libbulrushentry/forwardexchange.cpp
+++ b/src/libbulrushentry/forwardexchange.cpp
@@ -26,30 +26,31 @@
 constexpr int gatewayTimeout = 504;
 constexpr int firstServerError = 500;
 
-/** For requests that don't say how long their callers wait. */
+/** For requests that state no deadline. */
 constexpr Duration defaultDeadline = std::chrono::seconds{10};
-/** Before a request goes to an owner again that did not hold its key yet. */
+/** Before a request is sent again to an owner that did not hold its key yet. */
 constexpr Duration misdirectedDelay = std::chrono::milliseconds{60};
-/** Before a request goes to a server again after a refusal, or to another one. */
+/** Before a refused request is sent again, to the same server or another one. */
 constexpr Duration refusedDelay = std::chrono::milliseconds{20};
-/** Attempts that did not run, after which a request is refused. */
-constexpr int mostAttempts = 6;
-/** Refused callers come back after this time at the least, and spread over as much again. */
-constexpr double leastRetryAfter = 0.25;
-constexpr double retryAfterSpread = 0.5;
-/** Backend servers get this much less time than is left, so that their answers still come in. */
-constexpr Duration answerTravel = std::chrono::milliseconds{4};
-/** Characters of a request's path and query that a log line gives at most. */
-constexpr std::size_t loggedPath = 80;
-/** Why a request is refused while another copy shows whether it is to blame. */
-constexpr std::string_view mayCrash = "may-crash-servers";
+/** A request is refused when this many attempts did not run. */
+constexpr int maxTotalAttempts = 6;
+/** Refused callers are to retry after the minimum time plus a part of the spread. */
+constexpr double minRetryAfterSeconds = 0.25;
+constexpr double retryAfterSpreadSeconds = 0.5;
+/** Subtracted from the time left for backend servers, so that their answers arrive in time. */
+constexpr Duration answerTransitTime = std::chrono::milliseconds{4};
+/** Maximum length of a request's path and query in a log line. */
+constexpr std::size_t maxLoggedPathLength = 80;
+/** Reason for refusing a suspect request while a probe finds out whether it crashes servers. */
+constexpr std::string_view mayCrashReason = "may-crash-servers";
 
 std::string retryAfter(std::uint64_t hash)
 {
     constexpr std::uint64_t steps = 1000;
     const double part = static_cast<double>(hash % steps) / steps;
     std::array<char, 16> text{};
-    std::snprintf(text.data(), text.size(), "%.2f", leastRetryAfter + retryAfterSpread * part);
+    std::snprintf(text.data(), text.size(), "%.2f",
+                  minRetryAfterSeconds + retryAfterSpreadSeconds * part);
     return text.data();
 }
 
@@ -69,22 +70,22 @@
     m_context.counters.add(EntryCounter::RequestsTaken);
     m_terms = platform::requestTerms(m_request->head().headers);
     m_ticket = m_context.nextTicket++;
-    m_context.open.emplace(m_ticket, shared_from_this());
+    m_context.openRequests.emplace(m_ticket, shared_from_this());
     m_request->setGoneHandler([weak = weak_from_this()] {
         if (const auto self = weak.lock())
-            self->callerGone();
+            self->handleDisconnect();
     });
-    if (!resolve())
+    if (!resolveRoute())
         return;
-    m_timeout = m_context.timers.after(left(), [weak = weak_from_this()](Instant) {
+    m_timeout = m_context.timers.after(timeLeft(), [weak = weak_from_this()](Instant) {
         if (const auto self = weak.lock())
-            self->timedOut();
+            self->handleTimeout();
     });
     readBody();
 }
 
-/** Finds the route and what follows from it. \returns false if the request was answered instead. */
-bool ForwardExchange::resolve()
+/** Finds the route, service and deadline. \returns false if the request was answered instead. */
+bool ForwardExchange::resolveRoute()
 {
     m_routes = m_context.state ? m_context.state->routes : nullptr;
     if (!m_routes || m_context.isRefusing) {
@@ -98,8 +99,8 @@
     const io::HttpHeader *host = io::findField(m_request->head().headers, "Host");
     m_route = m_routes->find(host ? host->value : std::string{}, m_request->head().target);
     if (!m_route) {
-        // The route may have been added since: that the request did not run is all that is known.
-        if (m_context.isConfigInDoubt(m_startedAt))
+        // A newer configuration may have added the route, so the request is not rejected for good.
+        if (m_context.mayConfigBeOutdated(m_startedAt))
             refuseNotRun("configuration-in-doubt");
         else
             reject(notFound, "no-route");
@@ -120,10 +121,10 @@
     return !m_isDividedByKey || admitKey();
 }
 
-/** Counts a request for a key. \returns false if it was refused, as its owner can't serve all. */
+/** Counts the request for its key. \returns false if it was refused because the key is too hot. */
 bool ForwardExchange::admitKey()
 {
-    m_context.askedKeys[m_service].push_back(*m_terms.key);
+    m_context.requestedKeys[m_service].push_back(*m_terms.key);
     if (m_context.keyGate.admits(m_service, *m_terms.key, hash(), m_startedAt))
         return true;
     refuseNotRun("key-too-hot");
@@ -132,20 +133,20 @@
 
 void ForwardExchange::readBody()
 {
-    if (m_isOver)
+    if (m_isFinished)
         return;
     if (m_request->isBodyWhole()) {
         *m_body = m_request->body();
-        noteFingerprint();
+        computeFingerprint();
         enqueue(m_startedAt);
         return;
     }
     m_request->readBody(
         [self = shared_from_this()](std::error_code error, const std::string &bytes) {
-            if (self->m_isOver)
+            if (self->m_isFinished)
                 return;
             if (error) {
-                self->callerGone();
+                self->handleDisconnect();
                 return;
             }
             if (!bytes.empty()) {
@@ -153,12 +154,12 @@
                 self->readBody();
                 return;
             }
-            self->noteFingerprint();
+            self->computeFingerprint();
             self->enqueue(io::hostNow());
         });
 }
 
-void ForwardExchange::noteFingerprint()
+void ForwardExchange::computeFingerprint()
 {
     const io::RequestHead &head = m_request->head();
     const io::HttpHeader *host = io::findField(head.headers, "Host");
@@ -166,47 +167,49 @@
         {head.method, host ? std::string_view{host->value} : "", head.target, *m_body}};
 }
 
-/** \returns whether the request was refused, as it crashes servers, or others find out if it does.
+/**
+ * Refuses the request if it is blocked because it crashes servers, or if other daemons probe
+ * whether it does. \returns whether it was refused.
  */
-bool ForwardExchange::refuseIfHeldBack()
+bool ForwardExchange::refuseIfQuarantined()
 {
     if (!m_fingerprint)
         return false;
-    const RequestPassage passage = m_context.passage(*m_fingerprint);
-    if (passage != RequestPassage::Blocked && passage != RequestPassage::LeftToOthers)
+    const RequestPassage admission = m_context.admission(*m_fingerprint);
+    if (admission != RequestPassage::Blocked && admission != RequestPassage::LeftToOthers)
         return false;
     m_context.counters.add(EntryCounter::RefusedCrashing);
-    if (passage == RequestPassage::Blocked)
-        refuseNotRun("crashes-servers", ComeBack::Never);
+    if (admission == RequestPassage::Blocked)
+        refuseNotRun("crashes-servers", RetryAdvice::Never);
     else
-        refuseNotRun(mayCrash);
+        refuseNotRun(mayCrashReason);
     return true;
 }
 
-/** \returns whether the request may be sent: it is no suspect, or no copy of it is at a server. */
-bool ForwardExchange::beginTrial()
+/** \returns whether the request may be sent: it is not suspect, or is now the only probe. */
+bool ForwardExchange::beginProbe()
 {
-    if (m_context.passage(*m_fingerprint) == RequestPassage::Free)
+    if (m_context.admission(*m_fingerprint) == RequestPassage::Free)
         return true;
-    m_isTrial = m_context.trials.insert(*m_fingerprint).second;
-    return m_isTrial;
+    m_isProbe = m_context.probes.insert(*m_fingerprint).second;
+    return m_isProbe;
 }
 
-void ForwardExchange::endTrial()
+void ForwardExchange::endProbe()
 {
-    if (std::exchange(m_isTrial, false))
-        m_context.trials.erase(*m_fingerprint);
+    if (std::exchange(m_isProbe, false))
+        m_context.probes.erase(*m_fingerprint);
 }
 
-void ForwardExchange::quarantineChanged()
+void ForwardExchange::handleQuarantineChange()
 {
-    if (!m_isOver && !m_call)
-        refuseIfHeldBack();
+    if (!m_isFinished && !m_call)
+        refuseIfQuarantined();
 }
 
 void ForwardExchange::enqueue(Instant notBefore)
 {
-    if (refuseIfHeldBack())
+    if (refuseIfQuarantined())
         return;
     WaitingRequest waiting;
     waiting.ticket = m_ticket;
@@ -221,21 +224,21 @@
     waiting.answerBy = m_answerBy;
     waiting.notBefore = notBefore;
     m_context.queue.add(std::move(waiting));
-    m_context.dispatchSoon();
+    m_context.scheduleDispatch();
 }
 
 void ForwardExchange::sendTo(const ServerRecord &server)
 {
-    if (!beginTrial()) {
+    if (!beginProbe()) {
         m_context.counters.add(EntryCounter::RefusedCrashing);
-        asio::post(m_context.loop, [self = shared_from_this()] { self->refuse(mayCrash); });
+        asio::post(m_context.loop, [self = shared_from_this()] { self->refuse(mayCrashReason); });
         return;
     }
     m_sentAt = io::hostNow();
     m_server = server.id;
     ++m_attempts;
-    const auto endedBefore = m_context.quarantine->endedUnder(*m_fingerprint);
-    m_endedBefore.assign(endedBefore.begin(), endedBefore.end());
+    const auto crashedBefore = m_context.quarantine->endedUnder(*m_fingerprint);
+    m_crashedBefore.assign(crashedBefore.begin(), crashedBefore.end());
     m_context.counters.add(EntryCounter::AttemptsSent);
     if (m_attempts > 1)
         m_context.counters.add(EntryCounter::AttemptsRepeated);
@@ -246,23 +249,27 @@
     call.run = server.id.value();
     call.method = m_request->head().method;
     call.target = m_request->head().target;
-    call.headers =
-        platform::forwardedFields(m_request->head().headers, server.id, left() - answerTravel);
+    call.headers = platform::forwardedFields(m_request->head().headers, server.id,
+                                             timeLeft() - answerTransitTime);
     call.body = m_body;
-    call.timeout = left() + std::chrono::seconds{1};
-    call.sendBy = std::min(m_answerBy - RequestQueue::leastServiceTime, noteChoice());
+    call.timeout = timeLeft() + std::chrono::seconds{1};
+    call.sendBy = std::min(m_answerBy - RequestQueue::leastServiceTime, recordChoice());
     call.echoedField = platform::requestIdField;
-    m_call = m_context.servers.send(
-        std::move(call),
-        [self = shared_from_this()](const io::HttpResult &result) { self->attemptEnded(result); });
+    m_call = m_context.servers.send(std::move(call),
+                                    [self = shared_from_this()](const io::HttpResult &result) {
+                                        self->handleAttemptResult(result);
+                                    });
 }
 
-/** Notes by what the server was chosen. \returns until when the request may be sent to it. */
-Instant ForwardExchange::noteChoice()
+/**
+ * Records the age of the routing data by which the server was chosen. \returns the instant until
+ * which the request may be sent to it.
+ */
+Instant ForwardExchange::recordChoice()
 {
-    m_knowledgeAge = m_context.picker.knowledgeAge(m_sentAt);
-    m_context.counters.recordKnowledgeAge(m_knowledgeAge);
-    m_isChoiceLogged = m_knowledgeAge >= m_context.picker.budget().confirmAfter();
+    m_routingDataAge = m_context.picker.knowledgeAge(m_sentAt);
+    m_context.counters.recordRoutingDataAge(m_routingDataAge);
+    m_isChoiceLogged = m_routingDataAge >= m_context.picker.budget().confirmAfter();
     m_drainsAfter.reset();
     const KnownServer *server = m_context.state->server(m_service, m_server);
     if (!server)
@@ -272,8 +279,8 @@
     return m_context.picker.lastSend(*server);
 }
 
-/** Tells when a request to a server that may have left took each step on its way. */
-void ForwardExchange::logSteps(const io::CallTimes &times)
+/** Logs the times of the attempt's steps if its server may have left. */
+void ForwardExchange::logAttemptTimes(const io::CallTimes &times)
 {
     if (!std::exchange(m_isChoiceLogged, false))
         return;
@@ -286,26 +293,26 @@
                  {{"request", m_terms.id},
                   {"server", m_server.value()},
                   {"drains-ms-at-most", drains},
-                  {"knowledge-ms", io::millisecondsText(m_knowledgeAge)},
+                  {"knowledge-ms", io::millisecondsText(m_routingDataAge)},
                   {"connected-ms", sinceChoice(times.connectedAt)},
                   {"written-ms", sinceChoice(times.writtenAt)}});
 }
 
-void ForwardExchange::attemptEnded(const io::HttpResult &result)
+void ForwardExchange::handleAttemptResult(const io::HttpResult &result)
 {
     m_call.reset();
-    endTrial();
-    logSteps(result.times);
-    if (m_isOver)
+    endProbe();
+    logAttemptTimes(result.times);
+    if (m_isFinished)
         return;
-    m_context.dispatchSoon();
+    m_context.scheduleDispatch();
     if (result.error)
-        broke(result);
+        handleBrokenAttempt(result);
     else
-        answered(result);
+        handleAnswer(result);
 }
 
-void ForwardExchange::answered(const io::HttpResult &result)
+void ForwardExchange::handleAnswer(const io::HttpResult &result)
 {
     const Instant now = io::hostNow();
     const io::HttpResponse &response = result.response;
@@ -322,35 +329,35 @@
         m_context.counters.add(EntryCounter::AttemptsNotRun);
         const bool isKeyMissing = response.status == misdirected;
         if (terms.isReplaced) {
-            m_context.endedServers[m_service].insert(m_server);
-            m_context.serverEnded(m_server, "replaced");
+            m_context.stoppedServers[m_service].insert(m_server);
+            m_context.recordServerStopped(m_server, "replaced");
         }
         if (!m_isDividedByKey)
             m_tried.push_back(m_server);
-        if (retryLater(isKeyMissing ? misdirectedDelay : refusedDelay))
+        if (scheduleRetry(isKeyMissing ? misdirectedDelay : refusedDelay))
             return;
         refuseNotRun(isKeyMissing ? "server-has-not-the-key" : "server-refused");
         return;
     }
     m_context.crashes.serverAnswered(m_server);
-    m_context.answered.note(*m_fingerprint, now);
+    m_context.answeredRequests.note(*m_fingerprint, now);
     if (!m_context.quarantine->endedUnder(*m_fingerprint).empty())
         m_context.crashHandlers.answered(*m_fingerprint);
-    // An encoded body was not asked for, so it is not what the server meant to send.
-    const bool isGarbled = io::findField(response.headers, "Content-Encoding") != nullptr;
-    if (isGarbled || isFailure) {
-        if (!isGarbled)
-            m_failure = response;
-        if (repeatElsewhere())
+    // No encoding was requested, so an encoded body can't be the intended answer.
+    const bool isEncoded = io::findField(response.headers, "Content-Encoding") != nullptr;
+    if (isEncoded || isFailure) {
+        if (!isEncoded)
+            m_failedAnswer = response;
+        if (retryOnOtherServer())
             return;
     }
-    if (isGarbled)
-        endUnknown(badGateway, "answer-encoded");
+    if (isEncoded)
+        finishUnknown(badGateway, "answer-encoded");
     else
         returnAnswer(response);
 }
 
-void ForwardExchange::broke(const io::HttpResult &result)
+void ForwardExchange::handleBrokenAttempt(const io::HttpResult &result)
 {
     const Instant now = io::hostNow();
     const bool isUnsent = result.stage == io::TransferStage::NotConnected;
@@ -359,7 +366,7 @@
     io::logEvent(LogLevel::Info, "attempt-broke",
                  {{"request", m_terms.id},
                   {"fingerprint", m_fingerprint->toString()},
-                  {"path", m_request->head().target.substr(0, loggedPath)},
+                  {"path", m_request->head().target.substr(0, maxLoggedPathLength)},
                   {"server", m_server.value()},
                   {"sent", isUnsent ? "no" : "yes"},
                   {"after-ms", io::millisecondsText(now - m_sentAt)},
@@ -367,18 +374,18 @@
     if (isUnsent) {
         if (!m_isDividedByKey)
             m_tried.push_back(m_server);
-        if (retryLater(refusedDelay))
+        if (scheduleRetry(refusedDelay))
             return;
         refuseNotRun("server-unreachable");
         return;
     }
-    noteLoss(CrashWatch::Loss::Broke);
-    if (!repeatElsewhere())
-        endUnknown(badGateway, "answer-lost");
+    recordLostAttempt(CrashWatch::Loss::Broke);
+    if (!retryOnOtherServer())
+        finishUnknown(badGateway, "answer-lost");
 }
 
-/** Queues a request again that may have run. \returns false if it is not to be sent any more. */
-bool ForwardExchange::repeatElsewhere()
+/** Queues the request, which may have run, again. \returns false if it must not be repeated. */
+bool ForwardExchange::retryOnOtherServer()
 {
     m_context.counters.add(EntryCounter::AttemptsFailed);
     m_mayHaveRun = true;
@@ -386,27 +393,28 @@
         && static_cast<std::uint32_t>(m_attempts) < m_route->maxAttempts;
     if (!mayRepeat)
         return false;
-    // Another server ended under the request before: this daemon does not send it to a third.
-    if (!m_endedBefore.empty())
+    // Another server crashed during the request before, so this daemon sends it to no third one.
+    if (!m_crashedBefore.empty())
         return false;
     m_tried.push_back(m_server);
-    return retryLater(Duration::zero());
+    return scheduleRetry(Duration::zero());
 }
 
-/** Notes that the server, which had the request, gave no answer: it may have ended by it. */
-void ForwardExchange::noteLoss(CrashWatch::Loss loss)
+/** Records that the server had the request and gave no answer: it may have crashed by it. */
+void ForwardExchange::recordLostAttempt(CrashWatch::Loss loss)
 {
     const auto report =
-        m_context.crashes.lost({*m_fingerprint, m_server, m_endedBefore}, loss, io::hostNow());
+        m_context.crashes.lost({*m_fingerprint, m_server, m_crashedBefore}, loss, io::hostNow());
     if (report)
         m_context.crashHandlers.reported({*report});
 }
 
-/** Queues the request again. \returns false if it is not to be sent any more. */
-bool ForwardExchange::retryLater(Duration delay)
+/** Queues the request again. \returns false if no attempt, time or retry budget is left. */
+bool ForwardExchange::scheduleRetry(Duration delay)
 {
     const Instant now = io::hostNow();
-    if (m_attempts >= mostAttempts || now + delay + RequestQueue::leastServiceTime >= m_answerBy)
+    if (m_attempts >= maxTotalAttempts
+        || now + delay + RequestQueue::leastServiceTime >= m_answerBy)
         return false;
     const RequestClass requestClass =
         m_route->priority == 0 ? RequestClass::Priority : RequestClass::Ordinary;
@@ -427,18 +435,18 @@
 
 void ForwardExchange::refuse(std::string_view reason)
 {
-    if (m_isOver)
+    if (m_isFinished)
         return;
     if (m_mayHaveRun)
-        endUnknown(gatewayTimeout, reason);
+        finishUnknown(gatewayTimeout, reason);
     else
         refuseNotRun(reason);
 }
 
-void ForwardExchange::refuseNotRun(std::string_view reason, ComeBack comeBack)
+void ForwardExchange::refuseNotRun(std::string_view reason, RetryAdvice advice)
 {
     if (m_mayHaveRun) {
-        endUnknown(badGateway, reason);
+        finishUnknown(badGateway, reason);
         return;
     }
     m_context.counters.add(EntryCounter::RefusedNotRun);
@@ -447,17 +455,17 @@
     std::erase_if(response.headers, [](const io::HttpHeader &header) {
         return io::isSameField(header.name, "Retry-After");
     });
-    if (comeBack == ComeBack::Soon)
+    if (advice == RetryAdvice::Later)
         response.headers.push_back({"Retry-After", retryAfter(hash())});
     m_writer->send(response);
     finish();
 }
 
-void ForwardExchange::endUnknown(int status, std::string_view reason)
+void ForwardExchange::finishUnknown(int status, std::string_view reason)
 {
-    // A server's own word on what became of the request is better than none.
-    if (m_failure) {
-        returnAnswer(*std::exchange(m_failure, std::nullopt));
+    // The answer of a server that failed tells the caller more than an unknown outcome.
+    if (m_failedAnswer) {
+        returnAnswer(*std::exchange(m_failedAnswer, std::nullopt));
         return;
     }
     m_context.counters.add(EntryCounter::EndedUnknown);
@@ -474,19 +482,19 @@
     finish();
 }
 
-void ForwardExchange::callerGone()
+void ForwardExchange::handleDisconnect()
 {
-    if (m_isOver)
+    if (m_isFinished)
         return;
     m_context.counters.add(EntryCounter::CallersGone);
     log("caller-gone", 0, m_call ? "at-server" : "waiting");
     finish();
 }
 
-void ForwardExchange::timedOut()
+void ForwardExchange::handleTimeout()
 {
     m_timeout.reset();
-    if (m_isOver)
+    if (m_isFinished)
         return;
     if (m_call && m_context.servers.isSent(*m_call))
         m_mayHaveRun = true;
@@ -495,27 +503,28 @@
 
 void ForwardExchange::finish()
 {
-    if (std::exchange(m_isOver, true))
+    if (std::exchange(m_isFinished, true))
         return;
     if (m_timeout)
         m_context.timers.cancel(*m_timeout);
     if (m_call) {
         const Instant now = io::hostNow();
-        logSteps(m_context.servers.times(*m_call));
+        logAttemptTimes(m_context.servers.times(*m_call));
         if (m_context.servers.isSent(*m_call))
-            noteLoss(CrashWatch::Loss::Abandoned);
+            recordLostAttempt(CrashWatch::Loss::Abandoned);
         m_context.servers.cancel(*m_call);
         m_context.gauges.attemptEnded(m_server, AttemptSign::Abandoned, now - m_sentAt,
                                       std::nullopt, now);
         m_call.reset();
-        m_context.dispatchSoon();
+        m_context.scheduleDispatch();
     }
-    endTrial();
+    endProbe();
     m_context.queue.remove(m_ticket);
     m_writer.reset();
-    // The caller of this function may hold nothing else of this object.
+    // The entry in openRequests may be the last reference, so this one keeps the object alive until
+    // the caller has returned.
     asio::post(m_context.loop, [self = shared_from_this()] {});
-    m_context.open.erase(m_ticket);
+    m_context.openRequests.erase(m_ticket);
 }
 
 void ForwardExchange::log(std::string_view outcome, int status, std::string_view reason) const
@@ -539,11 +548,11 @@
                   {"server", m_server.value()},
                   {"attempts", std::to_string(m_attempts)},
                   {"ms", io::millisecondsText(elapsed())},
-                  {"left-ms", io::millisecondsText(left())},
+                  {"left-ms", io::millisecondsText(timeLeft())},
                   {"config", std::to_string(version)}});
 }
 
-/** \returns the assignment that the request's key is looked up in, or null. */
+/** \returns the current assignment of the request's service, or null if it has no key. */
 const KeyAssignment *ForwardExchange::currentAssignment() const
 {
     if (!m_isDividedByKey || !m_terms.key || !m_context.state)
@@ -552,7 +561,7 @@
     return assignment == m_context.state->assignments.end() ? nullptr : assignment->second.get();
 }
 
-/** \returns a number that is spread evenly over requests and alike each time for one. */
+/** \returns a hash of the request's ID: evenly distributed, and the same for each attempt. */
 std::uint64_t ForwardExchange::hash() const
 {
     return XXH3_64bits(m_terms.id.data(), m_terms.id.size());
@@ -570,7 +579,7 @@
     return io::hostNow() - m_startedAt;
 }
 
-Duration ForwardExchange::left() const
+Duration ForwardExchange::timeLeft() const
 {
     return std::max(Duration::zero(), m_answerBy - io::hostNow());
 }
--- a/src/libbulrushentry/forwardexchange.h
+++ b/src/libbulrushentry/forwardexchange.h
@@ -16,11 +16,11 @@
 namespace bulrush {
 
 /**
- * One caller's request from its arrival to its end: the server's own answer, or the word that it
- * did not run and when to come back, or that its end is not known. A request that is given up on is
- * answered at once.
+ * Handles one caller's request from its arrival to its outcome: the server's own answer, a refusal
+ * that says that it did not run and when to retry, or an unknown outcome. A request that is given
+ * up is answered at once.
  *
- * Used on its traffic thread, created with std::make_shared; the context keeps it until its end.
+ * Used on its traffic thread, created with std::make_shared; the context owns it until it finishes.
  */
 class ForwardExchange : public std::enable_shared_from_this<ForwardExchange>
 {
@@ -34,87 +34,87 @@
     /** Starts the handling of the request. */
     void start();
 
-    /** Sends the request to \a server. \pre it waits in the queue, which has let it go */
+    /** Sends the request to \a server. \pre the queue has just released it */
     void sendTo(const ServerRecord &server);
 
-    /** Refuses the request, which waited in the queue, as not run. */
+    /** Refuses the queued request: as not run, or as unknown if an earlier attempt may have run. */
     void refuse(std::string_view reason);
 
-    /** Refuses the request if it is held back by now, and no server has it. */
-    void quarantineChanged();
+    /** Refuses the request if it is quarantined by now and no server has it. */
+    void handleQuarantineChange();
 
 private:
-    bool resolve();
+    bool resolveRoute();
     bool admitKey();
     void readBody();
-    void noteFingerprint();
-    bool refuseIfHeldBack();
-    bool beginTrial();
-    void endTrial();
-    void noteLoss(CrashWatch::Loss loss);
+    void computeFingerprint();
+    bool refuseIfQuarantined();
+    bool beginProbe();
+    void endProbe();
+    void recordLostAttempt(CrashWatch::Loss loss);
     void enqueue(Instant notBefore);
-    Instant noteChoice();
-    void logSteps(const io::CallTimes &times);
-    void attemptEnded(const io::HttpResult &result);
-    void answered(const io::HttpResult &result);
-    void broke(const io::HttpResult &result);
-    bool repeatElsewhere();
-    bool retryLater(Duration delay);
+    Instant recordChoice();
+    void logAttemptTimes(const io::CallTimes &times);
+    void handleAttemptResult(const io::HttpResult &result);
+    void handleAnswer(const io::HttpResult &result);
+    void handleBrokenAttempt(const io::HttpResult &result);
+    bool retryOnOtherServer();
+    bool scheduleRetry(Duration delay);
     void returnAnswer(const io::HttpResponse &response);
-    enum class ComeBack {
-        Soon, ///< the refusal says when
+    enum class RetryAdvice {
+        Later, ///< the refusal states the delay
         Never,
     };
-    void refuseNotRun(std::string_view reason, ComeBack comeBack = ComeBack::Soon);
-    void endUnknown(int status, std::string_view reason);
+    void refuseNotRun(std::string_view reason, RetryAdvice advice = RetryAdvice::Later);
+    void finishUnknown(int status, std::string_view reason);
     void reject(int status, std::string_view reason);
-    void callerGone();
-    void timedOut();
+    void handleDisconnect();
+    void handleTimeout();
     void finish();
     void log(std::string_view outcome, int status, std::string_view reason) const;
     const KeyAssignment *currentAssignment() const;
     std::uint64_t hash() const;
     std::string_view caller() const;
     Duration elapsed() const;
-    Duration left() const;
+    Duration timeLeft() const;
 
     ForwardContext &m_context;
     std::shared_ptr<io::IncomingRequest> m_request;
     std::shared_ptr<io::ResponseWriter> m_writer;
-    /** Keeps the route alive. */
+    /** Owns m_route. */
     std::shared_ptr<const RouteTable> m_routes;
     const Route *m_route = nullptr;
     platform::RequestTerms m_terms;
     ServiceName m_service;
     bool m_isDividedByKey = false;
     std::shared_ptr<std::string> m_body = std::make_shared<std::string>();
-    /** Of the whole request; nothing until its body is here. */
+    /** Of the complete request; nothing until its body has arrived. */
     std::optional<RequestFingerprint> m_fingerprint;
     std::uint64_t m_ticket = 0;
     Instant m_startedAt;
     Instant m_answerBy;
     std::optional<TimerService::SubscriptionId> m_timeout;
-    /** Servers that got the request. */
+    /** Servers that have been tried without success. */
     std::vector<ServerName> m_tried;
     int m_attempts = 0;
     ServerName m_server;
     Instant m_sentAt;
-    /** Of the server, as it was chosen. */
+    /** The last instant at which the chosen server was known not to drain, if it drains. */
     std::optional<Instant> m_drainsAfter;
-    /** Of what was known of the servers then. */
-    Duration m_knowledgeAge{};
-    /** The server may have left, by what was known: the steps of the attempt are logged. */
+    /** Age of the data on servers when the server was chosen. */
+    Duration m_routingDataAge{};
+    /** The server may have left, by that data, so the times of the attempt are logged. */
     bool m_isChoiceLogged = false;
     std::optional<io::ServerClient::CallId> m_call;
-    /** Runs that were known to have ended under the request as it was sent. */
-    std::vector<ServerName> m_endedBefore;
-    /** The answer of a server that failed, in case no other one does better. */
-    std::optional<io::HttpResponse> m_failure;
-    /** An attempt ended so that the request may have run. */
+    /** Runs that were known, when the request was sent, to have crashed during it. */
+    std::vector<ServerName> m_crashedBefore;
+    /** The answer of a server that failed, returned if no other attempt succeeds. */
+    std::optional<io::HttpResponse> m_failedAnswer;
+    /** The request may have run in an earlier attempt. */
     bool m_mayHaveRun = false;
-    /** It is the one copy of a suspect that is at a server. */
-    bool m_isTrial = false;
-    bool m_isOver = false;
+    /** This is the one copy of a suspect request that is at a server. */
+    bool m_isProbe = false;
+    bool m_isFinished = false;
 };
 
 } // namespace bulrush
--- a/src/libbulrushentry/forwardworker.cpp
+++ b/src/libbulrushentry/forwardworker.cpp
@@ -11,12 +11,12 @@
 
 namespace {
 
-/** How often what is only watched is looked at. */
-constexpr Duration watchInterval = std::chrono::milliseconds{100};
-/** Bodies up to this length are read whole with their request. */
-constexpr std::uint64_t wholeBodyLimit = std::uint64_t{1} << 20;
-/** A caller may keep a connection idle for some 15 s; it is the caller who is to close it. */
-constexpr Duration callerIdleTime = std::chrono::seconds{25};
+/** Interval at which gauges and counters are updated. */
+constexpr Duration updateInterval = std::chrono::milliseconds{100};
+/** Bodies up to this length are buffered completely before their request is handled. */
+constexpr std::uint64_t bufferedBodyLimit = std::uint64_t{1} << 20;
+/** Callers keep idle connections for some 15 s; this is longer, so that the caller closes first. */
+constexpr Duration callerIdleTimeout = std::chrono::seconds{25};
 
 } // namespace
 
@@ -38,7 +38,7 @@
         m_loop, serverSettings(), [this](auto request, auto writer) {
             std::make_shared<ForwardExchange>(m_context, std::move(request), std::move(writer))
                 ->start();
-            m_openCount = m_context.open.size();
+            m_openCount = m_context.openRequests.size();
         });
     return m_callers->listen();
 }
@@ -50,7 +50,7 @@
 
 void ForwardWorker::start()
 {
-    m_context.timers.every(watchInterval, [this](Instant now) { watch(now); });
+    m_context.timers.every(updateInterval, [this](Instant now) { updateMeasurements(now); });
     m_thread = std::thread{[this] {
         m_loop.run();
     }};
@@ -63,9 +63,9 @@
     });
 }
 
-void ForwardWorker::setKnowledge(const RoutingKnowledge &knowledge)
+void ForwardWorker::setFreshness(const RoutingKnowledge &freshness)
 {
-    asio::post(m_loop, [this, knowledge] { m_context.setKnowledge(knowledge); });
+    asio::post(m_loop, [this, freshness] { m_context.setFreshness(freshness); });
 }
 
 void ForwardWorker::setKeyShares(std::vector<KeyShares> shares)
@@ -103,7 +103,7 @@
 
 void ForwardWorker::collectLoads(LoadHandler handler)
 {
-    asio::post(m_loop, [this, handler = std::move(handler)] { handler(takeLoads()); });
+    asio::post(m_loop, [this, handler = std::move(handler)] { handler(collectSamples()); });
 }
 
 void ForwardWorker::stop()
@@ -119,16 +119,16 @@
     io::CallerServerSettings settings;
     settings.address = m_settings.callers.address;
     settings.port = m_settings.callers.port;
-    settings.wholeBodyLimit = wholeBodyLimit;
-    settings.requestReadTimeout = callerIdleTime;
+    settings.wholeBodyLimit = bufferedBodyLimit;
+    settings.requestReadTimeout = callerIdleTimeout;
     settings.bodyLimit = m_settings.limits.maxBodyBytes;
     settings.headerValueLimit = m_settings.limits.maxHeaderBytes;
     return settings;
 }
 
-void ForwardWorker::watch(Instant now)
+void ForwardWorker::updateMeasurements(Instant now)
 {
-    m_openCount = m_context.open.size();
+    m_openCount = m_context.openRequests.size();
     m_connectionCount = m_callers->connectionCount();
     m_context.gauges.forgetIdle(now);
     m_context.crashes.forget(now);
@@ -137,10 +137,10 @@
                    opened - std::exchange(m_countedConnections, opened));
 }
 
-std::vector<LoadSample> ForwardWorker::takeLoads()
+std::vector<LoadSample> ForwardWorker::collectSamples()
 {
     std::map<ServiceName, LoadSample> samples;
-    for (auto &[service, keys] : std::exchange(m_context.askedKeys, {}))
+    for (auto &[service, keys] : std::exchange(m_context.requestedKeys, {}))
         samples[service] = {service, std::move(keys), {}, {}};
     for (ServerWork &work : m_context.gauges.takeWork()) {
         const std::optional<ServiceName> service = keyedServiceOf(work.server);
@@ -150,7 +150,7 @@
             sample.work.push_back(std::move(work));
         }
     }
-    for (auto &[service, servers] : std::exchange(m_context.endedServers, {})) {
+    for (auto &[service, servers] : std::exchange(m_context.stoppedServers, {})) {
         samples[service].service = service;
         samples[service].ended.assign(servers.begin(), servers.end());
     }
@@ -161,7 +161,7 @@
     return result;
 }
 
-/** \returns the service of \a server if that is divided by key. */
+/** \returns the service of \a server if the service is divided by key. */
 std::optional<ServiceName> ForwardWorker::keyedServiceOf(const ServerName &server) const
 {
     if (!m_context.state)
--- a/src/libbulrushentry/forwardworker.h
+++ b/src/libbulrushentry/forwardworker.h
@@ -19,10 +19,10 @@
 namespace bulrush {
 
 /**
- * The thread that carries traffic: its loop, its server towards callers and its connections to
- * backend servers.
+ * The traffic thread, with its event loop, its server for callers and its connections to backend
+ * servers.
  *
- * Made, started and stopped on the control thread; the rest happens on its own.
+ * Created, started and stopped on the control thread; all else runs on the traffic thread.
  */
 class ForwardWorker
 {
@@ -35,7 +35,7 @@
     ForwardWorker(const ForwardWorker &) = delete;
     ForwardWorker &operator=(const ForwardWorker &) = delete;
 
-    /** Listens for callers, before the thread runs. */
+    /** Listens for callers. \pre start() was not called */
     std::error_code listen();
 
     /** \returns the port listened on. \pre listen() succeeded */
@@ -43,28 +43,31 @@
 
     void start();
 
-    /** Hands the thread what it routes by from now on. Thread safe. */
+    /** Passes new routing state to the thread. Thread safe. */
     void setState(std::shared_ptr<const RoutingState> state);
 
-    /** Hands the thread how far what it routes by can be relied on. Thread safe. */
-    void setKnowledge(const RoutingKnowledge &knowledge);
+    /** Passes the age of the routing state, and whether it can be confirmed. Thread safe. */
+    void setFreshness(const RoutingKnowledge &freshness);
 
-    /** Hands the thread what part of the requests for hot keys to let in. Thread safe. */
+    /** Passes the shares of requests for hot keys to admit. Thread safe. */
     void setKeyShares(std::vector<KeyShares> shares);
 
-    /** Hands the thread which requests are kept from servers. Thread safe. */
+    /** Passes the requests to keep from servers. Thread safe. */
     void setQuarantine(std::shared_ptr<const Quarantine> quarantine);
 
-    /** Sets who is told, on the thread, of what requests did to servers. \pre before start() */
+    /** Sets handlers, called on the traffic thread, for crashes. \pre start() was not called */
     void setCrashHandlers(CrashHandlers handlers);
 
-    /** Has each answer from now on end its connection. Thread safe. */
+    /** Makes each later answer close its connection. Thread safe. */
     void drain();
 
-    /** Takes no further connections or requests: those that still come did not run. Thread safe. */
+    /**
+     * Accepts no further connections, and refuses requests that still arrive as not run. Thread
+     * safe.
+     */
     void refuseNew();
 
-    /** Hands what was seen since the last call to \a handler, on the thread. Thread safe. */
+    /** Passes the loads since the last call to \a handler, on the traffic thread. Thread safe. */
     void collectLoads(LoadHandler handler);
 
     /** \returns how many requests have no answer yet. Thread safe. */
@@ -74,13 +77,13 @@
      */
     std::size_t connectionCount() const;
 
-    /** Ends the loop and its thread. */
+    /** Stops the event loop and joins the thread. */
     void stop();
 
 private:
     io::CallerServerSettings serverSettings() const;
-    void watch(Instant now);
-    std::vector<LoadSample> takeLoads();
+    void updateMeasurements(Instant now);
+    std::vector<LoadSample> collectSamples();
     std::optional<ServiceName> keyedServiceOf(const ServerName &server) const;
 
     EntrySettings m_settings;
--- a/src/libbulrushentry/keycontrol.cpp
+++ b/src/libbulrushentry/keycontrol.cpp
@@ -6,7 +6,7 @@
 #include "platform/tables.h"
 #include "process/hostclock.h"
 #include "process/logging.h"
-#include "rowwriteends.h"
+#include "rowwriteresults.h"
 #include "version/keyassignmentcodec.h"
 
 #include <algorithm>
@@ -266,7 +266,7 @@
                              io::encodePlannerRow(action.write.row)});
     m_deps.follow.store.commit(commit, [this](const platform::CommitOutcome &outcome) {
         const Instant now = io::hostNow();
-        m_coordinator.plannerRowWritten(rowWriteEndOf(outcome.error), outcome.version, now);
+        m_coordinator.plannerRowWritten(rowWriteResultOf(outcome.error), outcome.version, now);
         advance(now);
     });
 }
@@ -298,7 +298,8 @@
                   {"moving", std::to_string(moving)},
                   {"row", std::to_string(outcome.version)},
                   {"error", errorText(outcome.error)}});
-    if (m_coordinator.assignmentCommitted(next, rowWriteEndOf(outcome.error), outcome.version, now))
+    if (m_coordinator.assignmentCommitted(next, rowWriteResultOf(outcome.error), outcome.version,
+                                          now))
         m_deps.state.setAssignment(next);
     advance(now);
 }
@@ -427,7 +428,7 @@
         if (outcome.error)
             io::logEvent(LogLevel::Warning, "own-row-not-written",
                          {{"error", outcome.error.message()}});
-        m_coordinator.daemonRowWritten(rowWriteEndOf(outcome.error), outcome.version,
+        m_coordinator.daemonRowWritten(rowWriteResultOf(outcome.error), outcome.version,
                                        io::hostNow());
     });
 }
@@ -447,7 +448,7 @@
     m_deps.follow.store.commit(commit, [this, hosts](const platform::CommitOutcome &outcome) {
         io::logEvent(LogLevel::Warning, "lost-daemons-removed",
                      {{"hosts", hosts}, {"error", errorText(outcome.error)}});
-        m_coordinator.daemonRowsRemoved(rowWriteEndOf(outcome.error), io::hostNow());
+        m_coordinator.daemonRowsRemoved(rowWriteResultOf(outcome.error), io::hostNow());
     });
 }
 
--- a/src/libbulrushentry/peerpaths.h
+++ b/src/libbulrushentry/peerpaths.h
@@ -7,15 +7,16 @@
 /** Paths of the messages between daemons. */
 constexpr std::string_view loadsPath = "/loads";
 constexpr std::string_view grantsPath = "/grants";
-/** Followed by the name of a table and the version that is known. */
+/** Followed by the name of a table and the version of the rows that the requesting daemon has. */
 constexpr std::string_view rowsPath = "/rows/";
 /**
- * Followed by the name of a table, the version that is known, how long to wait in ms, and, where
- * only newer word counts, how old in ms what is known is.
+ * Followed by the name of a table, the version of the rows that the requesting daemon has, how long
+ * the request may be held in ms, and optionally the age of these rows in ms: then a later
+ * confirmation by the store is an answer, too.
  */
 constexpr std::string_view feedPath = "/feed/";
 
-/** The status of an answer by a daemon that has rows, but no room on its link to send them. */
+/** Status of an answer by a daemon that has the rows but no bandwidth left to send them. */
 constexpr int busyStatus = 429;
 
 } // namespace bulrush
--- a/src/libbulrushentry/peerdesk.cpp
+++ b/src/libbulrushentry/peerservice.cpp
@@ -1,4 +1,4 @@
-#include "peerdesk.h"
+#include "peerservice.h"
 
 #include "connection/httpstatus.h"
 #include "connection/wholebody.h"
@@ -22,26 +22,27 @@
 
 } // namespace
 
-PeerDesk::PeerDesk(KeyControl &keys, StatePublisher &state, io::LoopTimers &timers,
-                   FollowerGroup &group, const LinkBudget &link)
+PeerService::PeerService(KeyControl &keys, StatePublisher &state, io::LoopTimers &timers,
+                         FollowerGroup &group, const LinkBudget &link)
     : m_keys(keys)
     , m_state(state)
     , m_admission(link)
     , m_feed(timers, group, m_admission)
 { }
 
-std::error_code PeerDesk::listen(asio::io_context &loop, const Endpoint &address)
+std::error_code PeerService::listen(asio::io_context &loop, const Endpoint &address)
 {
     io::CallerServerSettings settings;
     settings.address = address.address;
     settings.port = address.port;
     m_server = std::make_unique<io::CallerServer>(
-        loop, settings, [this](const auto &request, const auto &writer) { take(request, writer); });
+        loop, settings,
+        [this](const auto &request, const auto &writer) { handle(request, writer); });
     return m_server->listen();
 }
 
-void PeerDesk::take(const std::shared_ptr<io::IncomingRequest> &request,
-                    const std::shared_ptr<io::ResponseWriter> &writer)
+void PeerService::handle(const std::shared_ptr<io::IncomingRequest> &request,
+                         const std::shared_ptr<io::ResponseWriter> &writer)
 {
     io::readWholeBody(request,
                       [this, request, writer](std::error_code error, const std::string &body) {
@@ -49,53 +50,53 @@
                           if (error)
                               writer->send(io::textPage(badRequest, "body: not whole\n"));
                           else if (target.starts_with(feedPath))
-                              takeFeedQuestion(target, writer);
+                              handleFeedRequest(target, writer);
                           else
                               writer->send(answer(target, body));
                       });
 }
 
-io::HttpResponse PeerDesk::answer(const std::string &target, const std::string &body)
+io::HttpResponse PeerService::answer(const std::string &target, const std::string &body)
 {
     if (target == loadsPath)
-        return takeLoads(body);
+        return handleLoads(body);
     if (target == grantsPath)
-        return takeQuestion(body);
+        return answerQuestion(body);
     if (target.starts_with(rowsPath))
-        return tellRows(target);
+        return answerRows(target);
     return io::textPage(notFound, "nothing is known here by that path\n");
 }
 
-io::HttpResponse PeerDesk::tellRows(const std::string &target)
+io::HttpResponse PeerService::answerRows(const std::string &target)
 {
     const auto question = parseRowsRequest(target);
-    const TableFollower *asked = question ? follower(question->table) : nullptr;
-    if (!asked || !asked->hasRows())
+    const TableFollower *tableFollower = question ? follower(question->table) : nullptr;
+    if (!tableFollower || !tableFollower->hasRows())
         return io::textPage(notFound, "no rows are known here by that path\n");
-    std::string body = encodeRows(asked->rowsSince(question->version, io::hostNow()));
+    std::string body = encodeRows(tableFollower->rowsSince(question->version, io::hostNow()));
     if (!m_admission.admits(question->table, body.size(), io::hostNow()))
         return io::refusal(busyStatus);
     return jsonPage(std::move(body));
 }
 
-void PeerDesk::takeFeedQuestion(const std::string &target,
-                                const std::shared_ptr<io::ResponseWriter> &writer)
+void PeerService::handleFeedRequest(const std::string &target,
+                                    const std::shared_ptr<io::ResponseWriter> &writer)
 {
     const auto question = parseFeedRequest(target);
-    const TableFollower *asked = question ? follower(question->table) : nullptr;
-    if (asked)
-        m_feed.ask(*question, *asked, writer);
+    const TableFollower *tableFollower = question ? follower(question->table) : nullptr;
+    if (tableFollower)
+        m_feed.ask(*question, *tableFollower, writer);
     else
         writer->send(io::textPage(notFound, "path: not a followed table, a version and a wait\n"));
 }
 
-const TableFollower *PeerDesk::follower(std::string_view table) const
+const TableFollower *PeerService::follower(std::string_view table) const
 {
     const TableFollower *found = m_state.follower(table);
     return found ? found : m_keys.follower(table);
 }
 
-io::HttpResponse PeerDesk::takeLoads(const std::string &body)
+io::HttpResponse PeerService::handleLoads(const std::string &body)
 {
     const auto samples = io::decodeLoadSamples(body);
     if (!samples)
@@ -104,7 +105,7 @@
     return jsonPage(io::encodeKeyShares(m_keys.keyShares()));
 }
 
-io::HttpResponse PeerDesk::takeQuestion(const std::string &body)
+io::HttpResponse PeerService::answerQuestion(const std::string &body)
 {
     const auto question = io::decodeQuestion(body);
     if (!question)
--- a/src/libbulrushentry/rowscodec.h
+++ b/src/libbulrushentry/rowscodec.h
@@ -10,36 +10,35 @@
 
 namespace bulrush {
 
-/** The rows of a table as a daemon knows them, or what has changed of them, for another daemon. */
+/** The rows of a table, or their changes after a version, as sent from one daemon to another. */
 struct RelayedRows
 {
     std::vector<platform::StoreRow> rows;
-    /** Of the store. */
+    /** The store version of the rows. */
     std::uint64_t version = 0;
     /**
-     * How long before the question came the store told that these are all there are; negative if it
-     * told that while the question waited.
+     * Time from the store's last confirmation of these rows to the arrival of the request; negative
+     * if the store confirmed them while the request was held.
      */
     Duration age{};
-    /** Whether these are all rows, and not only those that have changed. */
+    /** Whether these are all rows, and not only the changed ones. */
     bool isComplete = true;
-    /** Whether they were read after an outage of the store, in which rows may have lapsed. */
+    /** Whether they were read after an outage of the store, in which rows may have expired. */
     bool isAfterOutage = false;
-    /** Daemons between the store and the one that tells them. */
+    /** Number of daemons between the store and the sender. */
     unsigned chain = 0;
 };
 
-/** \returns the message of \a rows. Thread safe. */
+/** \returns the encoded message of \a rows. Thread safe. */
 std::string encodeRows(const RelayedRows &rows);
 
-/** \returns the part of the message that is alike for all who ask after one version. Thread safe.
- */
+/** \returns the part of the message that all requests for one version share. Thread safe. */
 std::string encodeRowList(const RelayedRows &rows);
 
-/** \returns the message of \a rows with \a list, their encodeRowList(). Thread safe. */
+/** \returns the message of \a rows with \a list, the result of encodeRowList(). Thread safe. */
 std::string encodeRows(const RelayedRows &rows, std::string_view list);
 
-/** \returns the rows in \a text, or nothing if it is no such message. Thread safe. */
+/** \returns the rows in \a text, or nothing if it is not a valid message. Thread safe. */
 std::optional<RelayedRows> decodeRows(std::string_view text);
 
 } // namespace bulrush
--- a/src/libbulrushentry/rowwriteends.cpp
+++ b/src/libbulrushentry/rowwriteresults.cpp
@@ -1,10 +1,10 @@
-#include "rowwriteends.h"
+#include "rowwriteresults.h"
 
 #include "platform/storeclient.h"
 
 namespace bulrush {
 
-RowWriteEnd rowWriteEndOf(std::error_code error)
+RowWriteEnd rowWriteResultOf(std::error_code error)
 {
     if (!error)
         return RowWriteEnd::Done;
--- a/src/libbulrushentry/storecalls.cpp
+++ b/src/libbulrushentry/storecalls.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-std::string_view nameOf(platform::StoreCallKind kind)
+std::string_view kindName(platform::StoreCallKind kind)
 {
     switch (kind) {
     case platform::StoreCallKind::Read:
@@ -23,7 +23,7 @@
     return "commit";
 }
 
-std::string_view outcomeOf(std::error_code error)
+std::string_view outcomeName(std::error_code error)
 {
     if (!error)
         return "done";
@@ -40,7 +40,7 @@
 
 void StoreCalls::add(const platform::StoreCallEnd &call)
 {
-    const Key key{nameOf(call.kind), call.table, outcomeOf(call.error)};
+    const Key key{kindName(call.kind), call.table, outcomeName(call.error)};
     Count &count = m_counts[key];
     ++count.calls;
     count.bytes += call.bytes;
@@ -52,7 +52,7 @@
     std::string calls;
     std::string bytes;
     for (const auto &[key, count] : m_counts) {
-        const std::string labels = labelsOf(key);
+        const std::string labels = toLabels(key);
         calls.append("bulrush_store_calls_total").append(labels);
         calls.append(std::to_string(count.calls)).append("\n");
         bytes.append("bulrush_store_answer_bytes_total").append(labels);
@@ -61,7 +61,7 @@
     return calls + bytes;
 }
 
-std::string StoreCalls::labelsOf(const Key &key)
+std::string StoreCalls::toLabels(const Key &key)
 {
     const auto &[kind, table, outcome] = key;
     std::string labels{"{call=\""};
--- a/src/libbulrushentry/storecalls.h
+++ b/src/libbulrushentry/storecalls.h
@@ -10,21 +10,21 @@
 namespace bulrush {
 
 /**
- * Counts one daemon's calls to the store by kind, table and outcome: they are paid for, and those
- * of all daemons together have a rate that the store bears.
+ * Counts one daemon's calls to the store by kind, table and outcome: each call costs money, and the
+ * store limits the rate of the calls of all daemons together.
  *
  * Used on the control thread.
  */
 class StoreCalls
 {
 public:
-    /** Notes the end of a call. */
+    /** Counts a finished call. */
     void add(const platform::StoreCallEnd &call);
 
-    /** \returns all counts as text for a metrics page, a line for each value. */
+    /** \returns the counts in the text format of the metrics page, one line for each value. */
     std::string text() const;
 
-    /** Writes a log line with the calls since the last one, if there were any. */
+    /** Logs the calls since the last log line, if there were any. */
     void log();
 
 private:
@@ -36,10 +36,10 @@
     /** Kind, table, outcome. */
     using Key = std::tuple<std::string, std::string, std::string>;
 
-    static std::string labelsOf(const Key &key);
+    static std::string toLabels(const Key &key);
 
     std::map<Key, Count> m_counts;
-    /** Since the last log line. */
+    /** The counts since the last log line. */
     std::map<Key, std::uint64_t> m_unlogged;
 };
 
