--- a/src/libbulrushentry/forwardexchange.cpp
+++ b/src/libbulrushentry/forwardexchange.cpp
@@ -463,7 +463,7 @@
 
 void ForwardExchange::finishUnknown(int status, std::string_view reason)
 {
-    // The answer of a server that failed tells the caller more than an unknown outcome.
+    // The answer of a server that failed is more useful to the caller than an unknown outcome.
     if (m_failedAnswer) {
         returnAnswer(*std::exchange(m_failedAnswer, std::nullopt));
         return;
--- a/src/libbulrushentry/tablefollower.cpp
+++ b/src/libbulrushentry/tablefollower.cpp
@@ -142,7 +142,7 @@
 
 void TableFollower::handleReaderFailure(const RowsReader &reader, ReaderFailure failure)
 {
-    // The store has enough bandwidth. Only this read goes there; the next step is planned anew.
+    // The store has enough bandwidth. Only this call goes there; the plan selects the next source.
     if (failure == ReaderFailure::Busy && !m_deps.plan.isStoreFailing()) {
         execute(AskStore{});
         return;
--- a/tests/rowsworld/sharedlinks.cpp
+++ b/tests/rowsworld/sharedlinks.cpp
@@ -21,7 +21,7 @@
     return m_transfers.empty();
 }
 
-std::vector<SharedLinks::Step> SharedLinks::advance(Duration span)
+std::vector<SharedLinks::Callback> SharedLinks::advance(Duration span)
 {
     std::erase_if(m_transfers, [](const Transfer &moving) { return !moving.isWanted(); });
     std::map<std::size_t, double> sending;
@@ -31,10 +31,10 @@
         ++receiving[moving.to];
     }
     const double seconds = std::chrono::duration<double>(span).count();
-    std::vector<Step> arrived;
+    std::vector<Callback> arrived;
     for (Transfer &moving : m_transfers) {
         double rate = m_bytesPerSecond[moving.to] / receiving[moving.to];
-        if (moving.from != wideSender)
+        if (moving.from != unlimitedSender)
             rate = std::min(rate, m_bytesPerSecond[moving.from] / sending[moving.from]);
         moving.bytesLeft -= rate * seconds;
         if (moving.bytesLeft <= 0.0)
--- a/tests/rowsworld/sharedlinks.h
+++ b/tests/rowsworld/sharedlinks.h
@@ -9,37 +9,37 @@
 
 namespace bulrush::test {
 
-/** The links of hosts: all that is on its way over one shares it evenly. Not thread safe. */
+/** The links of hosts: concurrent transfers over a link share it evenly. Not thread safe. */
 class SharedLinks
 {
 public:
-    using Step = std::function<void()>;
+    using Callback = std::function<void()>;
 
-    /** In place of a host's index: a sender whose link is wider than all others. */
-    static constexpr std::size_t wideSender = static_cast<std::size_t>(-1);
+    /** Index of a sender whose link has unlimited bandwidth. */
+    static constexpr std::size_t unlimitedSender = static_cast<std::size_t>(-1);
 
-    /** Bytes on their way from one host to another. */
+    /** Bytes in transfer from one host to another. */
     struct Transfer
     {
         std::size_t from = 0;
         std::size_t to = 0;
         double bytesLeft = 0.0;
-        /** Whether the receiver still waits for them; without, they are dropped. */
+        /** \returns whether the receiver still waits for the bytes; if not, they are dropped. */
         std::function<bool()> isWanted;
-        Step arrived;
+        Callback arrived;
     };
 
     /** Adds the link of the next host. */
     void addHost(double bytesPerSecond);
 
-    /** Begins a transfer. \pre both hosts were added */
+    /** Starts a transfer. \pre both hosts were added */
     void send(Transfer transfer);
 
-    /** \returns whether nothing is on its way. */
+    /** \returns whether there are no transfers. */
     bool isIdle() const;
 
-    /** Moves all on for \a span. \returns what is to follow from those that have arrived. */
-    std::vector<Step> advance(Duration span);
+    /** Advances all transfers by \a span. \returns the callbacks of those that have arrived. */
+    std::vector<Callback> advance(Duration span);
 
 private:
     std::vector<double> m_bytesPerSecond;
--- a/tests/rowsworld/test_rowslinks.cpp
+++ b/tests/rowsworld/test_rowslinks.cpp
@@ -1,6 +1,6 @@
 #define BOOST_TEST_MODULE RowsLinks
 
-#include "rowsworld.h"
+#include "rowssimulation.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -12,15 +12,17 @@
 
 namespace {
 
-/** Within which a configuration is to be in force where the drain bound is three seconds. */
-constexpr Duration configBound = 3s;
-/** What is added to that for daemons that the store turns away. */
-constexpr Duration configStretch = 6s;
+/** Time within which a configuration must be in force if the drain time is three seconds. */
+constexpr Duration configTimeLimit = 3s;
+/** Additional time for daemons whose calls the store refuses. */
+constexpr Duration extraTimeIfRefused = 6s;
 
 } // namespace
 
-// A narrow link carries one such configuration in 0.2 s.
-BOOST_AUTO_TEST_CASE(aLargeConfigurationComesInTimeWhereOnlyHostsWithNarrowLinksReachTheStore)
+// Guards against configurations that arrive late where only hosts with narrow links reach the store
+// and many daemons request the configuration over these links. Such a link carries one
+// configuration of this size in 0.2 s.
+BOOST_AUTO_TEST_CASE(largeConfigurationArrivesInTimeOverNarrowLinks)
 {
     for (const std::uint64_t seed : {1U, 2U, 3U}) {
         RowsScenario scenario;
@@ -29,27 +31,28 @@
         scenario.strongPerDomain = 2;
         scenario.configBytes = 250'000;
         scenario.seed = seed;
-        RowsWorld world{scenario};
-        world.play(10s);
+        RowsSimulation simulation{scenario};
+        simulation.run(10s);
         std::mt19937_64 random{seed};
-        for (std::size_t i = 0; i < world.daemonCount(); ++i) {
+        for (std::size_t i = 0; i < simulation.daemonCount(); ++i) {
             if (random() % 3 == 0)
-                world.setStore(i, StoreState::Refusing);
+                simulation.setStore(i, StoreState::Refusing);
         }
         for (std::size_t domain = 0; domain < scenario.domains; ++domain) {
             for (std::size_t rank = 0; rank < scenario.strongPerDomain; ++rank)
-                world.setStore(world.daemonOf(domain, rank), StoreState::Refusing);
+                simulation.setStore(simulation.daemonAtRank(domain, rank), StoreState::Refusing);
         }
-        world.play(700ms);
-        const std::uint64_t before = world.relayedBytes();
-        world.changeConfig();
-        world.play(configBound);
-        BOOST_TEST(world.behindCount() == 0U,
-                   world.behindCount() << " daemons that the store answers, seed " << seed);
-        world.play(configStretch);
-        BOOST_TEST(world.allBehindCount() == 0U,
-                   world.allBehindCount() << " daemons in all, seed " << seed);
-        // A copy for each daemon, and one for each that was sent in vain.
-        BOOST_TEST(world.relayedBytes() - before <= 2 * world.daemonCount() * scenario.configBytes);
+        simulation.run(700ms);
+        const std::uint64_t before = simulation.relayedBytes();
+        simulation.changeConfig();
+        simulation.run(configTimeLimit);
+        BOOST_TEST(simulation.outdatedCount() == 0U,
+                   simulation.outdatedCount() << " daemons that the store answers, seed " << seed);
+        simulation.run(extraTimeIfRefused);
+        BOOST_TEST(simulation.allOutdatedCount() == 0U,
+                   simulation.allOutdatedCount() << " daemons in all, seed " << seed);
+        // One copy for each daemon, and at most one more for each that was sent in vain.
+        BOOST_TEST(simulation.relayedBytes() - before
+                   <= 2 * simulation.daemonCount() * scenario.configBytes);
     }
 }
