--- a/src/libbulrushentry/entrycounters.h
+++ b/src/libbulrushentry/entrycounters.h
@@ -40,7 +40,7 @@
     /** Records the age of the data on backend servers when one of them was chosen. */
     void recordRoutingDataAge(Duration age);
 
-    /** Records the maximum time between a configuration's acknowledgement and its use here. */
+    /** Records an upper bound of the time from a configuration's acknowledgement to its use. */
     void recordConfigDelay(Duration delay);
 
     /** \returns all values in the text format of the metrics page, one line for each. */
--- a/src/libbulrushentry/entrydaemon.cpp
+++ b/src/libbulrushentry/entrydaemon.cpp
@@ -80,7 +80,7 @@
                 [this](std::shared_ptr<const Quarantine> quarantine) {
                     m_worker.setQuarantine(std::move(quarantine));
                 })
-    , m_peers(m_keys, m_state, m_timers, m_followers, LinkBudget{m_settings.linkMegabits})
+    , m_peerService(m_keys, m_state, m_timers, m_followers, LinkBudget{m_settings.linkMegabits})
     , m_signals(m_loop, SIGTERM, SIGINT, SIGHUP)
 { }
 
@@ -104,7 +104,7 @@
     m_store.setCallObserver([this](const platform::StoreCallEnd &call) { m_storeCalls.add(call); });
     m_timers.every(callLogInterval, [this](Instant) {
         m_storeCalls.log();
-        m_peers.logServed();
+        m_peerService.logServed();
     });
     connectCrashControl();
     m_worker.start();
@@ -145,7 +145,7 @@
         if (const std::error_code error = m_metrics->listen())
             return error;
     }
-    if (const std::error_code error = m_peers.listen(m_loop, m_settings.peers))
+    if (const std::error_code error = m_peerService.listen(m_loop, m_settings.peers))
         return error;
     return m_worker.listen();
 }
@@ -213,9 +213,9 @@
         finish(EntryEnd::Drained);
 }
 
-void EntryDaemon::finish(EntryEnd end)
+void EntryDaemon::finish(EntryEnd result)
 {
-    m_result = end;
+    m_result = result;
     m_loop.stop();
 }
 
@@ -294,7 +294,7 @@
 
 std::string EntryDaemon::metricsText() const
 {
-    return m_counters.text() + m_storeCalls.text() + m_peers.servedText()
+    return m_counters.text() + m_storeCalls.text() + m_peerService.servedText()
         + "bulrush_log_lines_dropped_total " + std::to_string(io::droppedLogLines())
         + "\nbulrush_open_requests " + std::to_string(m_worker.openCount()) + '\n'
         + m_state.configMetrics(io::hostNow()) + "bulrush_planning "
--- a/src/libbulrushentry/entrydaemon.h
+++ b/src/libbulrushentry/entrydaemon.h
@@ -55,7 +55,7 @@
     void awaitSignal();
     void beginDrain();
     void watchDrain();
-    void finish(EntryEnd end);
+    void finish(EntryEnd result);
     void advance(Instant now);
     void collectLoads();
     void reportLoads(std::vector<LoadSample> samples);
@@ -83,7 +83,7 @@
     CrashControl m_crashes;
     std::unique_ptr<io::CallerServer> m_operators;
     std::unique_ptr<io::CallerServer> m_metrics;
-    PeerService m_peers;
+    PeerService m_peerService;
     asio::signal_set m_signals;
     std::optional<Instant> m_drainingSince;
     bool m_isRefusing = false;
--- a/src/libbulrushentry/forwardexchange.cpp
+++ b/src/libbulrushentry/forwardexchange.cpp
@@ -32,7 +32,7 @@
 constexpr Duration misdirectedDelay = std::chrono::milliseconds{60};
 /** Before a refused request is sent again, to the same server or another one. */
 constexpr Duration refusedDelay = std::chrono::milliseconds{20};
-/** A request is refused when this many attempts did not run. */
+/** Attempts after which a request is not sent again, even if none of them ran. */
 constexpr int maxTotalAttempts = 6;
 /** Refused callers are to retry after the minimum time plus a part of the spread. */
 constexpr double minRetryAfterSeconds = 0.25;
--- a/src/libbulrushentry/forwardworker.h
+++ b/src/libbulrushentry/forwardworker.h
@@ -73,8 +73,7 @@
     /** \returns how many requests have no answer yet. Thread safe. */
     std::size_t openCount() const;
 
-    /** \returns how many connections of callers are open, as of some milliseconds ago. Thread safe.
-     */
+    /** \returns how many connections of callers were open at the last update. Thread safe. */
     std::size_t connectionCount() const;
 
     /** Stops the event loop and joins the thread. */
--- a/src/libbulrushentry/keycontrol.cpp
+++ b/src/libbulrushentry/keycontrol.cpp
@@ -98,7 +98,7 @@
     : m_deps(deps)
     , m_host(self.host)
     , m_coordinator(self, io::hostNow())
-    , m_rows(deps.follow, std::string{platform::ownershipTable}, ownershipTimings)
+    , m_ownership(deps.follow, std::string{platform::ownershipTable}, ownershipTimings)
 { }
 
 void KeyControl::start()
@@ -109,8 +109,8 @@
     // A new server is connected to before keys are planned for it.
     m_deps.state.setServersHandler([this] { connectServers(); });
     // Its rows list the daemons, which FollowPlan needs to select a source for the other tables.
-    m_rows.startWithStore([this](const TableChange &change) { applyRows(change); },
-                          [this](Instant givenAt) { m_coordinator.storeAnswered(givenAt); });
+    m_ownership.startWithStore([this](const TableChange &change) { applyRows(change); },
+                               [this](Instant givenAt) { m_coordinator.storeAnswered(givenAt); });
 }
 
 void KeyControl::setChangeHandler(ChangeHandler handler)
@@ -163,12 +163,12 @@
 
 const TableFollower *KeyControl::follower(std::string_view table) const
 {
-    return table == m_rows.table() ? &m_rows : nullptr;
+    return table == m_ownership.table() ? &m_ownership : nullptr;
 }
 
 bool KeyControl::isStoreReached() const
 {
-    return m_rows.hasRows() && !m_rows.isFailing();
+    return m_ownership.hasRows() && !m_ownership.isFailing();
 }
 
 void KeyControl::addLoads(std::span<const LoadSample> samples)
--- a/src/libbulrushentry/keycontrol.h
+++ b/src/libbulrushentry/keycontrol.h
@@ -75,8 +75,7 @@
     /** \returns the keys with more requests than can be served, if this daemon is the planner. */
     const std::vector<KeyShares> &keyShares();
 
-    /** Executes the actions that are due. To be called at intervals of some tens of milliseconds.
-     */
+    /** Executes the actions that are due. To be called every few tens of milliseconds. */
     void advance(Instant now);
 
 private:
@@ -102,7 +101,7 @@
     Dependencies m_deps;
     HostName m_host;
     KeyCoordinator m_coordinator;
-    TableFollower m_rows;
+    TableFollower m_ownership;
     ChangeHandler m_changeHandler;
     /** Grants that wait for the previous grant to the same server to finish. */
     std::map<Endpoint, std::vector<SendGrant>> m_grants;
--- a/src/libbulrushentry/rowsadmission.cpp
+++ b/src/libbulrushentry/rowsadmission.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/** No line is logged if no table served this many bytes since the last one. */
+/** A line is logged if a table served this many bytes since the last one, or declined an answer. */
 constexpr std::uint64_t loggedBytes = 100'000;
 
 } // namespace
--- a/src/libbulrushentry/rowsclient.h
+++ b/src/libbulrushentry/rowsclient.h
@@ -67,8 +67,7 @@
     /** Requests changes from the daemon at \a reader, which may hold the request for followWait. */
     void follow(const Endpoint &reader, const FollowRequest &request, Handler handler);
 
-    /** Requests rows from the daemon at \a other that are confirmed later than the request's age.
-     */
+    /** Requests rows or a confirmation from \a other that are newer than the request's age. */
     void askAlternate(const Endpoint &other, const FollowRequest &request, Handler handler);
 
     /** Requests the current rows from the next peer in turn, if there are peers. */
--- a/src/libbulrushentry/tablefollower.cpp
+++ b/src/libbulrushentry/tablefollower.cpp
@@ -129,7 +129,7 @@
     }
     m_deps.plan.readerServed(reader.host);
     if (answer.rows->version < m_rows.version()) {
-        execute(AskLater{behindRetryDelay});
+        execute(AskLater{outdatedReaderRetryDelay});
         return;
     }
     const bool isNew = applyRelayedRows(std::move(*answer.rows), answer.asOf);
@@ -142,7 +142,8 @@
 
 void TableFollower::handleReaderFailure(const RowsReader &reader, ReaderFailure failure)
 {
-    // The store has enough bandwidth. Only this call goes there; the plan selects the next source.
+    // The store has enough bandwidth. The reader is not recorded as failed, so that the plan can
+    // select it again for the next call.
     if (failure == ReaderFailure::Busy && !m_deps.plan.isStoreFailing()) {
         execute(AskStore{});
         return;
--- a/src/libbulrushentry/tablefollower.h
+++ b/src/libbulrushentry/tablefollower.h
@@ -70,8 +70,8 @@
 /**
  * Follows one table of the store: reads it, waits for changes, and reads it again if changes may
  * have been missed. FollowPlan selects the source: the store, or another daemon of the failure
- * domain. While no daemon of the failure domain can serve rows, daemons of other failure domains
- * are asked for theirs.
+ * domain. While no daemon of the failure domain can serve rows, all other daemons are asked for
+ * theirs in turn.
  *
  * Used on the loop's thread; the handlers run there.
  */
@@ -84,7 +84,7 @@
 
     /** Failures that last longer than this count as an outage, in which rows may expire. */
     static constexpr Duration outageThreshold = std::chrono::seconds{1};
-    /** Interval at which daemons of other failure domains are asked while all sources fail. */
+    /** Interval at which the other daemons are asked in turn while the source fails. */
     static constexpr Duration askPeersInterval = std::chrono::milliseconds{450};
     /** If a confirmation takes longer than this, other followers may request one, too. */
     static constexpr Duration confirmTimeout = std::chrono::milliseconds{400};
@@ -101,7 +101,7 @@
      * Delay before the next request to a reader whose rows are older than those here. Such a reader
      * answers at once, and with all rows if these are requested: some 140 KB for 480 servers.
      */
-    static constexpr Duration behindRetryDelay = std::chrono::milliseconds{200};
+    static constexpr Duration outdatedReaderRetryDelay = std::chrono::milliseconds{200};
 
     /** \pre the dependencies outlive this object */
     TableFollower(const FollowerDependencies &deps, std::string table, FollowTimings timings);
@@ -115,7 +115,7 @@
     /** As start(), but reads from the store first, whatever the plan says. */
     void startWithStore(ChangeHandler changed, AnswerHandler answered);
 
-    /** Cancels a pending wait at the store, which may be lost, and reads all rows. */
+    /** Cancels the wait at the store, if any, as it may be lost, and then needs all rows again. */
     void rereadFromStore();
 
     /** Records that no table has changed after \a version, which the store sent at \a givenAt. */
@@ -124,7 +124,7 @@
     /** \returns whether a confirmation by the store is pending and has not timed out. */
     bool isConfirming(Instant now) const;
 
-    /** \returns whether the last call failed and no other source has answered since. */
+    /** \returns whether the last call failed and no source has answered since. */
     bool isFailing() const;
 
     /** \returns whether the store cannot confirm or update the rows at present. */
--- a/tests/rowsworld/rowssimulation.h
+++ b/tests/rowsworld/rowssimulation.h
@@ -104,8 +104,7 @@
     /** \returns how many running daemons lack it, whether or not they can reach the store. */
     std::size_t allOutdatedCount() const;
 
-    /** \returns the bytes of configurations in all transfers between daemons, also unfinished ones.
-     */
+    /** \returns the bytes of configurations in all started transfers between daemons. */
     std::uint64_t relayedBytes() const;
 
 private:
