--- a/tests/entryfleet/domainfleet.h
+++ b/tests/entryfleet/domainfleet.h
@@ -13,7 +13,10 @@
 
 namespace bulrush::test {
 
-/** Daemons of one failure domain, of which one reads the store for all, with the usual servers. */
+/**
+ * The default servers, and daemons of one failure domain, one of which reads the store for all of
+ * them.
+ */
 struct DomainFleet : EntryFleet
 {
     explicit DomainFleet(std::vector<std::string> daemons = {"a1", "a2", "a3"})
@@ -23,12 +26,13 @@
         writeConfig();
         startServers();
         startDaemons();
-        awaitServing();
-        // The planner settles, and all choose their reader.
+        waitUntilServing();
+        // Time for the election of the planner and of the reader.
         std::this_thread::sleep_for(std::chrono::seconds{3});
     }
 
-    std::map<std::string, std::uint64_t> callsWithin(std::chrono::milliseconds span)
+    /** \returns the number of store calls that each host makes during \a span. */
+    std::map<std::string, std::uint64_t> storeCallsDuring(std::chrono::milliseconds span)
     {
         std::map<std::string, std::uint64_t> calls;
         for (const std::string &host : hosts)
@@ -39,15 +43,15 @@
         return calls;
     }
 
-    /** \returns the host that calls the store most. */
+    /** \returns the host that calls the store most often. */
     std::string reader()
     {
-        const auto calls = callsWithin(std::chrono::seconds{4});
+        const auto calls = storeCallsDuring(std::chrono::seconds{4});
         return std::ranges::max_element(calls, {}, [](const auto &entry) { return entry.second; })
             ->first;
     }
 
-    /** \returns whether \a host goes by the configuration that was written last. */
+    /** \returns whether \a host uses the configuration that was written last. */
     bool isConfigInForce(const std::string &host)
     {
         return counter(host, "bulrush_config_version") == configVersion();
--- a/tests/entryfleet/entryfleet.cpp
+++ b/tests/entryfleet/entryfleet.cpp
@@ -22,7 +22,7 @@
 
 constexpr int keyCount = 65'536;
 
-std::string binary(const std::string &name)
+std::string binaryPath(const std::string &name)
 {
     return std::string{BULRUSH_BINARY_DIR} + '/' + name;
 }
@@ -83,8 +83,9 @@
                 / ("bulrush-entry-" + std::to_string(::getpid()) + '-' + std::to_string(number)))
                    .string();
     std::filesystem::create_directories(m_folder);
-    // Loopback addresses of this fleet's own, so that fixed ports meet nobody: by the process, of
-    // which 25,000 that follow each other differ, and by the fleet within it.
+    // Each fleet gets its own loopback addresses, so that fixed ports never collide. The address
+    // depends on the process id, where 25,000 successive ids differ, and on the number of the fleet
+    // within the process.
     const int process = static_cast<int>(::getpid());
     m_prefix = "127." + std::to_string(128 + process % 100) + '.'
         + std::to_string(process / 100 % 250) + '.';
@@ -95,7 +96,7 @@
         arguments.emplace_back("--listen");
         arguments.push_back(host + "=127.0.0.1:0");
     }
-    m_store = std::make_unique<ChildProcess>(binary("store-standin"), arguments);
+    m_store = std::make_unique<ChildProcess>(binaryPath("store-standin"), arguments);
 }
 
 EntryFleet::~EntryFleet()
@@ -116,7 +117,7 @@
     startServer({"p2", "payments", "b", false, serviceMs});
 }
 
-void EntryFleet::startServer(const EntryServer &server)
+void EntryFleet::startServer(const ServerSpec &server)
 {
     std::vector<std::string> arguments{
         "--id",         server.id,
@@ -130,8 +131,8 @@
         arguments.emplace_back("--hang-when-full");
     if (!server.crashOn.empty())
         arguments.insert(arguments.end(), {"--crash-on", server.crashOn});
-    m_kinds[server.id] = server;
-    m_servers[server.id] = std::make_unique<ChildProcess>(binary("keyed-standin"), arguments);
+    m_serverSpecs[server.id] = server;
+    m_servers[server.id] = std::make_unique<ChildProcess>(binaryPath("keyed-standin"), arguments);
     writeRecord(server.id, "ready");
 }
 
@@ -144,7 +145,7 @@
                         << m_store->address(host) << "\"\naddresses:\n"
                         << "  callers: \"" << ip << ":8080\"\n  peers: \"" << ip
                         << ":8081\"\n  operators: \"" << ip << ":8082\"\n";
-    m_daemons[host] = std::make_unique<ChildProcess>(binary("bulrushswitchd"),
+    m_daemons[host] = std::make_unique<ChildProcess>(binaryPath("bulrushswitchd"),
                                                      std::vector<std::string>{"--settings", path});
 }
 
@@ -154,7 +155,7 @@
         startDaemon(host);
 }
 
-void EntryFleet::awaitServing()
+void EntryFleet::waitUntilServing()
 {
     for (const std::string &host : m_hosts) {
         if (!eventually([&] { return servesKeys(host); }))
@@ -174,10 +175,10 @@
 
 void EntryFleet::writeRecord(const std::string &id, const std::string &state)
 {
-    writeRecordOf(m_kinds.at(id), server(id).address(), state);
+    writeRecordOf(m_serverSpecs.at(id), server(id).address(), state);
 }
 
-void EntryFleet::writeRecordOf(const EntryServer &server, const std::string &address,
+void EntryFleet::writeRecordOf(const ServerSpec &server, const std::string &address,
                                const std::string &state)
 {
     Json::Value value;
@@ -233,7 +234,7 @@
 
 void EntryFleet::restartServer(const std::string &id)
 {
-    EntryServer next = m_kinds.at(id);
+    ServerSpec next = m_serverSpecs.at(id);
     next.address = server(id).address();
     ++next.startedAtMs;
     m_servers.at(id)->kill();
@@ -241,13 +242,13 @@
     startServer(next);
 }
 
-void EntryFleet::writeConfig(const std::vector<std::string> &furtherPrefixes)
+void EntryFleet::writeConfig(const std::vector<std::string> &additionalPrefixes)
 {
     Json::Value paths{Json::arrayValue};
     paths.append(route("/read/", "safe", "catalogue"));
     paths.append(route("/pay/", "unsafe", "payments"));
     paths.append(route("/upload/", "upload", "payments"));
-    for (const std::string &prefix : furtherPrefixes)
+    for (const std::string &prefix : additionalPrefixes)
         paths.append(route(prefix, "safe", "payments"));
     if (!m_split.empty())
         paths.append(splitRoute("/split/", m_split));
@@ -335,10 +336,10 @@
     return control(Json::Value{Json::objectValue})["calls"][host].asUInt64();
 }
 
-void EntryFleet::spoilAnswers(const std::string &id, const std::string &how, int count)
+void EntryFleet::injectAnswerFaults(const std::string &id, const std::string &mode, int count)
 {
     Json::Value json;
-    json["spoilAnswers"][how] = count;
+    json["spoilAnswers"][mode] = count;
     m_http.post(server(id).address() + "/_control", json.toStyledString());
 }
 
@@ -403,22 +404,22 @@
     return result.body.substr(mark.size(), result.body.find(' ') - mark.size());
 }
 
-std::vector<EntryRun> EntryFleet::runs()
+std::vector<RequestRun> EntryFleet::runs()
 {
-    std::vector<EntryRun> all;
+    std::vector<RequestRun> all;
     for (const auto &[id, process] : m_servers) {
         if (!process->isRunning())
             continue;
         const Json::Value json = recordOf(*process);
         for (const Json::Value &entry : json["runs"]) {
-            EntryRun run{id, entry["request"].asString(), entry["key"].asInt64(),
-                         entry["startUs"].asInt64(), entry["endUs"].asInt64()};
+            RequestRun run{id, entry["request"].asString(), entry["key"].asInt64(),
+                           entry["startUs"].asInt64(), entry["endUs"].asInt64()};
             if (run.endUs == 0)
                 run.endUs = std::numeric_limits<std::int64_t>::max();
             all.push_back(std::move(run));
         }
     }
-    std::ranges::sort(all, {}, &EntryRun::startUs);
+    std::ranges::sort(all, {}, &RequestRun::startUs);
     return all;
 }
 
@@ -434,7 +435,7 @@
 
 std::string EntryFleet::firstOverlap()
 {
-    const std::vector<EntryRun> all = runs();
+    const std::vector<RequestRun> all = runs();
     for (std::size_t i = 0; i < all.size(); ++i) {
         for (std::size_t j = i + 1; j < all.size() && all[j].startUs < all[i].endUs; ++j) {
             if (all[i].key >= 0 && all[i].key == all[j].key && all[i].server != all[j].server)
@@ -449,7 +450,7 @@
 {
     std::set<std::string> seen;
     std::vector<std::string> repeated;
-    for (const EntryRun &run : runs()) {
+    for (const RequestRun &run : runs()) {
         if (!seen.insert(run.request).second)
             repeated.push_back(run.request);
     }
--- a/tests/entryfleet/entryfleet.h
+++ b/tests/entryfleet/entryfleet.h
@@ -16,8 +16,8 @@
 
 namespace bulrush::test {
 
-/** A backend server to be started. */
-struct EntryServer
+/** Specification of a backend server to start. */
+struct ServerSpec
 {
     std::string id;
     std::string service;
@@ -26,105 +26,112 @@
     int serviceMs = 5;
     int slots = 3;
     bool hangsWhenFull = false;
-    /** Where it listens; empty lets the host choose. */
+    /** Listen address; if empty, a free port is used. */
     std::string address = {};
-    /** The start of this run that its record tells, in Unix milliseconds; 0: it tells none. */
+    /** Start time in the server's record, in Unix milliseconds; 0 if the record has none. */
     std::int64_t startedAtMs = 0;
-    /** Work on paths that hold this text ends the server; empty: none does. */
+    /** Requests whose path contains this text crash the server; if empty, none does. */
     std::string crashOn = {};
 };
 
-/** Work that a backend server did, on the clock that all processes share. */
-struct EntryRun
+/** A request that a backend server ran. Times are on the clock that all processes share. */
+struct RequestRun
 {
     std::string server;
     std::string request;
     std::int64_t key = -1;
     std::int64_t startUs = 0;
-    /** Of work that has not ended: the latest there is. */
+    /** The maximum value if the work has not finished. */
     std::int64_t endUs = 0;
 };
 
 /**
  * The store, backend servers and entry daemons as real processes on loopback addresses. The
  * configuration has the host `shop.example` with `/read/` (idempotent, service catalogue, divided
- * by key), `/pay/` (runs once, service payments) and `/upload/` (service payments). All end with
- * the object. Not thread safe.
+ * by key), `/pay/` (runs once, service payments) and `/upload/` (service payments). The destructor
+ * stops all processes. Not thread safe.
  */
 class EntryFleet
 {
 public:
-    /** Starts the store with an entrance for each host; nothing else yet. */
+    /** Starts only the store, with one listen address per host for faults that affect one host. */
     explicit EntryFleet(std::vector<std::string> hosts);
     ~EntryFleet();
 
     EntryFleet(const EntryFleet &) = delete;
     EntryFleet &operator=(const EntryFleet &) = delete;
 
-    /** Starts the usual servers: c1 to c4 of catalogue, p1 and p2 of payments. */
+    /** Starts the default servers: c1 to c4 of catalogue, p1 and p2 of payments. */
     void startServers(int serviceMs = 5);
-    void startServer(const EntryServer &server);
+    void startServer(const ServerSpec &server);
 
-    /** Starts the daemon of \a host, again if it has run before. Domains are hosts' first letters.
+    /**
+     * Starts or restarts the daemon of \a host. The first letter of the host is its failure domain.
      */
     void startDaemon(const std::string &host);
     void startDaemons();
 
-    /** Waits until each host serves all of some keys. Throws if that takes a minute. */
-    void awaitServing();
+    /** Waits until each host serves a sample of the keys. Throws if that takes a minute. */
+    void waitUntilServing();
 
     ChildProcess &daemon(const std::string &host);
     ChildProcess &server(const std::string &id);
 
-    /** Writes a server's record, or removes it. */
+    /** Writes the record of the server \a id with \a state. */
     void writeRecord(const std::string &id, const std::string &state);
-    /** Writes the record of a server that is not of this fleet. */
-    void writeRecordOf(const EntryServer &server, const std::string &address,
+    /** Writes the record of a server that this fleet did not start. */
+    void writeRecordOf(const ServerSpec &server, const std::string &address,
                        const std::string &state = "ready");
     void removeRecord(const std::string &id);
-    /** Removes the row of \a host's daemon, as a planner does that takes it for lost. */
+    /** Removes the row of \a host's daemon, as a planner does when it considers the daemon lost. */
     void removeDaemonRow(const std::string &host);
-    /** Writes \a value, which is JSON or not, in the place of the record \a id. */
+    /** Writes \a value, which may be invalid JSON, as the record \a id. */
     void writeRawRecord(const std::string &id, const std::string &value);
 
-    /** Kills the server and starts it again under its id and at its address, keys forgotten. */
+    /** Kills the server and restarts it with the same id and address, without its keys. */
     void restartServer(const std::string &id);
 
-    /** Writes the configuration, with further routes, as a new version. */
-    void writeConfig(const std::vector<std::string> &furtherPrefixes = {});
+    /** Writes the configuration as a new version, with an additional route for each prefix. */
+    void writeConfig(const std::vector<std::string> &additionalPrefixes = {});
 
-    /** Has `/split/` go to services by weight in the configurations that are written from now on.
+    /**
+     * Adds the route `/split/` to all configurations written from now on. It splits traffic between
+     * services by \a weights.
      */
     void splitTraffic(const std::map<std::string, int> &weights);
 
-    /** Writes \a text, which is JSON, in the place of the configuration. */
+    /** Writes \a text, which must be JSON, as the configuration. */
     void writeRawConfig(const std::string &text);
 
-    /** \returns the version that was written last. */
+    /** \returns the configuration version that was written last. */
     int configVersion() const;
 
-    /** Sets the faults of the store towards \a host, or "*". */
+    /** Sets the faults that the store simulates for \a host, or for all hosts if it is "*". */
     void setStoreFault(const std::string &host, const std::string &mode, int loseAnswers = 0,
                        int delayWrites = 0);
+    /** Deletes the change history of the store. */
     void dropHistory();
 
-    /** Has the store lose its next answer to \a host's wait for changes of \a table. */
+    /** Makes the store drop its next answer to \a host's request for changes of \a table. */
     void loseFeedAnswer(const std::string &host, const std::string &table);
 
-    /** Has the store answer \a host's reads of \a table after \a delay, by what it was before. */
+    /** Makes the store answer \a host's reads of \a table only after \a delay, with old content. */
     void delayReads(const std::string &host, const std::string &table,
                     std::chrono::milliseconds delay);
 
-    /** \returns how many calls \a host's daemon has made to the store. */
+    /** \returns the number of calls that \a host's daemon has made to the store. */
     std::uint64_t storeCalls(const std::string &host);
 
-    /** Has the server spoil \a count of its next answers: "lose", "cut", "unframed", "twice". */
-    void spoilAnswers(const std::string &id, const std::string &how, int count);
+    /**
+     * Makes the server send \a count of its next answers with the fault \a mode: "lose", "cut",
+     * "unframed" or "twice".
+     */
+    void injectAnswerFaults(const std::string &id, const std::string &mode, int count);
 
-    /** Has the server leave \a count of the next grants and releases unanswered until later. */
+    /** Makes the server delay \a count of the next grants and releases by \a delay. */
     void delayOrders(const std::string &id, int count, std::chrono::milliseconds delay);
 
-    /** \returns the value of the counter \a name of \a host's daemon, or -1 if it has none. */
+    /** \returns the value of the metric \a name of \a host's daemon, or -1 if there is none. */
     std::int64_t counter(const std::string &host, const std::string &name);
 
     SyncHttpResult send(const std::string &host, const std::string &method, const std::string &path,
@@ -132,40 +139,40 @@
                         int deadlineMs = 4000);
     SyncHttpResult read(const std::string &host, int key);
 
-    /** \returns the id of the request that was sent last. */
+    /** \returns the id of the most recent request. */
     std::string lastRequestId() const;
 
-    /** \returns whether \a host serves \a count keys spread over all. */
+    /** \returns whether \a host serves \a count keys that are spread over the key space. */
     bool servesKeys(const std::string &host, int count = 16);
 
-    /** \returns the server that \a host has a key read from, or "". */
+    /** \returns the server that answers a read of \a key through \a host, or "". */
     std::string ownerOf(const std::string &host, int key);
 
-    /** \returns all that servers ran, by start; those that have ended excepted. */
-    std::vector<EntryRun> runs();
+    /** \returns all requests that running servers have run, sorted by start. */
+    std::vector<RequestRun> runs();
 
-    /** \returns the lowest, or the highest, fence that the server was granted keys under. */
+    /** \returns the lowest (highest) fence of the grants that the server received. */
     std::uint64_t lowestFence(const std::string &id);
     std::uint64_t highestFence(const std::string &id);
 
-    /** \returns the first pair of runs on one key at two servers that overlap, or "". */
+    /** \returns the first two runs for one key at different servers that overlap, or "". */
     std::string firstOverlap();
 
-    /** \returns the request ids that ran more than once. */
+    /** \returns the ids of requests that ran more than once. */
     std::vector<std::string> repeatedRuns();
 
-    /** \returns a page of \a host's daemon for operators. */
+    /** \returns an operators' page of \a host's daemon. */
     std::string page(const std::string &host, const std::string &path);
 
-    /** Posts to a page of \a host's daemon for operators. \returns the status. */
+    /** Posts to an operators' page of \a host's daemon. \returns the status. */
     int postToPage(const std::string &host, const std::string &path);
 
-    /** \returns the host whose daemon plans, or "". */
+    /** \returns the host whose daemon is the planner, or "". */
     std::string planner();
 
     std::string callersAddress(const std::string &host);
 
-    /** Calls \a condition until it holds. \returns false if that takes more than a minute. */
+    /** Polls \a condition until it holds. \returns false after one minute. */
     static bool eventually(const std::function<bool()> &condition);
 
 private:
@@ -176,10 +183,10 @@
     std::vector<std::string> m_hosts;
     std::string m_folder;
     std::string m_prefix;
-    /** The last number of the first host's address; there are at most eight hosts. */
+    /** Last byte of the first host's address. A fleet has at most eight hosts. */
     int m_firstHost = 1;
     std::unique_ptr<ChildProcess> m_store;
-    std::map<std::string, EntryServer> m_kinds;
+    std::map<std::string, ServerSpec> m_serverSpecs;
     std::map<std::string, std::unique_ptr<ChildProcess>> m_servers;
     std::map<std::string, std::unique_ptr<ChildProcess>> m_daemons;
     std::map<std::string, int> m_split;
--- a/tests/entryfleet/restartfleet.h
+++ b/tests/entryfleet/restartfleet.h
@@ -6,7 +6,7 @@
 
 namespace bulrush::test {
 
-/** Servers that tell runs apart by their start. */
+/** Servers of service catalogue with a start time in their records, which identifies each run. */
 struct RestartFleet : EntryFleet
 {
     RestartFleet()
@@ -25,10 +25,10 @@
                          1'764'720'000'000});
         startServer({"p1", "payments", "a"});
         startDaemons();
-        awaitServing();
+        waitUntilServing();
     }
 
-    bool allServe()
+    bool allHostsServe()
     {
         return servesKeys("a1") && servesKeys("a2") && servesKeys("b1");
     }
--- a/tests/entryfleet/scriptedbackend.h
+++ b/tests/entryfleet/scriptedbackend.h
@@ -10,11 +10,11 @@
 
 namespace bulrush::test {
 
-/** A ScriptedServer on a thread of its own, for tests that wait for other processes. */
+/** A ScriptedServer on its own thread, for tests that block on other processes. */
 class ScriptedBackend
 {
 public:
-    /** The script runs on the backend's thread. */
+    /** \a script runs on the thread of this object. */
     explicit ScriptedBackend(ScriptedServer::Script script)
         : m_server(m_loop, std::move(script))
         , m_address(m_server.url(""))
--- a/tests/entryfleet/servingfleet.h
+++ b/tests/entryfleet/servingfleet.h
@@ -7,7 +7,7 @@
 
 namespace bulrush::test {
 
-/** A daemon in each of two failure domains with the usual servers, serving all keys. */
+/** One daemon in each of two failure domains with the default servers, serving all keys. */
 struct PairFleet : EntryFleet
 {
     PairFleet()
@@ -16,11 +16,11 @@
         writeConfig();
         startServers();
         startDaemons();
-        awaitServing();
+        waitUntilServing();
     }
 };
 
-/** Three daemons in two failure domains with the usual servers, serving all keys. */
+/** Three daemons in two failure domains with the default servers, serving all keys. */
 struct ServingFleet : EntryFleet
 {
     ServingFleet()
@@ -29,10 +29,10 @@
         writeConfig();
         startServers();
         startDaemons();
-        awaitServing();
+        waitUntilServing();
     }
 
-    bool allReachTheStore()
+    bool allReachStore()
     {
         for (const std::string host : {"a1", "a2", "b1"}) {
             if (page(host, "/status").find("store: reached") == std::string::npos)
@@ -41,8 +41,8 @@
         return true;
     }
 
-    /** Reads all over the keys for \a span. \returns how many reads were not answered. */
-    int failuresFor(std::chrono::milliseconds span, const std::string &host)
+    /** Reads keys across the key space for \a span. \returns the number of failed reads. */
+    int countFailedReadsFor(std::chrono::milliseconds span, const std::string &host)
     {
         int failures = 0;
         const auto end = std::chrono::steady_clock::now() + span;
--- a/tests/entryfleet/test_entryanswers.cpp
+++ b/tests/entryfleet/test_entryanswers.cpp
@@ -23,9 +23,9 @@
 
 namespace {
 
-constexpr const char *requestsSent = "bulrush_attempts_sent_total";
+constexpr const char *attemptsSentMetric = "bulrush_attempts_sent_total";
 
-/** One daemon, and a scripted backend server as the only one of the service payments. */
+/** One daemon, and a scripted backend server as the only server of the service payments. */
 struct ScriptedFleet : EntryFleet
 {
     explicit ScriptedFleet(ScriptedServer::Script script)
@@ -36,13 +36,13 @@
         startServer({"c1", "catalogue", "a", true});
         writeRecordOf({"p0", "payments", "a"}, backend.address());
         startDaemons();
-        awaitServing();
+        waitUntilServing();
     }
 
     ScriptedBackend backend;
 };
 
-/** \returns the request id that \a head bears. */
+/** \returns the request id in \a head. */
 std::string idOf(const std::string &head)
 {
     const std::string field = "X-Bulrushswitch-Request-Id: ";
@@ -61,7 +61,7 @@
         + body;
 }
 
-/** \returns whether \a result is the answer to the request that bore the id \a id. */
+/** \returns whether \a result is the answer to the request \a id. */
 bool isOwnAnswer(const SyncHttpResult &result, const std::string &id)
 {
     return result.status == 200 && result.header("X-Bulrushswitch-Request-Id") == id
@@ -70,16 +70,16 @@
 
 } // namespace
 
-BOOST_FIXTURE_TEST_CASE(aSecondAnswerGoesToNobody, PairFleet)
+BOOST_FIXTURE_TEST_CASE(secondAnswersAreDiscarded, PairFleet)
 {
     for (const std::string id : {"p1", "p2"})
-        spoilAnswers(id, "twice", 30);
+        injectAnswerFaults(id, "twice", 30);
     for (int i = 0; i < 60; ++i) {
         const SyncHttpResult result = send("a1", "POST", "/pay/x", std::nullopt, "euro=1");
         BOOST_TEST(isOwnAnswer(result, lastRequestId()), "request " << i << ": " << result.body);
     }
     const std::string owner = ownerOf("a1", 100);
-    spoilAnswers(owner, "twice", 30);
+    injectAnswerFaults(owner, "twice", 30);
     for (int i = 0; i < 60; ++i) {
         const SyncHttpResult result = read("a1", 100);
         BOOST_TEST(isOwnAnswer(result, lastRequestId()), "read " << i << ": " << result.body);
@@ -87,10 +87,10 @@
     BOOST_TEST(repeatedRuns().empty());
 }
 
-BOOST_FIXTURE_TEST_CASE(anAnswerWithoutALengthIsWholeAtTheConnectionsEnd, PairFleet)
+BOOST_FIXTURE_TEST_CASE(answerWithoutLengthIsCompleteWhenTheConnectionCloses, PairFleet)
 {
     for (const std::string id : {"p1", "p2"})
-        spoilAnswers(id, "unframed", 10);
+        injectAnswerFaults(id, "unframed", 10);
     for (int i = 0; i < 20; ++i) {
         const SyncHttpResult result = send("a1", "POST", "/pay/x", std::nullopt, "euro=1");
         BOOST_TEST(isOwnAnswer(result, lastRequestId()), "request " << i << ": " << result.body);
@@ -99,7 +99,7 @@
     BOOST_TEST(repeatedRuns().empty());
 }
 
-BOOST_AUTO_TEST_CASE(anAnswerWithoutALengthThatIsResetIsNotWhole)
+BOOST_AUTO_TEST_CASE(answerWithoutLengthIsIncompleteAfterAReset)
 {
     std::atomic<int> runs = 0;
     ScriptedFleet fleet{[&runs](Socket &socket, int) -> asio::awaitable<void> {
@@ -117,9 +117,9 @@
     BOOST_TEST(runs == 1);
 }
 
-BOOST_AUTO_TEST_CASE(anEarlyAnswerLeavesNoOtherBytesInThePlaceOfTheBody)
+BOOST_AUTO_TEST_CASE(noOtherBytesAreSentAsTheBodyAfterAnEarlyAnswer)
 {
-    // Longer than what fits on the way, so that the answer comes while the body is being sent.
+    // Larger than the socket buffers, so that the answer arrives while the body is being sent.
     const std::string body(24 << 20, 'b');
     std::mutex mutex;
     std::string afterAnswer;
@@ -131,7 +131,7 @@
         co_await ScriptedServer::write(
             socket, answerTo(idOf(head), 503, "X-Bulrushswitch-Not-Executed: 1\r\n", ""));
         std::this_thread::sleep_for(100ms);
-        // Whatever comes from here on is taken for the rest of the body.
+        // The server treats everything that it receives from here on as the rest of the body.
         asio::error_code ignored;
         co_await asio::async_read(socket, asio::dynamic_buffer(buffer),
                                   asio::redirect_error(asio::use_awaitable, ignored));
@@ -147,7 +147,7 @@
     BOOST_TEST(afterAnswer.find("X-Bulrushswitch") == std::string::npos);
 }
 
-BOOST_AUTO_TEST_CASE(anAnswerToAnotherRequestIsNotPassedOn)
+BOOST_AUTO_TEST_CASE(answersToOtherRequestsAreNotForwarded)
 {
     ScriptedFleet fleet{[](Socket &socket, int) -> asio::awaitable<void> {
         std::string buffer;
@@ -164,10 +164,10 @@
         BOOST_TEST(result.status == 200);
         BOOST_TEST(result.body == "yours");
     }
-    BOOST_TEST(fleet.counter("a1", requestsSent) >= 5);
+    BOOST_TEST(fleet.counter("a1", attemptsSentMetric) >= 5);
 }
 
-BOOST_AUTO_TEST_CASE(bytesThatAreNoAnswerEndInAnHonestUnknown)
+BOOST_AUTO_TEST_CASE(malformedAnswersGiveABadGateway)
 {
     ScriptedFleet fleet{[](Socket &socket, int) -> asio::awaitable<void> {
         std::string buffer;
@@ -180,7 +180,7 @@
     BOOST_TEST(result.body.find("this is no answer") == std::string::npos);
 }
 
-BOOST_AUTO_TEST_CASE(aServerThatNeverAnswersHoldsNoOtherRequestBack)
+BOOST_AUTO_TEST_CASE(unresponsiveServerDoesNotBlockOtherRequests)
 {
     std::atomic<int> heads = 0;
     ScriptedFleet fleet{[&heads](Socket &socket, int connection) -> asio::awaitable<void> {
@@ -217,10 +217,10 @@
     fleet.writeConfig({"/new/"});
     BOOST_TEST(
         EntryFleet::eventually([&] { return fleet.send("a1", "GET", "/new/x").status != 404; }));
-    // Some of them are tried again, as they earn retries, and there is no second server to ask.
+    // The requests earn retry budget, so some are retried, but there is no second server.
     for (int i = 0; i < 30; ++i) {
         const SyncHttpResult result = fleet.send("a1", "GET", "/new/x");
-        // It has run, so that "not run" would not be true.
+        // The request has run, so an answer that says "not run" would be wrong.
         BOOST_TEST(result.status == 500);
         BOOST_TEST(result.body == "broke");
         BOOST_TEST(result.header("X-Bulrushswitch-Response-Stamp").has_value());
@@ -229,7 +229,7 @@
 
 BOOST_AUTO_TEST_CASE(aRequestThatFoundNoConnectionByItsDeadlineHasNotRun)
 {
-    // A host that takes no connection: its queue of one is full.
+    // A listener that accepts no connection: its backlog of one is full.
     asio::io_context loop;
     asio::ip::tcp::acceptor full{loop};
     full.open(asio::ip::tcp::v4());
@@ -247,7 +247,7 @@
     fleet.writeRecordOf({"p0", "payments", "a"},
                         "127.0.0.1:" + std::to_string(full.local_endpoint().port()));
     fleet.startDaemons();
-    fleet.awaitServing();
+    fleet.waitUntilServing();
     const auto start = std::chrono::steady_clock::now();
     const SyncHttpResult result = fleet.send("a1", "POST", "/pay/x", std::nullopt, "euro=1", 250);
     BOOST_TEST(result.status == 503);
@@ -262,11 +262,11 @@
     for (const std::string id : {"p1", "p2"})
         fleet.startServer({id, "payments", id == "p1" ? "a" : "b", false, 150, 2, true});
     fleet.startDaemons();
-    fleet.awaitServing();
-    fleet.spoilAnswers("p1", "lose", 5);
-    fleet.spoilAnswers("p2", "twice", 5);
+    fleet.waitUntilServing();
+    fleet.injectAnswerFaults("p1", "lose", 5);
+    fleet.injectAnswerFaults("p2", "twice", 5);
 
-    // Twice as many as can be served in their time, all at once.
+    // Twice as many concurrent requests as can be served before their deadline.
     constexpr int count = 60;
     std::vector<std::unique_ptr<RawConnection>> callers;
     for (int i = 0; i < count; ++i) {
@@ -283,9 +283,9 @@
     std::vector<std::string> answers;
     for (const auto &caller : callers)
         answers.push_back(caller->receiveToEnd());
-    // What servers have queued would run by then.
+    // After this time, all requests in the queues of the servers have run.
     std::this_thread::sleep_for(2s);
-    for (const EntryRun &run : fleet.runs())
+    for (const RequestRun &run : fleet.runs())
         ran.insert(run.request);
     for (int i = 0; i < count; ++i) {
         const std::string id = "full" + std::to_string(i) + '-';
--- a/tests/entryfleet/test_entrycallers.cpp
+++ b/tests/entryfleet/test_entrycallers.cpp
@@ -41,7 +41,7 @@
 
 BOOST_FIXTURE_TEST_CASE(readsSentBeforeTheFirstIsAnsweredRunAtOnceAndAreAnsweredInOrder, PairFleet)
 {
-    // Two at a time, these eight would take a second: their owners work at twelve at once.
+    // Two at a time, the eight reads would take a second. Their owners run twelve at once.
     for (const std::string id : {"c1", "c2", "c3", "c4"}) {
         server(id).kill();
         removeRecord(id);
@@ -77,7 +77,7 @@
     const std::string ended = closing.receiveToEnd();
     BOOST_TEST(ended.find("request=before") != std::string::npos, ended);
     BOOST_TEST(ended.find("request=last") != std::string::npos, ended);
-    for (const EntryRun &run : runs())
+    for (const RequestRun &run : runs())
         BOOST_TEST(run.request != "behind");
 }
 
@@ -90,7 +90,7 @@
     caller.send(requests);
     daemon("a1").terminate();
     const std::string answers = caller.receiveToEnd();
-    for (const EntryRun &run : runs()) {
+    for (const RequestRun &run : runs()) {
         BOOST_TEST((!run.request.starts_with('s')
                     || answers.find("request=" + run.request) != std::string::npos),
                    run.request);
@@ -102,15 +102,15 @@
     constexpr int reads = 120;
     for (int i = 0; i < reads; ++i) {
         const std::string host = i % 2 == 0 ? "a1" : "b1";
-        // What another service gets earns these nothing.
+        // Requests to another service must not earn retry budget for this one.
         for (int j = 0; j < 4; ++j)
             send(host, "POST", "/pay/x", std::nullopt, "euro=1");
-        // Every other one, as a server that answers nothing at all is not sent to.
+        // Only every second answer is lost, because a server that never answers gets no requests.
         for (const std::string id : {"c1", "c2", "c3", "c4"})
-            spoilAnswers(id, "lose", i / 2 % 2);
+            injectAnswerFaults(id, "lose", i / 2 % 2);
         read(host, i * 1009 % 65'536);
     }
-    // Three quarters of a fifth of the requests, and what two daemons may have saved up.
+    // Three quarters of a fifth of the requests, plus the budget that two daemons may accumulate.
     const auto repeats = static_cast<double>(repeatedRuns().size());
     BOOST_TEST(repeats <= reads * 0.15 + 2 * 5);
     BOOST_TEST(repeats > 0);
@@ -123,21 +123,21 @@
     writeConfig({"/new/"});
     BOOST_TEST(eventually([&] { return send("a1", "GET", "/new/x").status == 200; }));
     for (int i = 0; i < 40; ++i)
-        send("a1", "GET", "/new/x"); // earns retries
+        send("a1", "GET", "/new/x"); // earns retry budget
     std::map<std::string, int> counts;
     for (int i = 0; i < 20; ++i) {
         for (const std::string id : {"p1", "p2", "p3", "p4"})
-            spoilAnswers(id, "lose", 1);
+            injectAnswerFaults(id, "lose", 1);
         send("a1", "GET", "/new/x");
         for (const std::string id : {"p1", "p2", "p3", "p4"})
-            spoilAnswers(id, "lose", 0);
+            injectAnswerFaults(id, "lose", 0);
         send("a1", "GET", "/new/x");
     }
-    for (const EntryRun &run : runs())
+    for (const RequestRun &run : runs())
         ++counts[run.request];
     int repeated = 0;
     for (const auto &[request, count] : counts) {
-        // The routes of the fleet allow two.
+        // The routes of the fleet allow two attempts.
         BOOST_TEST(count <= 2, request << " ran " << count << " times");
         repeated += count == 2 ? 1 : 0;
     }
@@ -146,7 +146,7 @@
 
 BOOST_AUTO_TEST_CASE(theWorkOfACallerThatLeftIsGivenUpAtOnce)
 {
-    std::atomic<std::int64_t> begunAt = 0;
+    std::atomic<std::int64_t> startedAt = 0;
     std::atomic<std::int64_t> endedAt = 0;
     const auto now = [] {
         return Clock::now().time_since_epoch().count();
@@ -155,7 +155,7 @@
     const ScriptedBackend backend{[&](Socket &socket, int) -> asio::awaitable<void> {
         std::string buffer;
         co_await ScriptedServer::readHead(socket, buffer);
-        begunAt = now();
+        startedAt = now();
         co_await ScriptedServer::drain(socket);
         endedAt = now();
     }};
@@ -163,14 +163,14 @@
     fleet.startServer({"c1", "catalogue", "a", true});
     fleet.writeRecordOf({"p0", "payments", "a"}, backend.address());
     fleet.startDaemons();
-    fleet.awaitServing();
+    fleet.waitUntilServing();
     RawConnection caller{fleet.callersAddress("a1")};
     caller.send(headOf("left", "/pay/x", 0));
-    BOOST_TEST(EntryFleet::eventually([&] { return begunAt != 0; }));
-    const std::int64_t leftAt = now();
+    BOOST_TEST(EntryFleet::eventually([&] { return startedAt != 0; }));
+    const std::int64_t disconnectedAt = now();
     caller.close();
     BOOST_TEST(EntryFleet::eventually([&] { return endedAt != 0; }));
-    BOOST_TEST((Clock::duration{endedAt - leftAt} < 500ms));
+    BOOST_TEST((Clock::duration{endedAt - disconnectedAt} < 500ms));
 }
 
 BOOST_FIXTURE_TEST_CASE(callersThatSendByHalvesHoldNobodyBack, PairFleet)
@@ -186,12 +186,12 @@
         BOOST_TEST(send("a1", "POST", "/pay/x", std::nullopt, "euro=1").status == 200);
     BOOST_TEST((Clock::now() - start < 5s));
     slow.clear();
-    // What was never read whole has run nowhere.
-    for (const EntryRun &run : runs())
+    // Requests that were never received completely must not run on any server.
+    for (const RequestRun &run : runs())
         BOOST_TEST(!run.request.starts_with("slow"), run.request);
 }
 
-BOOST_FIXTURE_TEST_CASE(aKeptConnectionServesOneRequestAfterTheOther, PairFleet)
+BOOST_FIXTURE_TEST_CASE(keepAliveConnectionServesSuccessiveRequests, PairFleet)
 {
     RawConnection caller{callersAddress("a1")};
     for (int i = 0; i < 20; ++i) {
@@ -207,7 +207,7 @@
     BOOST_TEST(repeatedRuns().empty());
 }
 
-BOOST_FIXTURE_TEST_CASE(whatCannotBeServedIsRefusedAtOnceAndTellsWhenToComeBack, PairFleet)
+BOOST_FIXTURE_TEST_CASE(unservableRequestsAreRejectedAtOnceWithRetryAfter, PairFleet)
 {
     for (const std::string id : {"p1", "p2"})
         removeRecord(id);
--- a/tests/entryfleet/test_entryconfigwaits.cpp
+++ b/tests/entryfleet/test_entryconfigwaits.cpp
@@ -15,16 +15,16 @@
 
 namespace {
 
-/** Within which a configuration is to be in force, where the settings say nothing. */
-constexpr auto bound = 2s;
+/** Default time within which a new configuration must be in force. */
+constexpr auto configBound = 2s;
 
-/** Two daemons of a failure domain, of which the first reads the store, and one of another. */
+/** Two daemons of a failure domain, of which \a first reads the store, and one of another. */
 struct TwoDomainFleet : DomainFleet
 {
     TwoDomainFleet()
         : DomainFleet({"a1", "a2", "b1"})
     {
-        auto calls = callsWithin(4s);
+        auto calls = storeCallsDuring(4s);
         first = calls["a1"] > calls["a2"] ? "a1" : "a2";
         second = first == "a1" ? "a2" : "a1";
     }
@@ -35,8 +35,7 @@
 
 } // namespace
 
-BOOST_FIXTURE_TEST_CASE(aConfigurationIsInForceInTimeThoughTheAnswersToWaitsForItWereLost,
-                        DomainFleet)
+BOOST_FIXTURE_TEST_CASE(configIsInForceInTimeAlthoughFeedAnswersAreLost, DomainFleet)
 {
     for (const std::string &host : hosts)
         loseFeedAnswer(host, "op");
@@ -45,7 +44,7 @@
     for (const std::string &host : hosts)
         BOOST_TEST(eventually([&] { return isConfigInForce(host); }));
     const double took = std::chrono::duration<double>(Clock::now() - written).count();
-    BOOST_TEST(took <= std::chrono::duration<double>(bound).count());
+    BOOST_TEST(took <= std::chrono::duration<double>(configBound).count());
 }
 
 BOOST_FIXTURE_TEST_CASE(aReadThatTookLongDoesNotTakeBackAConfigurationThatCameMeanwhile,
@@ -56,7 +55,7 @@
     setStoreFault(first, "reset");
     std::this_thread::sleep_for(300ms);
     delayReads(first, "op", 1400ms);
-    // The read is under way by then, and another domain's daemon is asked before it is answered.
+    // By then the read is in flight, and a daemon of the other domain is asked before it finishes.
     std::this_thread::sleep_for(600ms);
     writeConfig({"/added/"});
     std::this_thread::sleep_for(2s);
@@ -64,6 +63,6 @@
     BOOST_TEST(isConfigInForce(first));
     startDaemon(second);
     BOOST_TEST(eventually([this] { return counter(second, "bulrush_config_version") > 0; }));
-    std::this_thread::sleep_for(bound);
+    std::this_thread::sleep_for(configBound);
     BOOST_TEST(isConfigInForce(second));
 }
--- a/tests/entryfleet/test_entrycrashes.cpp
+++ b/tests/entryfleet/test_entrycrashes.cpp
@@ -20,13 +20,13 @@
 
 namespace {
 
-using Arrivals = std::function<void(const std::string &host)>;
+using SendFunction = std::function<void(const std::string &host)>;
 
-/** Callers that bring `/read/bad` for key 0 to all hosts at the same time, again and again. */
-class EagerCallers
+/** Threads that keep sending `/read/bad` for key 0 to all hosts concurrently. */
+class ConcurrentCallers
 {
 public:
-    explicit EagerCallers(CrashFleet &fleet)
+    explicit ConcurrentCallers(CrashFleet &fleet)
     {
         constexpr std::size_t count = 12;
         for (std::size_t i = 0; i < count; ++i) {
@@ -40,22 +40,22 @@
         }
     }
 
-    ~EagerCallers()
+    ~ConcurrentCallers()
     {
-        m_isOver = true;
+        m_isStopped = true;
         for (std::thread &thread : m_threads)
             thread.join();
     }
 
-    EagerCallers(const EagerCallers &) = delete;
-    EagerCallers &operator=(const EagerCallers &) = delete;
+    ConcurrentCallers(const ConcurrentCallers &) = delete;
+    ConcurrentCallers &operator=(const ConcurrentCallers &) = delete;
 
 private:
-    void call(const SyncHttpRequest &like, std::size_t caller)
+    void call(const SyncHttpRequest &prototype, std::size_t caller)
     {
         SyncHttp http;
-        for (int i = 0; !m_isOver; ++i) {
-            SyncHttpRequest request = like;
+        for (int i = 0; !m_isStopped; ++i) {
+            SyncHttpRequest request = prototype;
             request.headers.push_back({"X-Bulrushswitch-Request-Id",
                                        "e" + std::to_string(caller) + '-' + std::to_string(i)});
             http.send(request);
@@ -63,11 +63,11 @@
         }
     }
 
-    std::atomic<bool> m_isOver{false};
+    std::atomic<bool> m_isStopped{false};
     std::vector<std::thread> m_threads;
 };
 
-/** Servers take so long that copies from all daemons reach one before it ends. */
+/** Requests run long enough that copies from all daemons reach a server before it crashes. */
 struct SlowCrashFleet : CrashFleet
 {
     SlowCrashFleet()
@@ -75,103 +75,104 @@
     { }
 };
 
-/** Has \a send bring the request to each host in turn for \a span, while servers come back. */
-void bringFor(CrashFleet &fleet, std::chrono::milliseconds span, const Arrivals &send)
+/** Calls \a send for each host in turn during \a span, and restarts crashed servers meanwhile. */
+void sendRepeatedly(CrashFleet &fleet, std::chrono::milliseconds span, const SendFunction &send)
 {
     const auto end = CrashFleet::Clock::now() + span;
     for (std::size_t i = 0; CrashFleet::Clock::now() < end; ++i) {
         send(fleet.hosts[i % fleet.hosts.size()]);
-        fleet.lookAfterServersFor(300ms);
+        fleet.restartCrashedServersFor(300ms);
     }
 }
 
 } // namespace
 
-BOOST_FIXTURE_TEST_CASE(aReadThatCrashesServersIsKeptFromThem, CrashFleet)
+BOOST_FIXTURE_TEST_CASE(readsThatCrashServersAreBlocked, CrashFleet)
 {
-    bringFor(*this, 15s, [this](const std::string &host) { send(host, "GET", "/find/bad"); });
+    sendRepeatedly(*this, 15s, [this](const std::string &host) { send(host, "GET", "/find/bad"); });
     BOOST_TEST(crashes.size() >= 3U);
-    BOOST_TEST(laterCrashes() <= mostLater, laterCrashes() << " of " << crashes.size());
-    lookAfterServersFor(restartAfter);
+    BOOST_TEST(lateCrashes() <= maxLateCrashes, lateCrashes() << " of " << crashes.size());
+    restartCrashedServersFor(restartDelay);
     for (const std::string &host : hosts)
         BOOST_TEST(send(host, "GET", "/find/good").status == 200);
 }
 
-BOOST_FIXTURE_TEST_CASE(aWriteThatCrashesServersIsKeptFromThem, CrashFleet)
+BOOST_FIXTURE_TEST_CASE(writesThatCrashServersAreBlocked, CrashFleet)
 {
-    bringFor(*this, 15s, [this](const std::string &host) {
+    sendRepeatedly(*this, 15s, [this](const std::string &host) {
         send(host, "POST", "/pay/bad", std::nullopt, "amount=1");
     });
     BOOST_TEST(crashes.size() >= 3U);
-    BOOST_TEST(laterCrashes() <= mostLater, laterCrashes() << " of " << crashes.size());
-    lookAfterServersFor(restartAfter);
-    // The same path with another body is another request.
+    BOOST_TEST(lateCrashes() <= maxLateCrashes, lateCrashes() << " of " << crashes.size());
+    restartCrashedServersFor(restartDelay);
+    // A request with another path is a different request and is not blocked.
     for (const std::string &host : hosts)
         BOOST_TEST(send(host, "POST", "/pay/good", std::nullopt, "amount=1").status == 200);
 }
 
-BOOST_FIXTURE_TEST_CASE(aReadThatCrashesOwnersOfItsKeyIsKeptFromThem, CrashFleet)
+BOOST_FIXTURE_TEST_CASE(keyedReadsThatCrashOwnersAreBlocked, CrashFleet)
 {
-    // The key has an owner again only some seconds after each crash.
-    bringFor(*this, 40s, [this](const std::string &host) { send(host, "GET", "/read/bad", 0); });
+    // After each crash it takes some seconds until the key has an owner again.
+    sendRepeatedly(*this, 40s,
+                   [this](const std::string &host) { send(host, "GET", "/read/bad", 0); });
     BOOST_TEST(crashes.size() >= 3U);
-    BOOST_TEST(laterCrashes() <= mostLater, laterCrashes() << " of " << crashes.size());
+    BOOST_TEST(lateCrashes() <= maxLateCrashes, lateCrashes() << " of " << crashes.size());
 }
 
 BOOST_FIXTURE_TEST_CASE(copiesThatWaitAtAllDaemonsDontAllGoToTheNextOwnerOfTheirKey, SlowCrashFleet)
 {
-    const auto brokenAttempts = [this] {
+    const auto failedAttempts = [this] {
         std::int64_t all = 0;
         for (const std::string &host : hosts)
             all += counter(host, "bulrush_attempts_failed_total");
         return all;
     };
-    const EagerCallers callers{*this};
+    const ConcurrentCallers callers{*this};
     std::int64_t before = 0;
     for (std::size_t ended = 1; ended <= 3; ++ended) {
         const auto end = Clock::now() + 20s;
         while (crashes.size() < ended && Clock::now() < end)
-            lookAfterServersFor(20ms);
-        // Until all copies that were there have broken, and all daemons know of it.
-        lookAfterServersFor(1s);
-        const std::int64_t broken = brokenAttempts();
+            restartCrashedServersFor(20ms);
+        // By then all copies at the server have failed, and all daemons have received the report.
+        restartCrashedServersFor(1s);
+        const std::int64_t failed = failedAttempts();
         if (ended > 1)
-            BOOST_TEST(broken - before <= 2, broken - before << " at server " << ended);
-        before = broken;
+            BOOST_TEST(failed - before <= 2, failed - before << " at server " << ended);
+        before = failed;
     }
 }
 
-BOOST_FIXTURE_TEST_CASE(theRefusalSaysThatItHasNotRunAndNoTimeToComeBack, CrashFleet)
+BOOST_FIXTURE_TEST_CASE(rejectionsOfABlockedRequestHaveNoRetryAfter, CrashFleet)
 {
-    BOOST_REQUIRE(blockFind());
+    BOOST_REQUIRE(blockFindRequest());
     const std::size_t before = crashes.size();
     for (const std::string &host : hosts) {
         const SyncHttpResult refusal = send(host, "GET", "/find/bad");
         BOOST_TEST(refusal.status == 503);
         BOOST_TEST(!refusal.header("Retry-After").has_value());
     }
-    lookAfterServersFor(500ms);
+    restartCrashedServersFor(500ms);
     BOOST_TEST(crashes.size() == before);
 }
 
-BOOST_FIXTURE_TEST_CASE(daemonsThatAllStartAgainKnowWhatIsBlocked, CrashFleet)
+BOOST_FIXTURE_TEST_CASE(blocksSurviveARestartOfAllDaemons, CrashFleet)
 {
-    BOOST_REQUIRE(blockFind());
+    BOOST_REQUIRE(blockFindRequest());
     for (const std::string &host : hosts)
         daemon(host).kill();
     startDaemons();
-    lookAfterServersFor(restartAfter);
-    awaitServing();
+    restartCrashedServersFor(restartDelay);
+    waitUntilServing();
     const std::size_t before = crashes.size();
     for (const std::string &host : hosts)
         BOOST_TEST(send(host, "GET", "/find/bad").status == 503);
-    lookAfterServersFor(500ms);
+    restartCrashedServersFor(500ms);
     BOOST_TEST(crashes.size() == before);
 }
 
-BOOST_FIXTURE_TEST_CASE(anOperatorLiftsABlockAtOneDaemonForAll, CrashFleet)
+BOOST_FIXTURE_TEST_CASE(liftingABlockAtOneDaemonAppliesToAll, CrashFleet)
 {
-    BOOST_REQUIRE(blockFind());
+    BOOST_REQUIRE(blockFindRequest());
     const std::string list = page("a1", "/quarantine");
     const std::string fingerprint = list.substr(0, list.find(' '));
     BOOST_TEST(postToPage("a1", "/quarantine/lift/0123456789abcdef") == 404);
@@ -184,11 +185,11 @@
     }));
 }
 
-BOOST_FIXTURE_TEST_CASE(aPopularReadAtServersThatAreKilledTogetherIsServedOn, CrashFleet)
+BOOST_FIXTURE_TEST_CASE(readsAreNotBlockedWhenTheirServersAreKilledTogether, CrashFleet)
 {
-    // Slow enough that one is under way at each server that is killed.
+    // Slow enough that a request is in flight at each server when it is killed.
     for (const std::string id : {"p7", "p8", "p9"}) {
-        EntryServer slow{id, "payments", "a", false, 1500, 1};
+        ServerSpec slow{id, "payments", "a", false, 1500, 1};
         slow.startedAtMs = 1;
         startServer(slow);
     }
@@ -210,7 +211,7 @@
         server(id).kill();
     for (std::thread &reader : readers)
         reader.join();
-    lookAfterServersFor(restartAfter + 500ms);
+    restartCrashedServersFor(restartDelay + 500ms);
     for (const std::string &host : hosts) {
         BOOST_TEST(eventually([&] { return send(host, "GET", "/find/popular").status == 200; }));
         BOOST_TEST(page(host, "/quarantine").find(" blocked ") == std::string::npos);
--- a/tests/entryfleet/test_entryfaults.cpp
+++ b/tests/entryfleet/test_entryfaults.cpp
@@ -16,23 +16,23 @@
 
 namespace {
 
-/** A server's record lapses about this long after its end. */
-constexpr auto lapse = 2600ms;
+/** A server's record expires about this long after the server stops. */
+constexpr auto recordExpiry = 2600ms;
 /**
- * By when keys of a lost server are served again where a daemon is lost as well: its word on the
- * last grants is missing, so that the longest time for which it may grant is waited for, then the
- * hold, and a round of planning.
+ * Maximum time until keys of a lost server are served again if a daemon is lost as well. The report
+ * of that daemon on its last grants is missing, so the planner waits for the longest time for which
+ * the daemon may grant, then for the hold and one planning round.
  */
-constexpr auto longestDarkness = 12s;
+constexpr auto maxUnavailability = 12s;
 
 struct FaultFleet : ServingFleet
 {
-    /** Kills the servers; their records are removed as they lapse. */
-    void loseServers(const std::vector<std::string> &ids)
+    /** Kills the servers, and removes their records when they would expire. */
+    void killServers(const std::vector<std::string> &ids)
     {
         for (const std::string &id : ids)
             server(id).kill();
-        std::this_thread::sleep_for(lapse);
+        std::this_thread::sleep_for(recordExpiry);
         for (const std::string &id : ids)
             removeRecord(id);
     }
@@ -59,8 +59,8 @@
     const std::string owner = ownerOf(otherThan(lost), 0);
     daemon(lost).kill();
     const auto lostAt = Clock::now();
-    loseServers({owner});
-    requireServing({otherThan(lost)}, lostAt + lapse + longestDarkness);
+    killServers({owner});
+    requireServing({otherThan(lost)}, lostAt + recordExpiry + maxUnavailability);
     startDaemon(lost);
     requireServing({"a1", "a2", "b1"}, Clock::now() + 10s);
     BOOST_TEST(firstOverlap() == "");
@@ -70,8 +70,8 @@
 {
     daemon("b1").kill();
     const auto lostAt = Clock::now();
-    loseServers({"c2", "c4", "p2"});
-    requireServing({"a1", "a2"}, lostAt + lapse + longestDarkness);
+    killServers({"c2", "c4", "p2"});
+    requireServing({"a1", "a2"}, lostAt + recordExpiry + maxUnavailability);
     BOOST_TEST(send("a1", "POST", "/pay/x", std::nullopt, "euro=1").status == 200);
     BOOST_TEST(firstOverlap() == "");
 }
@@ -92,21 +92,21 @@
     BOOST_TEST(send("b1", "POST", "/pay/x", std::nullopt, "euro=1").status == 200);
 }
 
-BOOST_FIXTURE_TEST_CASE(aServerIsLostWhileItsKeysMoveAway, FaultFleet)
+BOOST_FIXTURE_TEST_CASE(serverIsLostDuringAHandover, FaultFleet)
 {
     const std::string owner = ownerOf("a1", 0);
-    // The release is on its way when the server ends.
+    // The release is in flight when the server is killed.
     delayOrders(owner, 8, 10s);
     writeRecord(owner, "draining");
     std::this_thread::sleep_for(300ms);
     const auto lostAt = Clock::now();
-    loseServers({owner});
-    requireServing({"a1", "b1"}, lostAt + longestDarkness);
+    killServers({owner});
+    requireServing({"a1", "b1"}, lostAt + maxUnavailability);
     BOOST_TEST(ownerOf("b1", 0) != owner);
     BOOST_TEST(firstOverlap() == "");
 }
 
-BOOST_FIXTURE_TEST_CASE(thePlannerFreezesWhileAMoveIsUnderWayAndThaws, FaultFleet)
+BOOST_FIXTURE_TEST_CASE(plannerFreezesDuringAHandoverAndResumes, FaultFleet)
 {
     const std::string frozen = planner();
     const std::string other = otherThan(frozen);
@@ -120,7 +120,7 @@
         return !now.empty() && now != owner;
     }));
     daemon(frozen).resume();
-    BOOST_TEST(failuresFor(2000ms, other) == 0);
+    BOOST_TEST(countFailedReadsFor(2000ms, other) == 0);
     requireServing({"a1", "a2", "b1"}, Clock::now() + 10s);
     BOOST_TEST(firstOverlap() == "");
 }
@@ -138,16 +138,16 @@
     BOOST_TEST(firstOverlap() == "");
 }
 
-BOOST_FIXTURE_TEST_CASE(aServerCutFromTheStoreServesUntilItsKeysHaveMoved, FaultFleet)
+BOOST_FIXTURE_TEST_CASE(serverWithoutARecordServesUntilItsKeysHaveMoved, FaultFleet)
 {
     const std::string owner = ownerOf("a1", 0);
-    // Its record lapses although it lives and is reached: its keys move with a handover.
+    // Its record expires although the server runs and is reachable: its keys move by handover.
     removeRecord(owner);
-    BOOST_TEST(failuresFor(3000ms, "b1") == 0);
+    BOOST_TEST(countFailedReadsFor(3000ms, "b1") == 0);
     BOOST_TEST(ownerOf("a1", 0) != owner);
-    // It is back at the store; what it gets is granted under higher fences.
+    // The server writes its record again. New grants have higher fences.
     writeRecord(owner, "ready");
-    BOOST_TEST(failuresFor(3000ms, "b1") == 0);
+    BOOST_TEST(countFailedReadsFor(3000ms, "b1") == 0);
     BOOST_TEST(firstOverlap() == "");
 }
 
@@ -162,7 +162,7 @@
         const std::string now = ownerOf("a1", 0);
         return !now.empty() && now != owner;
     }));
-    BOOST_TEST(failuresFor(3000ms, "a2") == 0);
+    BOOST_TEST(countFailedReadsFor(3000ms, "a2") == 0);
     for (const std::string host : {"a1", "a2"})
         setStoreFault(host, "ok");
     requireServing({"a1", "a2", "b1"}, Clock::now() + 10s);
--- a/tests/entryfleet/test_entrykeys.cpp
+++ b/tests/entryfleet/test_entrykeys.cpp
@@ -15,12 +15,12 @@
 {
     const std::string owner = ownerOf("a1", 0);
     writeRecord(owner, "draining");
-    BOOST_TEST(failuresFor(2500ms, "b1") == 0);
+    BOOST_TEST(countFailedReadsFor(2500ms, "b1") == 0);
     BOOST_TEST(ownerOf("a1", 0) != owner);
     BOOST_TEST(firstOverlap() == "");
 }
 
-BOOST_FIXTURE_TEST_CASE(keysOfAServerThatLivesWithoutARecordMove, ServingFleet)
+BOOST_FIXTURE_TEST_CASE(keysOfARunningServerWithoutARecordMove, ServingFleet)
 {
     const std::string owner = ownerOf("a1", 0);
     removeRecord(owner);
@@ -39,7 +39,8 @@
     removeRecord(owner);
     BOOST_TEST(eventually([&] { return servesKeys("a1"); }));
     BOOST_TEST(eventually([&] { return servesKeys("b1"); }));
-    // The hold of the last grant, and not the time after which silent daemons stop granting.
+    // The bound covers the hold of the last grant, but not the time after which daemons that get no
+    // answer stop granting.
     BOOST_TEST((std::chrono::steady_clock::now() - lostAt < 7000ms));
     BOOST_TEST(firstOverlap() == "");
 }
@@ -49,20 +50,20 @@
     const std::string owner = ownerOf("a1", 0);
     const std::string address = server(owner).address();
     server(owner).kill();
-    // Of another service, and the record of the lost one is still there.
+    // The new server belongs to another service, and the record of the lost one still exists.
     startServer({"p9", "payments", "a", false, 5, 3, false, address});
     const auto replacedAt = std::chrono::steady_clock::now();
     BOOST_TEST(eventually([&] { return servesKeys("a1"); }));
     BOOST_TEST(eventually([&] { return servesKeys("b1"); }));
-    // Without waiting for a record that lapses, or for the hold of the last grant.
+    // The daemons wait neither for the record to expire nor for the hold of the last grant.
     const auto took = std::chrono::steady_clock::now() - replacedAt;
     BOOST_TEST((took < 2900ms), "took " << std::chrono::duration<double>(took).count() << " s");
-    for (const EntryRun &run : runs())
+    for (const RequestRun &run : runs())
         BOOST_TEST((run.server != "p9" || run.key < 0), run.request);
     BOOST_TEST(firstOverlap() == "");
 }
 
-BOOST_FIXTURE_TEST_CASE(aFrozenServerComesBackWithoutItsKeys, ServingFleet)
+BOOST_FIXTURE_TEST_CASE(resumedServerNoLongerOwnsItsKeys, ServingFleet)
 {
     const std::string owner = ownerOf("a1", 0);
     server(owner).stop();
@@ -72,21 +73,21 @@
         return !now.empty() && now != owner;
     }));
     server(owner).resume();
-    BOOST_TEST(failuresFor(1000ms, "a1") == 0);
+    BOOST_TEST(countFailedReadsFor(1000ms, "a1") == 0);
     BOOST_TEST(firstOverlap() == "");
 }
 
-BOOST_FIXTURE_TEST_CASE(keysLiveThroughALostPlanner, ServingFleet)
+BOOST_FIXTURE_TEST_CASE(keysStayServedWhenThePlannerIsLost, ServingFleet)
 {
     const std::string lost = planner();
     BOOST_REQUIRE(!lost.empty());
     daemon(lost).kill();
     const std::string other = lost == "b1" ? "a1" : "b1";
-    BOOST_TEST(failuresFor(7000ms, other) == 0);
+    BOOST_TEST(countFailedReadsFor(7000ms, other) == 0);
     BOOST_TEST(eventually([&] { return !planner().empty(); }));
     startDaemon(lost);
     BOOST_TEST(eventually([&] { return servesKeys(lost); }));
-    // The new planner moves keys.
+    // The new planner must be able to move keys.
     const std::string owner = ownerOf(other, 0);
     writeRecord(owner, "draining");
     BOOST_TEST(eventually([&] {
@@ -96,7 +97,7 @@
     BOOST_TEST(firstOverlap() == "");
 }
 
-BOOST_FIXTURE_TEST_CASE(aFrozenPlannerThatComesBackChangesNothing, ServingFleet)
+BOOST_FIXTURE_TEST_CASE(resumedPlannerDoesNotDisturbItsSuccessor, ServingFleet)
 {
     const std::string frozen = planner();
     const std::string other = frozen == "b1" ? "a1" : "b1";
@@ -115,7 +116,7 @@
         return !now.empty() && now != owner;
     }));
     daemon(frozen).resume();
-    BOOST_TEST(failuresFor(3000ms, other) == 0);
+    BOOST_TEST(countFailedReadsFor(3000ms, other) == 0);
     BOOST_TEST(eventually([&] { return servesKeys(frozen); }));
     BOOST_TEST(firstOverlap() == "");
 }
@@ -132,13 +133,13 @@
 BOOST_FIXTURE_TEST_CASE(keysLiveWhileTheStoreTurnsAHostAway, ServingFleet)
 {
     setStoreFault("a1", "many");
-    BOOST_TEST(failuresFor(6000ms, "b1") == 0);
-    BOOST_TEST(failuresFor(1000ms, "a1") == 0);
+    BOOST_TEST(countFailedReadsFor(6000ms, "b1") == 0);
+    BOOST_TEST(countFailedReadsFor(1000ms, "a1") == 0);
     setStoreFault("a1", "ok");
     BOOST_TEST(eventually([&] { return servesKeys("a1"); }));
 }
 
-BOOST_FIXTURE_TEST_CASE(aMoveIsCarriedOutThoughAnswersOfTheStoreAreLost, ServingFleet)
+BOOST_FIXTURE_TEST_CASE(handoverCompletesAlthoughStoreAnswersAreLost, ServingFleet)
 {
     for (const auto &[lose, delay] : {std::pair{3, 0}, std::pair{0, 3}}) {
         const std::string owner = ownerOf("a1", 0);
@@ -155,20 +156,20 @@
     BOOST_TEST(firstOverlap() == "");
 }
 
-BOOST_FIXTURE_TEST_CASE(ordersThatAreCarriedOutLateChangeNoOwner, ServingFleet)
+BOOST_FIXTURE_TEST_CASE(delayedGrantsAndReleasesDoNotChangeTheOwner, ServingFleet)
 {
     const std::string owner = ownerOf("a1", 0);
-    // Its release and renewals on the way get no answer, and come to effect after the move.
+    // Its release and the renewals in flight get no answer and take effect after the handover.
     delayOrders(owner, 12, 4000ms);
     writeRecord(owner, "draining");
     BOOST_TEST(eventually([&] {
         const std::string now = ownerOf("b1", 0);
         return !now.empty() && now != owner;
     }));
-    // Up to when the last of the late orders has been carried out, and its hold is over.
+    // By then the last delayed grant has been executed and its hold is over.
     const auto end = std::chrono::steady_clock::now() + 8s;
     while (std::chrono::steady_clock::now() < end)
-        BOOST_TEST(failuresFor(500ms, "a1") == 0);
+        BOOST_TEST(countFailedReadsFor(500ms, "a1") == 0);
     BOOST_TEST(ownerOf("a1", 0) != owner);
     BOOST_TEST(firstOverlap() == "");
 }
--- a/tests/entryfleet/test_entryleaves.cpp
+++ b/tests/entryfleet/test_entryleaves.cpp
@@ -18,8 +18,8 @@
 
 namespace {
 
-/** How long after its word a server may still get requests, where the settings say nothing. */
-constexpr auto bound = 2s;
+/** Default time for which a server may still get requests after it starts draining. */
+constexpr auto drainBound = 2s;
 
 struct LeavingFleet : DomainFleet
 {
@@ -27,19 +27,19 @@
         : DomainFleet({"a1", "a2", "a3", "a4", "a5", "a6"})
     { }
 
-    /** Has \a server, and the owner of key 0, tell that they leave. */
-    void leave(const std::string &server)
+    /** Sets \a server and the owner of key 0 to draining. */
+    void startDraining(const std::string &server)
     {
         owner = ownerOf(hosts.back(), 0);
         writeRecord(server, "draining");
         writeRecord(owner, "draining");
-        told = Clock::now();
+        drainingSince = Clock::now();
     }
 
-    /** Sends requests through all hosts but \a lost until \a span after the word. */
+    /** Sends requests through all hosts except \a lost until \a span after draining started. */
     void sendUntil(std::chrono::milliseconds span, const std::string &lost)
     {
-        for (std::size_t i = 0; Clock::now() < told + span; ++i) {
+        for (std::size_t i = 0; Clock::now() < drainingSince + span; ++i) {
             const std::string &host = hosts[i % hosts.size()];
             if (host == lost)
                 continue;
@@ -48,66 +48,69 @@
         }
     }
 
-    /** \returns how long after the word the last work began at \a server, in seconds. */
-    double lastWorkAt(const std::string &server)
+    /**
+     * \returns the time from the start of draining to the start of the last request at \a server,
+     * in seconds.
+     */
+    double lastRequestStartAt(const std::string &server)
     {
         using std::chrono::duration;
-        const double toldAt = duration<double>(told.time_since_epoch()).count();
+        const double drainingSinceS = duration<double>(drainingSince.time_since_epoch()).count();
         double last = 0.0;
-        for (const EntryRun &run : runs()) {
+        for (const RequestRun &run : runs()) {
             if (run.server == server)
-                last = std::max(last, static_cast<double>(run.startUs) / 1e6 - toldAt);
+                last = std::max(last, static_cast<double>(run.startUs) / 1e6 - drainingSinceS);
         }
         return last;
     }
 
-    /** Checks that no work began at \a server, or the owner of key 0, after the bound. */
-    void requireLeftAlone(const std::string &server)
+    /** Checks that no request started at \a server or the owner of key 0 after drainBound. */
+    void requireNoLateRequests(const std::string &server)
     {
-        const double latest = std::chrono::duration<double>(bound).count();
-        BOOST_TEST(lastWorkAt(server) <= latest);
-        BOOST_TEST(lastWorkAt(owner) <= latest);
+        const double latest = std::chrono::duration<double>(drainBound).count();
+        BOOST_TEST(lastRequestStartAt(server) <= latest);
+        BOOST_TEST(lastRequestStartAt(owner) <= latest);
     }
 
     std::string owner;
-    Clock::time_point told;
+    Clock::time_point drainingSince;
 };
 
 } // namespace
 
-BOOST_FIXTURE_TEST_CASE(aLeavingServerIsLeftInTimeThoughTheReaderLosesTheStoreAndFreezes,
+BOOST_FIXTURE_TEST_CASE(drainingServerGetsNoLateRequestsIfTheReaderLosesTheStoreAndFreezes,
                         LeavingFleet)
 {
     const std::string cut = reader();
-    // The reader has an answer of the store right before it is cut off.
+    // The reader receives an answer of the store right before it is cut off.
     writeConfig({"/added/"});
     std::this_thread::sleep_for(50ms);
     setStoreFault(cut, "silent");
-    leave("p1");
+    startDraining("p1");
     sendUntil(1300ms, cut);
     daemon(cut).stop();
     sendUntil(4500ms, cut);
-    requireLeftAlone("p1");
+    requireNoLateRequests("p1");
     daemon(cut).resume();
 }
 
-BOOST_FIXTURE_TEST_CASE(aLeavingServerIsLeftInTimeThoughTheAnswerToAWaitWasLost, LeavingFleet)
+BOOST_FIXTURE_TEST_CASE(drainingServerGetsNoLateRequestsIfAFeedAnswerIsLost, LeavingFleet)
 {
-    const std::string deaf = reader();
-    // After a change the reader waits anew; the answer to that wait is the one that is lost.
+    const std::string readerHost = reader();
+    // After a change the reader sends a new feed request. The answer to that request is lost.
     writeRecord("p2", "ready");
     std::this_thread::sleep_for(500ms);
-    loseFeedAnswer(deaf, "servers");
+    loseFeedAnswer(readerHost, "servers");
     writeRecord("p2", "ready");
     std::this_thread::sleep_for(500ms);
-    leave("p1");
+    startDraining("p1");
     sendUntil(8s, "");
-    requireLeftAlone("p1");
+    requireNoLateRequests("p1");
 }
 
-BOOST_FIXTURE_TEST_CASE(callersAreServedOnWhatIsKnownWhileTheStoreAnswersNobody, LeavingFleet)
+BOOST_FIXTURE_TEST_CASE(callersAreServedFromKnownStateWhileTheStoreIsSilent, LeavingFleet)
 {
-    // Knowledge that can't be renewed is no reason to serve nobody.
+    // Daemons must continue to serve from known state that cannot be refreshed.
     setStoreFault("*", "silent");
     const auto cutAt = Clock::now();
     int failures = 0;
--- a/tests/entryfleet/test_entryreaders.cpp
+++ b/tests/entryfleet/test_entryreaders.cpp
@@ -20,8 +20,8 @@
 
 struct ReaderFleet : DomainFleet
 {
-    /** Checks that all but \a lost follow a new configuration within two seconds. */
-    void requireFollowed(const std::string &lost)
+    /** Checks that all hosts except \a lost adopt a new configuration within two seconds. */
+    void requireConfigAdopted(const std::string &lost)
     {
         writeConfig({"/added" + std::to_string(configVersion()) + "/"});
         const auto written = Clock::now();
@@ -37,9 +37,9 @@
 
 } // namespace
 
-BOOST_FIXTURE_TEST_CASE(oneDaemonOfADomainReadsForAll, ReaderFleet)
+BOOST_FIXTURE_TEST_CASE(oneDaemonPerDomainReadsTheStore, ReaderFleet)
 {
-    const auto calls = callsWithin(8s);
+    const auto calls = storeCallsDuring(8s);
     int readers = 0;
     for (const auto &[host, count] : calls)
         readers += count >= 8 ? 1 : 0;
@@ -47,46 +47,46 @@
     std::uint64_t all = 0;
     for (const auto &[host, count] : calls)
         all += count;
-    // One reader's waits of a second or less, and the writes of the planner's lease.
+    // One reader's feed requests, which wait up to one second, and the writes of the planner lease.
     BOOST_TEST(all <= 32U);
-    requireFollowed("");
+    requireConfigAdopted("");
 }
 
-BOOST_FIXTURE_TEST_CASE(changesAreFollowedInTimeWhileTheReaderIsFrozen, ReaderFleet)
+BOOST_FIXTURE_TEST_CASE(changesApplyInTimeWhileTheReaderIsFrozen, ReaderFleet)
 {
     const std::string frozen = reader();
     daemon(frozen).stop();
-    requireFollowed(frozen);
+    requireConfigAdopted(frozen);
     daemon(frozen).resume();
-    requireFollowed("");
+    requireConfigAdopted("");
 }
 
-BOOST_FIXTURE_TEST_CASE(changesAreFollowedInTimeWhileTheReaderReachesNoStore, ReaderFleet)
+BOOST_FIXTURE_TEST_CASE(changesApplyInTimeWhileTheReaderCannotReachTheStore, ReaderFleet)
 {
     for (const std::string mode : {"silent", "busy"}) {
         const std::string cut = reader();
         setStoreFault(cut, mode);
-        requireFollowed(cut);
+        requireConfigAdopted(cut);
         setStoreFault(cut, "ok");
         std::this_thread::sleep_for(3s);
-        requireFollowed("");
+        requireConfigAdopted("");
     }
 }
 
-BOOST_FIXTURE_TEST_CASE(anotherReadsOnceTheReaderIsLost, ReaderFleet)
+BOOST_FIXTURE_TEST_CASE(anotherDaemonReadsOnceTheReaderIsLost, ReaderFleet)
 {
     const std::string lost = reader();
     daemon(lost).kill();
-    requireFollowed(lost);
+    requireConfigAdopted(lost);
     std::this_thread::sleep_for(6s);
-    auto calls = callsWithin(6s);
+    auto calls = storeCallsDuring(6s);
     calls.erase(lost);
     const auto [least, most] =
         std::ranges::minmax_element(calls, {}, [](const auto &entry) { return entry.second; });
     BOOST_TEST(most->second > 2 * least->second);
     startDaemon(lost);
     BOOST_TEST(eventually([&] { return servesKeys(lost); }));
-    requireFollowed("");
+    requireConfigAdopted("");
 }
 
 BOOST_FIXTURE_TEST_CASE(daemonsWhoseRowsAreRemovedWriteThemAnewAndFollowOn, ReaderFleet)
@@ -94,13 +94,13 @@
     const std::string reading = reader();
     for (const std::string &host : hosts)
         removeDaemonRow(host);
-    const auto calls = callsWithin(6s);
+    const auto calls = storeCallsDuring(6s);
     for (const auto &[host, count] : calls) {
-        // A call for its row, and some of those that found nobody before them for a moment.
+        // A call to write its row, and some store reads while no other daemon ranks before it.
         if (host != reading)
             BOOST_TEST(count <= 12U, host << " made " << count << " calls");
     }
-    requireFollowed("");
+    requireConfigAdopted("");
     BOOST_TEST(
         eventually([&] { return servesKeys("a1") && servesKeys("a2") && servesKeys("a3"); }));
     constexpr const char *written =
@@ -112,13 +112,13 @@
 BOOST_FIXTURE_TEST_CASE(aServerThatDrainsIsLeftInTimeByThoseWhoFollowTheReader, ReaderFleet)
 {
     writeRecord("p1", "draining");
-    const auto told = Clock::now();
-    std::this_thread::sleep_until(told + 2s);
+    const auto drainingSince = Clock::now();
+    std::this_thread::sleep_until(drainingSince + 2s);
     const std::size_t before = runs().size();
     for (int i = 0; i < 30; ++i)
         BOOST_TEST(send(hosts[i % hosts.size()], "POST", "/pay/x", std::nullopt, "x").status
                    == 200);
-    const std::vector<EntryRun> all = runs();
+    const std::vector<RequestRun> all = runs();
     for (std::size_t i = before; i < all.size(); ++i)
         BOOST_TEST(all[i].server != "p1");
 }
--- a/tests/entryfleet/test_entryrequests.cpp
+++ b/tests/entryfleet/test_entryrequests.cpp
@@ -10,7 +10,7 @@
 using namespace bulrush::test;
 using namespace std::chrono_literals;
 
-BOOST_AUTO_TEST_CASE(aDaemonWithoutConfigurationRefusesAndIsNotReady)
+BOOST_AUTO_TEST_CASE(daemonWithoutConfigurationRejectsRequestsAndIsNotReady)
 {
     EntryFleet fleet{{"a1"}};
     fleet.startDaemons();
@@ -29,7 +29,7 @@
     BOOST_TEST(read.status == 200);
     BOOST_TEST(read.header("X-Bulrushswitch-Response-Stamp").has_value());
     BOOST_TEST(send("a1", "POST", "/pay/x", std::nullopt, "euro=120").status == 200);
-    // Larger than what the daemon reads together with the head.
+    // Larger than the part of the body that the daemon reads together with the header.
     const std::string large(3 << 20, 'x');
     BOOST_TEST(send("b1", "POST", "/upload/x", std::nullopt, large).status == 200);
     BOOST_TEST(send("b1", "GET", "/none/x").status == 404);
@@ -40,10 +40,10 @@
 BOOST_FIXTURE_TEST_CASE(aRequestThatRunsOnceIsNotSentAgainWhenItsAnswerIsLost, PairFleet)
 {
     for (const std::string id : {"p1", "p2"})
-        spoilAnswers(id, "lose", 1);
+        injectAnswerFaults(id, "lose", 1);
     BOOST_TEST(send("a1", "POST", "/pay/x", std::nullopt, "euro=120").status == 502);
     for (const std::string id : {"p1", "p2"})
-        spoilAnswers(id, "cut", 1);
+        injectAnswerFaults(id, "cut", 1);
     BOOST_TEST(send("a1", "POST", "/pay/x", std::nullopt, "euro=120").status == 502);
     BOOST_TEST(repeatedRuns().empty());
 }
@@ -53,10 +53,10 @@
     const std::string owner = ownerOf("a1", 100);
     BOOST_REQUIRE(!owner.empty());
     for (int i = 0; i < 40; ++i)
-        read("a1", 100); // earns the budget of repeats
-    spoilAnswers(owner, "lose", 1);
+        read("a1", 100); // earns retry budget
+    injectAnswerFaults(owner, "lose", 1);
     BOOST_TEST(read("a1", 100).status == 200);
-    spoilAnswers(owner, "cut", 1);
+    injectAnswerFaults(owner, "cut", 1);
     BOOST_TEST(read("a1", 100).status == 200);
     BOOST_TEST(repeatedRuns().size() == 2U);
 }
@@ -67,7 +67,7 @@
     writeConfig({"/new/"});
     BOOST_TEST(eventually([&] { return send("a1", "GET", "/new/x").status == 200; }));
     BOOST_TEST(eventually([&] { return send("b1", "GET", "/new/x").status == 200; }));
-    // The feed misses a change, and its history is dropped.
+    // The daemon misses a change in the feed, and the store deletes its history.
     setStoreFault("a1", "deaf");
     writeConfig({"/new/", "/newer/"});
     BOOST_TEST(eventually([&] { return send("b1", "GET", "/newer/x").status == 200; }));
@@ -86,7 +86,7 @@
     for (int i = 0; i < 20; ++i)
         served += send("a1", "POST", "/pay/x", std::nullopt, "x").status == 200 ? 1 : 0;
     BOOST_TEST(served == 20);
-    const std::vector<EntryRun> all = runs();
+    const std::vector<RequestRun> all = runs();
     for (std::size_t i = before; i < all.size(); ++i)
         BOOST_TEST(all[i].server != "p1");
 }
--- a/tests/entryfleet/test_entryrestarts.cpp
+++ b/tests/entryfleet/test_entryrestarts.cpp
@@ -11,18 +11,18 @@
 using namespace bulrush::test;
 using namespace std::chrono_literals;
 
-BOOST_FIXTURE_TEST_CASE(aServerThatStartsAgainUnderItsIdGetsKeysUnderHigherFencesOnly, RestartFleet)
+BOOST_FIXTURE_TEST_CASE(restartedServerGetsKeysOnlyUnderHigherFences, RestartFleet)
 {
     for (int i = 0; i < 3; ++i) {
         const std::string owner = ownerOf("a1", 0);
         const std::uint64_t before = highestFence(owner);
         const auto startedAt = std::chrono::steady_clock::now();
         restartServer(owner);
-        BOOST_TEST(eventually([&] { return allServe(); }));
-        // Without waiting for a record that lapses, or for the hold of the last grant.
+        BOOST_TEST(eventually([&] { return allHostsServe(); }));
+        // The daemons wait neither for the record to expire nor for the hold of the last grant.
         const auto took = std::chrono::steady_clock::now() - startedAt;
         BOOST_TEST((took < 2900ms), std::chrono::duration<double>(took).count() << " s");
-        // By now renewals would have come from each daemon that still knew the earlier run.
+        // By now each daemon that still granted to the earlier run would have sent a renewal.
         std::this_thread::sleep_for(2s);
         BOOST_TEST(lowestFence(owner) > before);
         BOOST_TEST(firstOverlap() == "");
--- a/tests/entryfleet/test_entryshutdown.cpp
+++ b/tests/entryfleet/test_entryshutdown.cpp
@@ -21,7 +21,7 @@
 
 namespace {
 
-/** Work takes long enough to be in flight while other things happen. */
+/** Service time that keeps requests in flight during the other steps of a test. */
 constexpr int slowMs = 1500;
 
 struct SlowFleet : EntryFleet
@@ -34,10 +34,10 @@
         startServer({"p2", "payments", "b", false, slowMs});
         startServer({"c1", "catalogue", "a", true, 5});
         startDaemons();
-        awaitServing();
+        waitUntilServing();
     }
 
-    /** Sends a payment from a thread and with a client of its own. */
+    /** Sends a payment on its own thread, with its own client. */
     std::future<SyncHttpResult> payInBackground(const std::string &host, const std::string &id,
                                                 int deadlineMs = 4000)
     {
@@ -70,7 +70,8 @@
     std::future<SyncHttpResult> first = payInBackground("a1", "one");
     std::this_thread::sleep_for(200ms);
     ::kill(daemon("a1").pid(), SIGTERM);
-    // Callers that the balancer still sends: up to the notice they are served, later refused.
+    // The load balancer still sends callers: until the end of the notice period they are served,
+    // later they are rejected.
     std::vector<std::future<SyncHttpResult>> others;
     for (int i = 0; i < 10; ++i) {
         others.push_back(payInBackground("a1", "later" + std::to_string(i)));
@@ -84,11 +85,11 @@
         BOOST_TEST(isProper, "request " << i << " got " << result.status);
     }
     BOOST_TEST(daemon("a1").terminate().code.value_or(-1) == 0);
-    for (const EntryRun &run : runs())
+    for (const RequestRun &run : runs())
         BOOST_TEST(run.endUs != std::numeric_limits<std::int64_t>::max(), run.request);
 }
 
-// A connection ends only once the refusal on it is written.
+// The daemon must not close a connection before it has written the rejection.
 BOOST_FIXTURE_TEST_CASE(aConnectionOnWhichARequestIsComingKeepsTheProcessFromEnding, SlowFleet)
 {
     RawConnection caller{callersAddress("a1")};
@@ -98,7 +99,7 @@
         "GET /read/7 HTTP/1.1\r\nHost: shop.example\r\nX-Bulrushswitch-Request-Id: slow\r\n"
         "X-Bulrushswitch-Deadline-Ms: 4000\r\nX-Bulrushswitch-Shard-Key: 7\r\n\r\n";
     caller.send(request.substr(0, request.size() / 2));
-    // By now new requests are refused, and nothing is in flight.
+    // By now new requests are rejected, and no request is in flight.
     std::this_thread::sleep_for(1500ms);
     caller.send(request.substr(request.size() / 2));
     const std::string answer = caller.receiveToEnd();
@@ -114,7 +115,7 @@
                 "X-Bulrushswitch-Request-Id: up\r\nX-Bulrushswitch-Deadline-Ms: 4500\r\n"
                 "Content-Length: "
                 + std::to_string(body.size()) + "\r\n\r\n");
-    // The signal comes in the middle of the body.
+    // The signal arrives in the middle of the body.
     caller.send(std::string_view{body}.substr(0, body.size() / 2));
     std::this_thread::sleep_for(200ms);
     ::kill(daemon("a1").pid(), SIGTERM);
@@ -130,7 +131,7 @@
     BOOST_TEST(repeatedRuns().empty());
 }
 
-BOOST_FIXTURE_TEST_CASE(aKeptConnectionIsServedOnceMoreAfterSigterm, SlowFleet)
+BOOST_FIXTURE_TEST_CASE(keepAliveConnectionIsServedOnceMoreAfterSigterm, SlowFleet)
 {
     RawConnection caller{callersAddress("a1")};
     const auto exchange = [&](const std::string &id) {
@@ -147,7 +148,8 @@
     BOOST_TEST(exchange("before").starts_with("HTTP/1.1 200"));
     ::kill(daemon("a1").pid(), SIGTERM);
     std::this_thread::sleep_for(1s);
-    // It was open and idle; the caller is told on the answer that it ends, not by a close.
+    // The connection was open and idle. The answer announces its end to the caller; it is not
+    // closed without an answer.
     const std::string last = exchange("after");
     BOOST_TEST(last.starts_with("HTTP/1.1 200"));
     BOOST_TEST(last.find("Connection: close") != std::string::npos, last);
@@ -169,7 +171,7 @@
     BOOST_TEST(repeatedRuns().empty());
 }
 
-BOOST_FIXTURE_TEST_CASE(aPlannerThatShutsDownHandsItsLeaseOnAtOnce, SlowFleet)
+BOOST_FIXTURE_TEST_CASE(plannerReleasesItsLeaseAtShutdown, SlowFleet)
 {
     const std::string leaving = planner();
     BOOST_REQUIRE(!leaving.empty());
@@ -178,11 +180,11 @@
     ::kill(daemon(leaving).pid(), SIGTERM);
     BOOST_TEST(eventually(
         [&] { return page(other, "/status").find("planner: yes") != std::string::npos; }));
-    // Far below the time after which the lease of a lost planner is taken over.
+    // Much shorter than the time after which another daemon takes over the lease of a lost planner.
     BOOST_TEST((std::chrono::steady_clock::now() - start < 2500ms));
 }
 
-BOOST_FIXTURE_TEST_CASE(aCallerThatLeavesEndsTheWork, SlowFleet)
+BOOST_FIXTURE_TEST_CASE(disconnectOfTheCallerCancelsTheRequest, SlowFleet)
 {
     SyncHttpRequest request;
     request.method = "GET";
@@ -205,7 +207,7 @@
     BOOST_TEST((std::chrono::steady_clock::now() - start < 1200ms));
 }
 
-BOOST_FIXTURE_TEST_CASE(aServerIsNeverHandedMoreThanItCanQueue, SlowFleet)
+BOOST_FIXTURE_TEST_CASE(serverGetsNoMoreRequestsThanItCanQueue, SlowFleet)
 {
     startServer({"p3", "payments", "a", false, 300, 1, true});
     writeRecord("p1", "draining");
@@ -223,7 +225,7 @@
             result.status == 200 || result.status == 503 || result.status == 504;
         BOOST_TEST(isAnswered, "got " << result.status);
     }
-    // One slot of 300 ms for 2.5 s.
+    // One slot with 300 ms per request, for 2.5 s.
     BOOST_TEST(served >= 5);
     BOOST_TEST(repeatedRuns().empty());
 }
