--- a/src/libbulrushio/process/leasecodec.cpp
+++ b/src/libbulrushio/process/leasecodec.cpp
@@ -61,7 +61,7 @@
     return json;
 }
 
-/** Reads each entry of the list \a name by \a read, which takes a reader of it. */
+/** Decodes each element of the list \a name with \a read, which gets a reader of the element. */
 template<typename Read>
 auto decodeList(JsonReader &reader, const char *name, Read read)
 {
--- a/src/libbulrushio/process/peermessagecodec.cpp
+++ b/src/libbulrushio/process/peermessagecodec.cpp
@@ -10,8 +10,11 @@
 
 namespace {
 
-/** What was sure longer ago than this is sent, and read, as never having been sure. */
-constexpr Duration longestAge = std::chrono::hours{24 * 30};
+/**
+ * Maximum value of Summary::age. A greater age is sent as if the sender's contracts had never been
+ * current, and a received age beyond this limit is rejected.
+ */
+constexpr Duration maxSummaryAge = std::chrono::hours{24 * 30};
 
 class PeerMessageCategory : public std::error_category
 {
@@ -35,7 +38,7 @@
     }
 };
 
-/** Thrown within this file only; decodePeerMessage() turns it into an error code. */
+/** Thrown only within this file. decodePeerMessage() converts it to an error code. */
 class DecodeFailure : public std::exception
 {
 public:
@@ -87,7 +90,7 @@
     return Json::Value(static_cast<Json::UInt64>(number));
 }
 
-// Records are arrays, not objects: they are most of what is sent.
+// Member records are encoded as arrays, not as objects, because they are most of the traffic.
 
 Json::Value encode(const MemberRecord &record)
 {
@@ -219,7 +222,7 @@
     Json::Value holds(Json::arrayValue);
     holds.append(numberValue(summary.members));
     holds.append(numberValue(summary.items));
-    if (summary.age && *summary.age <= longestAge)
+    if (summary.age && *summary.age <= maxSummaryAge)
         holds.append(numberValue(static_cast<std::uint64_t>(summary.age->count())));
     value["holds"] = holds;
 }
@@ -231,13 +234,13 @@
     Summary summary{numberOf(holds[0]), numberOf(holds[1]), std::nullopt};
     if (holds.size() == 3) {
         const std::uint64_t age = numberOf(holds[2]);
-        require(age <= static_cast<std::uint64_t>(longestAge.count()));
+        require(age <= static_cast<std::uint64_t>(maxSummaryAge.count()));
         summary.age = Duration{static_cast<Duration::rep>(age)};
     }
     return summary;
 }
 
-/** Writes the fields of each kind of message. */
+/** Encodes the fields of each kind of message. */
 struct BodyEncoder
 {
     Json::Value &value;
--- a/src/libbulrushio/process/peermessagecodec.h
+++ b/src/libbulrushio/process/peermessagecodec.h
@@ -9,25 +9,25 @@
 namespace bulrush::io {
 
 /**
- * What can be wrong with a message of another daemon.
+ * Reason why a message of another daemon is invalid.
  */
 enum class PeerMessageError {
-    NotJson = 1, /**< It is no JSON. */
-    UnknownKind, /**< Its kind is not one that this daemon knows. */
-    WrongField,  /**< A field is missing, of the wrong type or out of its range. */
+    NotJson = 1, /**< The message is not JSON. */
+    UnknownKind, /**< The kind of the message is not supported. */
+    WrongField,  /**< A field is missing, of the wrong type or out of range. */
 };
 
 const std::error_category &peerMessageCategory();
 std::error_code make_error_code(PeerMessageError error);
 
 /**
- * Writes \a message as a line of JSON without spaces. Thread safe.
+ * \returns \a message encoded as one line of JSON without spaces. Thread safe.
  */
 std::string encodePeerMessage(const PeerMessage &message);
 
 /**
- * Reads what encodePeerMessage() wrote into \a message, which is left unspecified on an error.
- * Thread safe.
+ * Decodes the output of encodePeerMessage() into \a message, whose content is unspecified after an
+ * error. Thread safe.
  */
 std::error_code decodePeerMessage(std::string_view text, PeerMessage &message);
 
--- a/src/libbulrushio/process/platformclient.cpp
+++ b/src/libbulrushio/process/platformclient.cpp
@@ -11,7 +11,7 @@
 constexpr int statusCreated = 201;
 constexpr std::string_view objectsPath = "/objects/";
 
-std::vector<RowId> rowsWrittenBy(const Transaction &transaction)
+std::vector<RowId> writtenRowIds(const Transaction &transaction)
 {
     std::vector<RowId> ids;
     for (const RowWrite &write : transaction.writes)
@@ -19,12 +19,12 @@
     return ids;
 }
 
-std::error_code storeFailureOf(const HttpResult &result)
+std::error_code putObjectError(const HttpResult &result)
 {
     if (!result.error && result.response.status == statusCreated)
         return {};
 
-    const std::error_code failure = failureOf(result);
+    const std::error_code failure = platformErrorOf(result);
     return failure ? failure : PlatformError::BadAnswer;
 }
 
@@ -53,7 +53,7 @@
 PlatformClient::TransferId PlatformClient::settle(const Transaction &transaction,
                                                   const SettleHandler &handler)
 {
-    return read(rowsWrittenBy(transaction), [transaction, handler](RowsResult result) {
+    return read(writtenRowIds(transaction), [transaction, handler](RowsResult result) {
         if (result.error)
             handler(StillUnknown{result.error});
         else
@@ -74,21 +74,21 @@
                                                 const RowsHandler &handler)
 {
     return m_fetch(request("POST", "/table/scan", encodeScan(table, prefix, after, limit)),
-                   [handler](const HttpResult &result) { handler(scannedRowsFrom(result)); });
+                   [handler](const HttpResult &result) { handler(decodeScanResult(result)); });
 }
 
 PlatformClient::TransferId PlatformClient::putObject(std::string_view name, std::string body,
                                                      const ErrorHandler &handler)
 {
     return m_fetch(request("PUT", objectPath(name), std::move(body)),
-                   [handler](const HttpResult &result) { handler(storeFailureOf(result)); });
+                   [handler](const HttpResult &result) { handler(putObjectError(result)); });
 }
 
 PlatformClient::TransferId PlatformClient::getObject(std::string_view name,
                                                      const ObjectHandler &handler)
 {
     return m_fetch(request("GET", objectPath(name), {}), [handler](HttpResult result) {
-        const std::error_code failure = failureOf(result);
+        const std::error_code failure = platformErrorOf(result);
         handler({failure, failure ? std::string{} : std::move(result.response.body)});
     });
 }
--- a/src/libbulrushio/process/platformclient.h
+++ b/src/libbulrushio/process/platformclient.h
@@ -13,16 +13,16 @@
 
 namespace bulrush::io {
 
-/** Where the platform is, and how long its answers are awaited. */
+/** Address of the platform, and the timeout of calls to it. */
 struct PlatformAccess
 {
-    /** Such as `http://10.0.0.1:8000`, without a slash at the end. */
+    /** Base URL without a trailing slash, such as `http://10.0.0.1:8000`. */
     std::string baseUrl;
-    /** For each call. */
+    /** Timeout of each call. */
     Duration timeout = std::chrono::seconds{1};
 };
 
-/** An object's content; it counts only if \a error is clear. */
+/** Content of an object. \a body is valid only if \a error is clear. */
 struct ObjectResult
 {
     std::error_code error;
@@ -32,17 +32,18 @@
 /**
  * Asynchronous client of the platform: its table, its objects and its list of hosts.
  *
- * A lost answer is never taken for a failure or a success: a transaction is sent once for each
- * call, on a connection of its own, and ends as Unknown wherever its effect is not certain. Errors
- * are of platformCategory().
+ * A lost answer is treated neither as a failure nor as a success: each call sends a transaction
+ * once, on a new connection, and its outcome is Unknown if its effect is not certain. Errors are of
+ * platformCategory().
  *
- * All methods are called on the loop's thread, where each handler runs once, never from within the
- * call, unless its transfer is cancelled with the HttpClient. Handlers may outlive this object.
+ * All methods must be called on the loop's thread. Each handler runs once on that thread, never
+ * from within the call, unless its transfer is cancelled through the HttpClient. Handlers may
+ * outlive this object.
  */
 class PlatformClient
 {
 public:
-    /** What sends a request: HttpClient::fetch(), or a test's own. */
+    /** Sends a request: HttpClient::fetch(), or a replacement in tests. */
     using Fetch = std::function<HttpClient::TransferId(HttpRequest, HttpClient::Handler)>;
 
     using TransactHandler = std::function<void(TransactOutcome)>;
@@ -59,36 +60,36 @@
 
     /**
      * Sends \a transaction once.
-     * \pre values to write are objects or null; no row is written twice
+     * \pre each value to write is an object or null, and no row is written twice
      */
     TransferId transact(const Transaction &transaction, const TransactHandler &handler);
 
     /**
-     * Reads the rows that \a transaction writes, and tells from them what became of it after an
-     * Unknown. \pre the transaction writes at least one row under a condition
+     * Reads the rows that \a transaction writes, and determines its effect from them after the
+     * outcome Unknown. \pre the transaction writes at least one row under a condition
      */
     TransferId settle(const Transaction &transaction, const SettleHandler &handler);
 
-    /** Reads rows; they come in the order of \a ids, with version 0 for those that don't exist. */
+    /** Reads rows, in the order of \a ids. Rows that do not exist have version 0. */
     TransferId read(std::vector<RowId> ids, const RowsHandler &handler);
 
     /**
      * Reads up to \a limit rows of \a table, sorted by key, whose keys start with \a prefix and
-     * lie after \a after.
+     * sort after \a after.
      */
     TransferId scan(std::string_view table, std::string_view prefix, std::string_view after,
                     std::size_t limit, const RowsHandler &handler);
 
     /**
-     * Stores an object. It may be repeated after an error, since objects are never changed.
-     * \pre \a name is made of letters, digits and any of `-._~/`
+     * Stores an object. The call may be repeated after an error, because objects are immutable.
+     * \pre \a name consists of letters, digits and any of `-._~/`
      */
     TransferId putObject(std::string_view name, std::string body, const ErrorHandler &handler);
 
-    /** Reads an object; NotFound if there is none. \pre as for putObject() */
+    /** Reads an object. The error is NotFound if it does not exist. \pre as for putObject() */
     TransferId getObject(std::string_view name, const ObjectHandler &handler);
 
-    /** Reads the list of hosts. */
+    /** Reads the platform's list of hosts. */
     TransferId hosts(const HostsHandler &handler);
 
 private:
@@ -98,7 +99,7 @@
     PlatformAccess m_access;
 };
 
-// Inline, so that a test that brings its own Fetch needs no HTTP library.
+// Inline, so that a test with its own Fetch does not need to link an HTTP library.
 inline PlatformClient::PlatformClient(HttpClient &client, PlatformAccess access)
     : PlatformClient(
         [&client](HttpRequest request, HttpClient::Handler handler) {
--- a/src/libbulrushio/process/platformerror.h
+++ b/src/libbulrushio/process/platformerror.h
@@ -4,17 +4,17 @@
 
 namespace bulrush::io {
 
-/** Why a call of the platform did not bring what was asked for. */
+/** Reason why a call to the platform failed. */
 enum class PlatformError {
-    NotReached = 1, ///< no byte of the call was sent: it had no effect
-    ConnectionLost, ///< the exchange broke off after it began
-    TimedOut,       ///< no whole answer in time
-    Unavailable,    ///< the platform says that it could not serve the call
-    Rejected,       ///< the platform did not understand the call: it had no effect
-    NotFound,       ///< no object of that name
-    NotChangeable,  ///< another object of that name exists
-    BadAnswer,      ///< the answer is not one that the interface allows
-    AlreadyApplied, ///< an earlier sending of the same transaction has taken effect
+    NotReached = 1, ///< no byte of the call was sent, so it had no effect
+    ConnectionLost, ///< the connection broke after the call was started
+    TimedOut,       ///< no complete answer within the timeout
+    Unavailable,    ///< the platform answered that it could not serve the call
+    Rejected,       ///< the platform rejected the call as malformed, so it had no effect
+    NotFound,       ///< there is no object of that name
+    NotChangeable,  ///< a different object of that name exists
+    BadAnswer,      ///< the answer violates the interface
+    AlreadyApplied, ///< an earlier attempt of the same transaction took effect
     RowsUnchanged,  ///< the rows are as before the transaction, which may still take effect
 };
 
--- a/src/libbulrushio/process/platformhosts.cpp
+++ b/src/libbulrushio/process/platformhosts.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-std::optional<ListedHost::Kind> kindFrom(std::string_view name)
+std::optional<ListedHost::Kind> decodeKind(std::string_view name)
 {
     if (name == "entry")
         return ListedHost::Kind::Entry;
@@ -21,7 +21,7 @@
     return std::nullopt;
 }
 
-std::optional<ListedHost::State> stateFrom(std::string_view name)
+std::optional<ListedHost::State> decodeState(std::string_view name)
 {
     if (name == "live")
         return ListedHost::State::Live;
@@ -31,11 +31,11 @@
     return std::nullopt;
 }
 
-std::optional<ListedHost> hostFrom(const Json::Value &json)
+std::optional<ListedHost> decodeHost(const Json::Value &json)
 {
     JsonReader reader{json};
-    const auto kind = kindFrom(reader.text("kind"));
-    const auto state = stateFrom(reader.text("state"));
+    const auto kind = decodeKind(reader.text("kind"));
+    const auto state = decodeState(reader.text("state"));
     ListedHost host;
     host.name = reader.text("name");
     host.domain = reader.text("domain");
@@ -53,7 +53,7 @@
 HostsResult hostsFrom(const HttpResult &result)
 {
     HostsResult hosts;
-    hosts.error = failureOf(result);
+    hosts.error = platformErrorOf(result);
     if (hosts.error)
         return hosts;
 
@@ -61,7 +61,7 @@
     JsonReader reader{body};
     hosts.age = std::chrono::milliseconds{reader.number("ageMs")};
     for (const Json::Value &entry : reader.list("hosts")) {
-        if (auto host = hostFrom(entry))
+        if (auto host = decodeHost(entry))
             hosts.hosts.push_back(*std::move(host));
         else
             ++hosts.ignoredCount;
--- a/src/libbulrushio/process/platformhosts.h
+++ b/src/libbulrushio/process/platformhosts.h
@@ -9,7 +9,7 @@
 
 namespace bulrush::io {
 
-/** A host as the platform lists it. */
+/** A host in the platform's list of hosts. */
 struct ListedHost
 {
     enum class Kind { Entry, Server };
@@ -25,19 +25,19 @@
 };
 
 /**
- * The platform's list of hosts, which lags behind the truth. It counts only if \a error is clear.
+ * The platform's list of hosts, which may be outdated. The list is valid only if \a error is clear.
  */
 struct HostsResult
 {
     std::error_code error;
-    /** How old the list says that it is. */
+    /** Age of the list as stated by the platform. */
     Duration age{};
     std::vector<ListedHost> hosts;
-    /** Entries of a kind or a state that is not known here, which were left out. */
+    /** Number of skipped entries, which are invalid or of an unknown kind or state. */
     std::size_t ignoredCount = 0;
 };
 
-/** \returns the list in an answer to `GET /hosts`. Thread safe. */
+/** \returns the list of hosts in an answer to `GET /hosts`. Thread safe. */
 HostsResult hostsFrom(const HttpResult &result);
 
 } // namespace bulrush::io
--- a/src/libbulrushio/process/platformtable.cpp
+++ b/src/libbulrushio/process/platformtable.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr const char *markName = "lastWrite";
+constexpr const char *markMember = "lastWrite";
 
 Json::Value markOf(const Transaction &transaction)
 {
@@ -19,18 +19,18 @@
     return mark;
 }
 
-/** What one row tells of a transaction that is not its last writer. */
-enum class RowEvidence { None, OtherWroteFirst, MovedOn };
+/** What a row shows about a transaction that did not write it last. */
+enum class RowEvidence { None, OtherWroteFirst, OverwrittenRepeatedly };
 
 RowEvidence evidenceOf(const TableRow &row, std::uint64_t expected)
 {
     if (row.version == expected)
         return RowEvidence::None;
-    // One write only leads to the next version, and it was another's.
+    // Exactly one write led to this version, and another transaction made it.
     if (row.version == expected + 1)
         return RowEvidence::OtherWroteFirst;
 
-    return RowEvidence::MovedOn;
+    return RowEvidence::OverwrittenRepeatedly;
 }
 
 const TableRow *rowAt(const std::vector<TableRow> &rows, const RowId &id)
@@ -46,15 +46,15 @@
         const TableRow *row = rowAt(rows, write.id);
         const auto condition =
             std::ranges::find(transaction.conditions, write.id, &RowCondition::id);
-        // A value that carries no mark can't be told from another's.
-        const bool isTelling = write.value.isObject() || write.value.isNull();
-        if (row == nullptr || condition == transaction.conditions.end() || !isTelling)
+        // A value without a mark cannot be distinguished from one written by another transaction.
+        const bool isIdentifiable = write.value.isObject() || write.value.isNull();
+        if (row == nullptr || condition == transaction.conditions.end() || !isIdentifiable)
             continue;
 
         const RowEvidence evidence = evidenceOf(*row, condition->version);
         if (evidence == RowEvidence::OtherWroteFirst)
             return evidence;
-        if (evidence == RowEvidence::MovedOn)
+        if (evidence == RowEvidence::OverwrittenRepeatedly)
             strongest = evidence;
     }
     return strongest;
@@ -65,7 +65,7 @@
 Json::Value markedValue(Json::Value value, const Transaction &transaction)
 {
     if (value.isObject())
-        value[markName] = markOf(transaction);
+        value[markMember] = markOf(transaction);
     return value;
 }
 
@@ -74,23 +74,23 @@
     if (row.version == 0 || !row.value.isObject())
         return false;
 
-    return row.value[markName] == markOf(transaction);
+    return row.value[markMember] == markOf(transaction);
 }
 
 Settlement settlementFrom(const Transaction &transaction, std::vector<TableRow> rows)
 {
-    const auto isMine = [&transaction](const TableRow &row) {
+    const auto isWrittenByTransaction = [&transaction](const TableRow &row) {
         return isWrittenBy(row, transaction);
     };
-    // All writes took effect together, so that one that did is enough.
-    if (std::ranges::any_of(rows, isMine))
+    // All writes take effect atomically, so one written row proves that all took effect.
+    if (std::ranges::any_of(rows, isWrittenByTransaction))
         return SettledMine{std::move(rows)};
 
     switch (evidenceOf(transaction, rows)) {
     case RowEvidence::OtherWroteFirst:
         return SettledOther{std::move(rows)};
-    case RowEvidence::MovedOn:
-        return SettledOverwritten{std::move(rows)};
+    case RowEvidence::OverwrittenRepeatedly:
+        return SettledUndecidable{std::move(rows)};
     case RowEvidence::None:
         break;
     }
--- a/src/libbulrushio/process/platformtable.h
+++ b/src/libbulrushio/process/platformtable.h
@@ -13,10 +13,10 @@
 
 namespace bulrush::io {
 
-/** Names one transaction; each sending of it carries the same one. */
+/** Identifies a transaction. All attempts to send a transaction have the same id. */
 using TransactionId = Identifier<struct TransactionIdTag>;
 
-/** Where a row of the platform's table stands. */
+/** Identifies a row of the platform's table. */
 struct RowId
 {
     std::string table;
@@ -25,7 +25,7 @@
     auto operator<=>(const RowId &) const = default;
 };
 
-/** A row as it was read: version 0 and null where there is none. */
+/** A row as read. A row that does not exist has version 0 and a null value. */
 struct TableRow
 {
     RowId id;
@@ -33,7 +33,7 @@
     Json::Value value;
 };
 
-/** The version that a row must have; 0 means that it must not exist. */
+/** The version that a row must have. 0 means that the row must not exist. */
 struct RowCondition
 {
     RowId id;
@@ -41,8 +41,8 @@
 };
 
 /**
- * A new value for a row: an object, or null, which deletes it. An object is sent with a member
- * that names the transaction (see isWrittenBy()), in place of the one that it may have.
+ * A new value for a row: an object, or null to delete the row. An object is sent with a member that
+ * identifies the transaction (see isWrittenBy()) and replaces an existing member of that name.
  */
 struct RowWrite
 {
@@ -51,43 +51,44 @@
 };
 
 /**
- * Conditions and writes that take effect together or not at all.
+ * Conditions and writes that take effect atomically.
  */
 struct Transaction
 {
     TransactionId id;
     Incarnation writer;
     std::vector<RowCondition> conditions;
-    /** Each row at most once. */
+    /** Contains each row at most once. */
     std::vector<RowWrite> writes;
 };
 
-// Outcomes of one sending of a transaction.
+// Outcomes of one attempt to send a transaction.
 
-/** It took effect. */
+/** The transaction took effect. */
 struct Committed
 {
-    /** New versions, in the order of the writes. */
+    /** New row versions, in the order of the writes. */
     std::vector<std::uint64_t> versions;
 };
 
 /**
- * This sending had no effect and will have none, for the rows were not as its conditions say.
- * After an Unknown it says nothing of the sending before, unless settled.
+ * This attempt had no effect and will have none, because a condition failed. After an attempt with
+ * the outcome Unknown, it does not tell whether that earlier attempt took effect; settlementFrom()
+ * does.
  */
 struct Conflict
 {
-    /** The rows whose conditions failed, as they are. */
+    /** Current content of the rows whose conditions failed. */
     std::vector<TableRow> rows;
 };
 
-/** This sending had no effect and will have none. */
+/** This attempt had no effect and will have none. */
 struct Refused
 {
     std::error_code error;
 };
 
-/** It may have taken effect, or may do so yet: to be settled. */
+/** The attempt may have taken effect or may still take effect; settlementFrom() decides. */
 struct Unknown
 {
     std::error_code error;
@@ -95,51 +96,51 @@
 
 using TransactOutcome = std::variant<Committed, Conflict, Refused, Unknown>;
 
-// What the rows tell of a transaction whose outcome was unknown.
+// Results of reading the rows of a transaction whose outcome was Unknown.
 
-/** The transaction took effect: at least one row still stands as it wrote it. */
+/** The transaction took effect: at least one row still has the value that it wrote. */
 struct SettledMine
 {
     std::vector<TableRow> rows;
 };
 
-/** Another wrote first, so that the transaction had no effect and can have none. */
+/** Another transaction wrote first, so this one had no effect and cannot take effect any more. */
 struct SettledOther
 {
     std::vector<TableRow> rows;
 };
 
 /**
- * The rows have been written so often, or deleted, that they no longer tell whether the transaction
- * took effect before. It can have no effect any more.
+ * The rows were deleted or overwritten repeatedly, so they do not show whether the transaction took
+ * effect before. It cannot take effect any more.
  */
-struct SettledOverwritten
+struct SettledUndecidable
 {
     std::vector<TableRow> rows;
 };
 
-/** Nothing is known yet; the transaction may still take effect. */
+/** The rows do not decide the outcome yet. The transaction may still take effect. */
 struct StillUnknown
 {
     std::error_code error;
 };
 
 /**
- * Of a transaction that creates rows (condition version 0), "can have no effect any more" holds
- * until the rows are deleted: whoever deletes rows that may be created again must know that no
- * creation is still under way.
+ * For a transaction that creates rows (condition version 0), "cannot take effect any more" holds
+ * only until the rows are deleted. Code that deletes rows that may be created again must ensure
+ * that no creation is in flight.
  */
-using Settlement = std::variant<SettledMine, SettledOther, SettledOverwritten, StillUnknown>;
+using Settlement = std::variant<SettledMine, SettledOther, SettledUndecidable, StillUnknown>;
 
-/** \returns \a value with the mark of \a transaction, if it is an object. Thread safe. */
+/** \returns \a value with the mark of \a transaction added if it is an object. Thread safe. */
 Json::Value markedValue(Json::Value value, const Transaction &transaction);
 
-/** \returns whether \a row stands as \a transaction wrote it. Thread safe. */
+/** \returns whether \a transaction was the last to write \a row. Thread safe. */
 bool isWrittenBy(const TableRow &row, const Transaction &transaction);
 
 /**
- * \returns what \a rows, read after \a transaction was sent, tell of it. Only rows that it writes
- * under a condition count. Thread safe.
+ * \returns the effect of \a transaction, derived from \a rows, which were read after it was sent.
+ * Only rows that it writes under a condition are considered. Thread safe.
  */
 Settlement settlementFrom(const Transaction &transaction, std::vector<TableRow> rows);
 
--- a/src/libbulrushio/process/platformtablecodec.cpp
+++ b/src/libbulrushio/process/platformtablecodec.cpp
@@ -16,7 +16,7 @@
 constexpr int statusBadRequest = 400;
 constexpr int statusNotFound = 404;
 constexpr int statusConflict = 409;
-constexpr int lowestServerFailure = 500;
+constexpr int minServerErrorStatus = 500;
 
 Json::Value encodeRowId(const RowId &id)
 {
@@ -54,7 +54,7 @@
     return rows;
 }
 
-TransactOutcome committedFrom(const Transaction &transaction, const Json::Value &body)
+TransactOutcome decodeCommitted(const Transaction &transaction, const Json::Value &body)
 {
     JsonReader reader{body};
     const bool isCommitted = reader.flag("committed");
@@ -72,7 +72,7 @@
     return committed;
 }
 
-TransactOutcome conflictFrom(const Transaction &transaction, const Json::Value &body)
+TransactOutcome decodeConflict(const Transaction &transaction, const Json::Value &body)
 {
     JsonReader reader{body};
     const bool isCommitted = reader.flag("committed");
@@ -80,16 +80,16 @@
     if (!reader.isGood() || isCommitted || !rows || rows->empty())
         return Unknown{PlatformError::BadAnswer};
 
-    const auto isOwn = [&transaction](const TableRow &row) {
+    const auto isWrittenByTransaction = [&transaction](const TableRow &row) {
         return isWrittenBy(row, transaction);
     };
-    if (std::ranges::any_of(*rows, isOwn))
+    if (std::ranges::any_of(*rows, isWrittenByTransaction))
         return Unknown{PlatformError::AlreadyApplied};
 
     return Conflict{*std::move(rows)};
 }
 
-std::error_code transportFailureOf(const HttpResult &result)
+std::error_code transportErrorOf(const HttpResult &result)
 {
     if (result.stage == TransferStage::NotConnected)
         return PlatformError::NotReached;
@@ -146,35 +146,35 @@
 TransactOutcome transactOutcomeFrom(const Transaction &transaction, const HttpResult &result)
 {
     if (result.error) {
-        const std::error_code failure = transportFailureOf(result);
+        const std::error_code failure = transportErrorOf(result);
         if (failure == PlatformError::NotReached)
             return Refused{failure};
         return Unknown{failure};
     }
     switch (result.response.status) {
     case statusOk:
-        return committedFrom(transaction, parsedJson(result.response.body));
+        return decodeCommitted(transaction, parsedJson(result.response.body));
     case statusConflict:
-        return conflictFrom(transaction, parsedJson(result.response.body));
+        return decodeConflict(transaction, parsedJson(result.response.body));
     case statusBadRequest:
         return Refused{PlatformError::Rejected};
     default:
-        return Unknown{failureOf(result)};
+        return Unknown{platformErrorOf(result)};
     }
 }
 
 RowsResult readRowsFrom(std::span<const RowId> ids, const HttpResult &result)
 {
-    RowsResult read = scannedRowsFrom(result);
+    RowsResult read = decodeScanResult(result);
     if (!read.error && !std::ranges::equal(read.rows, ids, {}, &TableRow::id))
         return {PlatformError::BadAnswer, {}};
 
     return read;
 }
 
-RowsResult scannedRowsFrom(const HttpResult &result)
+RowsResult decodeScanResult(const HttpResult &result)
 {
-    if (const std::error_code failure = failureOf(result))
+    if (const std::error_code failure = platformErrorOf(result))
         return {failure, {}};
 
     const Json::Value body = parsedJson(result.response.body);
@@ -185,10 +185,10 @@
     return {{}, *std::move(rows)};
 }
 
-std::error_code failureOf(const HttpResult &result)
+std::error_code platformErrorOf(const HttpResult &result)
 {
     if (result.error)
-        return transportFailureOf(result);
+        return transportErrorOf(result);
 
     const int status = result.response.status;
     if (status == statusOk)
@@ -199,7 +199,7 @@
         return PlatformError::NotFound;
     if (status == statusConflict)
         return PlatformError::NotChangeable;
-    if (status >= lowestServerFailure)
+    if (status >= minServerErrorStatus)
         return PlatformError::Unavailable;
 
     return PlatformError::BadAnswer;
--- a/src/libbulrushio/process/platformtablecodec.h
+++ b/src/libbulrushio/process/platformtablecodec.h
@@ -10,14 +10,14 @@
 
 namespace bulrush::io {
 
-/** Rows, or why there are none. \a rows counts only if \a error is clear. */
+/** Result of reading rows. \a rows is valid only if \a error is clear. */
 struct RowsResult
 {
     std::error_code error;
     std::vector<TableRow> rows;
 };
 
-/** \returns the body of `POST /table/transact`, its writes marked. Thread safe. */
+/** \returns the body of `POST /table/transact`, with marked writes. Thread safe. */
 std::string encodeTransaction(const Transaction &transaction);
 
 /** \returns the body of `POST /table/read`. Thread safe. */
@@ -28,18 +28,18 @@
                        std::size_t limit);
 
 /**
- * \returns what the end of an exchange says of a sending of \a transaction: Unknown wherever it
- * is not certain. Thread safe.
+ * \returns the outcome of an attempt to send \a transaction, derived from the HTTP \a result. The
+ * outcome is Unknown if the effect is not certain. Thread safe.
  */
 TransactOutcome transactOutcomeFrom(const Transaction &transaction, const HttpResult &result);
 
-/** \returns the rows of an answer to a read of \a ids, in their order. Thread safe. */
+/** \returns the rows in the answer to a read of \a ids, in the order of \a ids. Thread safe. */
 RowsResult readRowsFrom(std::span<const RowId> ids, const HttpResult &result);
 
-/** \returns the rows of an answer to a scan. Thread safe. */
-RowsResult scannedRowsFrom(const HttpResult &result);
+/** \returns the rows in the answer to a scan. Thread safe. */
+RowsResult decodeScanResult(const HttpResult &result);
 
-/** \returns why an exchange failed, or a clear code if it brought status 200. Thread safe. */
-std::error_code failureOf(const HttpResult &result);
+/** \returns the error of an HTTP exchange, or a clear code if its status is 200. Thread safe. */
+std::error_code platformErrorOf(const HttpResult &result);
 
 } // namespace bulrush::io
--- a/src/libbulrushio/process/scalartype.h
+++ b/src/libbulrushio/process/scalartype.h
@@ -53,7 +53,7 @@
 
 /**
  * A percentage such as 99.9%, parsed to millionths: more than 0% and less than 100%, with at
- * maximum four decimals.
+ * most four decimals.
  */
 ScalarType<std::uint32_t> percentage();
 
--- a/src/libbulrushio/process/sharecodec.cpp
+++ b/src/libbulrushio/process/sharecodec.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-/** \returns the amount \a name, which is finite and not negative. */
-double amountOf(JsonReader &reader, const Json::Value &json, const char *name)
+/** \returns the amount \a name. Marks \a reader as failed unless it is finite and not negative. */
+double readAmount(JsonReader &reader, const Json::Value &json, const char *name)
 {
     const Json::Value amount = json.isObject() ? json[name] : Json::Value{};
     if (!amount.isNumeric() || !std::isfinite(amount.asDouble()) || amount.asDouble() < 0.0) {
@@ -36,9 +36,9 @@
     const Json::Value &json = reader.object(name);
     JsonReader fields{json};
     LimitDemand limit;
-    limit.demand.wanted = amountOf(fields, json, "wanted");
-    limit.demand.inUse = amountOf(fields, json, "inUse");
-    limit.held = amountOf(fields, json, "held");
+    limit.demand.wanted = readAmount(fields, json, "wanted");
+    limit.demand.inUse = readAmount(fields, json, "inUse");
+    limit.held = readAmount(fields, json, "held");
     limit.demand.acknowledged = fields.fence("acknowledged");
     if (!fields.isGood())
         reader.fail();
@@ -60,7 +60,7 @@
     JsonReader fields{json};
     ShareGrant grant;
     grant.sequence = fields.fence("sequence");
-    grant.amount = amountOf(fields, json, "amount");
+    grant.amount = readAmount(fields, json, "amount");
     grant.length = fields.span("lengthNs");
     if (!fields.isGood())
         reader.fail();
--- a/src/libbulrushio/process/stewardcodec.h
+++ b/src/libbulrushio/process/stewardcodec.h
@@ -10,29 +10,29 @@
 
 namespace bulrush::io {
 
-/** \returns \a row as the platform's table keeps it. */
+/** \returns \a row in the JSON format of the platform's table. */
 Json::Value encodeStewardRow(const StewardRow &row);
 
 /** \returns the row in \a json, or nothing if a field is missing or of another type. */
 std::optional<StewardRow> decodeStewardRow(const Json::Value &json);
 
-/** \returns a question for a promise as the parameters of a call. */
+/** \returns a promise request encoded as the parameters of a remote call. */
 Json::Value encodePromiseQuestion(const DomainName &domain, const Incarnation &from,
                                   const AskPromise &question);
 
-/** \returns the question in \a json, or nothing. */
+/** \returns the promise request in \a json, or nothing if it is invalid. */
 std::optional<PromiseAsked> decodePromiseQuestion(const Json::Value &json);
 
-/** \returns an answer as the result of a call. */
+/** \returns \a answer encoded as the result of a remote call. */
 Json::Value encodePromiseAnswer(const PromiseAnswered &answer);
 
-/** \returns the answer in \a json, or nothing. */
+/** \returns the answer in \a json, or nothing if it is invalid. */
 std::optional<PromiseAnswered> decodePromiseAnswer(const Json::Value &json);
 
-/** \returns a release of promises as the parameters of a call. */
+/** \returns a release of promises encoded as the parameters of a remote call. */
 Json::Value encodePromiseRelease(const DomainName &domain, const ReleasePromise &release);
 
-/** \returns the release in \a json, or nothing. */
+/** \returns the release in \a json, or nothing if it is invalid. */
 std::optional<PromiseReleased> decodePromiseRelease(const Json::Value &json);
 
 } // namespace bulrush::io
--- a/src/libbulrushio/process/yamlfields.h
+++ b/src/libbulrushio/process/yamlfields.h
@@ -87,8 +87,7 @@
     };
 
     const Field *find(std::string_view name) const;
-    /** Adds \a name to the known names. Reports the field if it is required but missing, or empty.
-     */
+    /** Adds \a name to the known names. Reports a field that is empty, or missing but required. */
     const Field *lookUp(std::string_view name, Presence presence, std::string_view allowed);
     std::optional<Scalar> scalarOf(const YAML::Node &node, const std::string &file,
                                    std::string path, std::string_view allowed);
--- a/src/libbulrushio/version/burnreport.cpp
+++ b/src/libbulrushio/version/burnreport.cpp
@@ -40,7 +40,7 @@
     }
 };
 
-/** Thrown within this file only; decodeBurnSnapshot() turns it into an error code. */
+/** Thrown only within this file. decodeBurnSnapshot() converts it to an error code. */
 class DecodeFailure : public std::exception
 {
 public:
@@ -92,7 +92,7 @@
     return std::chrono::duration<double>(span).count();
 }
 
-std::string written(const Json::Value &value, const char *indentation)
+std::string serialize(const Json::Value &value, const char *indentation)
 {
     Json::StreamWriterBuilder builder;
     builder["indentation"] = indentation;
@@ -105,7 +105,7 @@
     Json::Value value(Json::objectValue);
     value["organisation"] = series.organisation.value();
     value["operation"] = series.operation.value();
-    // As text with all its digits, so that equal targets are equal again when read.
+    // Text with 17 significant digits, so that equal targets compare equal after decoding.
     value["targetShare"] = fmt::format("{:.17g}", series.target.share);
     value["targetLatencyNs"] =
         numberValue(static_cast<std::uint64_t>(series.target.latency.count()));
@@ -166,7 +166,7 @@
     return value;
 }
 
-std::string_view verdictOf(const BurnRow &row)
+std::string_view stateText(const BurnRow &row)
 {
     if (row.isBurningFast)
         return "FAST";
@@ -201,7 +201,7 @@
     return hours < 1 ? fmt::format("{:.0f} min", hours * 60) : fmt::format("{:.1f} h", hours);
 }
 
-std::string joined(const std::vector<HostName> &hosts)
+std::string joinNames(const std::vector<HostName> &hosts)
 {
     std::string result;
     for (const HostName &host : hosts)
@@ -209,14 +209,14 @@
     return result;
 }
 
-/** What the numbers do not cover, a line each. */
+/** \returns one line for each note on the coverage of the report, such as missing daemons. */
 std::vector<std::string> coverageLines(const BurnReport &report)
 {
     const std::size_t expected = report.reported.size() + report.missing.size();
     std::vector<std::string> lines;
     lines.push_back(fmt::format("From {} of {} daemons.", report.reported.size(), expected));
     if (!report.missing.empty())
-        lines.push_back("Missing, and not counted: " + joined(report.missing) + ".");
+        lines.push_back("Missing, and not counted: " + joinNames(report.missing) + ".");
     if (report.partlyObserved > 0)
         lines.push_back(fmt::format("Counting for less than 3 days: {}, the shortest for {}. What "
                                     "earlier daemons counted there is lost.",
@@ -227,7 +227,7 @@
     return lines;
 }
 
-std::vector<std::string> cellsOf(const BurnRow &row)
+std::vector<std::string> tableCells(const BurnRow &row)
 {
     std::vector<std::string> cells{row.organisation.value(), row.operation.value(),
                                    targetText(row.target) + (row.hasMixedTargets ? " *" : "")};
@@ -236,7 +236,7 @@
     cells.push_back(percentText(row.budgetLeft));
     cells.push_back(latencyText(row.median));
     cells.push_back(latencyText(row.percentile99));
-    cells.emplace_back(verdictOf(row));
+    cells.emplace_back(stateText(row));
     return cells;
 }
 
@@ -248,7 +248,7 @@
     return names;
 }
 
-/** \returns how many characters UTF-8 \a text has. */
+/** \returns the number of characters in the UTF-8 \a text. */
 std::size_t widthOf(std::string_view text)
 {
     const auto isContinuation = [](char byte) {
@@ -342,7 +342,7 @@
     return result;
 }
 
-std::string_view colourOf(const BurnRow &row)
+std::string_view barColour(const BurnRow &row)
 {
     if (row.isBurningFast || row.budgetLeft <= 0)
         return "#b3261e";
@@ -355,7 +355,7 @@
 constexpr int barWidth = 400;
 constexpr int rowHeight = 26;
 
-std::string bar(const BurnRow &row, int top)
+std::string budgetBar(const BurnRow &row, int top)
 {
     const double left = std::clamp(row.budgetLeft, 0.0, 1.0);
     const std::string name =
@@ -365,13 +365,13 @@
     result += fmt::format("<rect x=\"{}\" y=\"{}\" width=\"{}\" height=\"18\" fill=\"#e6e6e6\"/>\n",
                           labelWidth, top + 2, barWidth);
     result += fmt::format("<rect x=\"{}\" y=\"{}\" width=\"{:.1f}\" height=\"18\" fill=\"{}\"/>\n",
-                          labelWidth, top + 2, left * barWidth, colourOf(row));
+                          labelWidth, top + 2, left * barWidth, barColour(row));
     result += fmt::format("<text x=\"{}\" y=\"{}\">{} {}</text>\n", labelWidth + barWidth + 8,
-                          top + 16, percentText(row.budgetLeft), verdictOf(row));
+                          top + 16, percentText(row.budgetLeft), stateText(row));
     return result;
 }
 
-std::string picture(const BurnReport &report)
+std::string budgetChart(const BurnReport &report)
 {
     const int height = rowHeight * static_cast<int>(report.rows.size());
     std::string result =
@@ -381,7 +381,7 @@
                     labelWidth + barWidth + 120, height, labelWidth + barWidth + 120);
     int top = 0;
     for (const BurnRow &row : report.rows) {
-        result += bar(row, top);
+        result += budgetBar(row, top);
         top += rowHeight;
     }
     return result + "</svg>\n";
@@ -424,7 +424,7 @@
     value["series"] = Json::Value(Json::arrayValue);
     for (const BurnSeries &series : snapshot.series)
         value["series"].append(encode(series));
-    return written(value, "");
+    return serialize(value, "");
 }
 
 std::error_code decodeBurnSnapshot(std::string_view text, BurnSnapshot &snapshot)
@@ -451,7 +451,7 @@
 {
     std::vector<std::vector<std::string>> rows{headings()};
     for (const BurnRow &row : report.rows)
-        rows.push_back(cellsOf(row));
+        rows.push_back(tableCells(row));
 
     std::string result = alignedRows(rows) + "\n";
     for (const std::string &line : coverageLines(report))
@@ -469,7 +469,7 @@
     value["missing"] = encodeHosts(report.missing);
     value["partlyObserved"] = numberValue(report.partlyObserved);
     value["shortestObservedSeconds"] = secondsOf(report.shortestObserved);
-    return written(value, "  ") + "\n";
+    return serialize(value, "  ") + "\n";
 }
 
 std::string burnCsv(const BurnReport &report)
@@ -489,7 +489,7 @@
         for (const WindowBurn &window : row.windows)
             result +=
                 fmt::format(",{},{},{:.4f}", window.counted.good, window.counted.bad, window.rate);
-        result += fmt::format(",{:.4f},{},{},{},{},{}\r\n", row.budgetLeft, verdictOf(row),
+        result += fmt::format(",{:.4f},{},{},{},{},{}\r\n", row.budgetLeft, stateText(row),
                               secondsText(row.median), secondsText(row.percentile99),
                               report.reported.size(), report.missing.size());
     }
@@ -505,10 +505,10 @@
                                      style, htmlText(generatedAt));
     for (const std::string &line : coverageLines(report))
         result += "<p>" + htmlText(line) + "</p>\n";
-    result += "<h2>Budget left of 3 days</h2>\n" + picture(report);
+    result += "<h2>Budget left of 3 days</h2>\n" + budgetChart(report);
     result += "<h2>Burn rates</h2>\n<table>\n" + htmlRow(headings(), "th");
     for (const BurnRow &row : report.rows)
-        result += htmlRow(cellsOf(row), "td");
+        result += htmlRow(tableCells(row), "td");
     return result + "</table>\n</body>\n</html>\n";
 }
 
--- a/src/libbulrushio/version/burnreport.h
+++ b/src/libbulrushio/version/burnreport.h
@@ -9,33 +9,34 @@
 namespace bulrush::io {
 
 /**
- * What can be wrong with a daemon's burn counts.
+ * Reason why the burn counts of a daemon are invalid.
  */
 enum class BurnReportError {
-    NotJson = 1,    /**< The text is no JSON object. */
-    UnknownFormat,  /**< It is of a format that this program does not know. */
-    WrongField,     /**< A field is missing, of the wrong type or out of its range. */
-    WrongWindows,   /**< Its windows are not the ones of this program. */
-    WrongHistogram, /**< Its latencies have other bins than this program's. */
+    NotJson = 1,    /**< The text is not a JSON object. */
+    UnknownFormat,  /**< The format version is not supported. */
+    WrongField,     /**< A field is missing, of the wrong type or out of range. */
+    WrongWindows,   /**< The windows differ from those of this program. */
+    WrongHistogram, /**< The latency bins differ from those of this program. */
 };
 
 const std::error_category &burnReportCategory();
 std::error_code make_error_code(BurnReportError error);
 
 /**
- * Writes a daemon's counts as JSON, in the form that merges. Thread safe.
+ * \returns the counts of a daemon as JSON, in a format that can be merged with that of other
+ * daemons. Thread safe.
  */
 std::string encodeBurnSnapshot(const BurnSnapshot &snapshot);
 
 /**
- * Reads what encodeBurnSnapshot() wrote into \a snapshot, which is left unspecified on an error.
- * Thread safe.
+ * Decodes the output of encodeBurnSnapshot() into \a snapshot, whose content is unspecified after
+ * an error. Thread safe.
  */
 std::error_code decodeBurnSnapshot(std::string_view text, BurnSnapshot &snapshot);
 
 /**
- * \returns the report as a table for a terminal, with what needs attention and what is missing
- * below. Thread safe, as are the ones that follow.
+ * \returns the report as a table for a terminal, followed by notes on missing and partial data.
+ * Thread safe, like the functions below.
  */
 std::string burnTable(const BurnReport &report);
 
@@ -45,13 +46,13 @@
 std::string burnJson(const BurnReport &report);
 
 /**
- * \returns the report as comma-separated values (RFC 4180): a header line, and a line for each row.
+ * \returns the report as comma-separated values (RFC 4180): a header line and one line per row.
  */
 std::string burnCsv(const BurnReport &report);
 
 /**
- * \returns the report as an HTML page that needs no other file, with a picture of the budgets left.
- * \param generatedAt when the report was made, as text for its reader.
+ * \returns the report as a self-contained HTML page with a chart of the remaining budgets.
+ * \param generatedAt time of the report, as text for display
  */
 std::string burnHtml(const BurnReport &report, std::string_view generatedAt);
 
--- a/src/libbulrushio/version/contractreader.cpp
+++ b/src/libbulrushio/version/contractreader.cpp
@@ -12,10 +12,10 @@
 
 using namespace std::chrono_literals;
 
-constexpr std::size_t mostServices = 64;
-constexpr std::size_t mostOperations = 256;
-constexpr std::uint64_t mostVersions = std::numeric_limits<std::int64_t>::max();
-constexpr std::uint64_t mostBodyBytes = std::uint64_t{16} << 30;
+constexpr std::size_t maxServices = 64;
+constexpr std::size_t maxOperations = 256;
+constexpr std::uint64_t maxVersion = std::numeric_limits<std::int64_t>::max();
+constexpr std::uint64_t maxBodyLimit = std::uint64_t{16} << 30;
 
 const ScalarType<PathPattern> pathPattern{
     PathPattern::parse,
@@ -29,8 +29,8 @@
 
 const ScalarType<std::string> headerName{
     [](std::string_view text) -> std::optional<std::string> {
-        constexpr std::size_t longest = 64;
-        if (text.empty() || text.size() > longest)
+        constexpr std::size_t maxLength = 64;
+        if (text.empty() || text.size() > maxLength)
             return std::nullopt;
         if (!std::ranges::all_of(text, isHeaderNameCharacter))
             return std::nullopt;
@@ -53,17 +53,17 @@
 }
 
 /**
- * Reads one contract, field by field.
+ * Parses a contract, field by field.
  */
-class ContractWalk
+class ContractParser
 {
 public:
-    explicit ContractWalk(std::string name)
+    explicit ContractParser(std::string name)
         : m_name(std::move(name))
     { }
 
-    ContractReading run(std::string_view text);
-    ContractReading unreadable(std::error_code error);
+    ContractReading parse(std::string_view text);
+    ContractReading unreadableResult(std::error_code error);
 
 private:
     void readAll(YamlFields &fields);
@@ -78,7 +78,7 @@
     Contract m_contract;
 };
 
-ContractReading ContractWalk::run(std::string_view text)
+ContractReading ContractParser::parse(std::string_view text)
 {
     const YamlDocument document = parseYaml(text, m_name, m_report);
     if (document.error)
@@ -94,27 +94,27 @@
     return {{}, std::move(m_contract), {}};
 }
 
-ContractReading ContractWalk::unreadable(std::error_code error)
+ContractReading ContractParser::unreadableResult(std::error_code error)
 {
     m_report.add({m_name, 1}, {}, error.message());
     return {error, {}, m_report.sorted()};
 }
 
-void ContractWalk::readAll(YamlFields &fields)
+void ContractParser::readAll(YamlFields &fields)
 {
     fields.read("organisation", identifier<OrganisationName>(), m_contract.organisation,
                 Presence::Required);
-    fields.read("version", wholeNumber(0, mostVersions), m_contract.version, Presence::Required);
+    fields.read("version", wholeNumber(0, maxVersion), m_contract.version, Presence::Required);
     readLimits(fields);
     readTarget(fields, m_contract.target, Presence::Required);
-    for (YamlFields &service : fields.mappings("services", mostServices, Presence::Required))
+    for (YamlFields &service : fields.mappings("services", maxServices, Presence::Required))
         readService(service);
-    for (YamlFields &operation : fields.mappings("operations", mostOperations, Presence::Required))
+    for (YamlFields &operation : fields.mappings("operations", maxOperations, Presence::Required))
         readOperation(operation);
     fields.finish();
 }
 
-void ContractWalk::readLimits(YamlFields &parent)
+void ContractParser::readLimits(YamlFields &parent)
 {
     auto fields = parent.mapping("limits", Presence::Required);
     if (!fields)
@@ -127,7 +127,7 @@
     fields->finish();
 }
 
-void ContractWalk::readTarget(YamlFields &parent, ServiceLevelTarget &target, Presence presence)
+void ContractParser::readTarget(YamlFields &parent, ServiceLevelTarget &target, Presence presence)
 {
     auto fields = parent.mapping("target", presence);
     if (!fields)
@@ -139,7 +139,7 @@
     fields->finish();
 }
 
-void ContractWalk::readService(YamlFields &fields)
+void ContractParser::readService(YamlFields &fields)
 {
     const auto preference = choice<Preference>(
         {{"imbalance", Preference::Imbalance}, {"availability", Preference::Availability}});
@@ -158,7 +158,7 @@
     fields.finish();
 }
 
-void ContractWalk::readOperation(YamlFields &fields)
+void ContractParser::readOperation(YamlFields &fields)
 {
     const auto operationClass = choice<OperationClass>(
         {{"ordinary", OperationClass::Ordinary}, {"priority", OperationClass::Priority}});
@@ -175,12 +175,12 @@
     fields.read("class", operationClass, operation.operationClass, Presence::Optional);
     fields.read("lossCost", wholeNumber(0, 1000), operation.lossCost, Presence::Optional);
     fields.read("deadline", duration(10ms, 1h), operation.deadline, Presence::Required);
-    fields.read("maxBody", byteCount(0, mostBodyBytes), operation.maxBodyBytes, Presence::Optional);
+    fields.read("maxBody", byteCount(0, maxBodyLimit), operation.maxBodyBytes, Presence::Optional);
     readTarget(fields, operation.target, Presence::Optional);
     fields.finish();
 }
 
-KeySource ContractWalk::readKey(YamlFields &parent, const PathPattern &path)
+KeySource ContractParser::readKey(YamlFields &parent, const PathPattern &path)
 {
     auto fields = parent.mapping("key", Presence::Optional);
     if (!fields)
@@ -213,14 +213,14 @@
 
 ContractReading readContract(std::string_view text, std::string_view name)
 {
-    return ContractWalk{std::string{name}}.run(text);
+    return ContractParser{std::string{name}}.parse(text);
 }
 
 ContractReading readContractFile(std::string_view path)
 {
     const FileText file = readTextFile(path);
     if (file.error)
-        return ContractWalk{std::string{path}}.unreadable(file.error);
+        return ContractParser{std::string{path}}.unreadableResult(file.error);
     return readContract(file.text, path);
 }
 
--- a/src/libbulrushio/version/contractreader.h
+++ b/src/libbulrushio/version/contractreader.h
@@ -8,18 +8,18 @@
 
 namespace bulrush::io {
 
-/** A contract as read. It may be used if, and only if, \a error is clear. */
+/** Result of reading a contract. \a contract is valid only if \a error is clear. */
 struct ContractReading
 {
     std::error_code error;
     Contract contract;
-    /** All that is wrong, by line. */
+    /** All problems found, sorted by line. */
     ConfigProblems problems;
 };
 
 /**
- * Reads a contract from YAML \a text and checks it; \a name stands for the file in problems.
- * Used by the daemon and by bulrushctl alike. Never throws for a wrong text. Thread safe.
+ * Reads a contract from YAML \a text and validates it. Problems give \a name as their file. Used by
+ * both the daemon and bulrushctl. Does not throw if the text is invalid. Thread safe.
  */
 ContractReading readContract(std::string_view text, std::string_view name);
 
--- a/src/libbulrushio/version/loadreportcodec.cpp
+++ b/src/libbulrushio/version/loadreportcodec.cpp
@@ -12,26 +12,29 @@
 
 namespace {
 
-constexpr double milli = 1000.0;
+constexpr double unitsPerRequest = 1000.0;
 
-/** No host serves as much, and its digits bound the length of a report. */
-constexpr double highestLoad = 1e9;
+/**
+ * Maximum load in a report, in requests per second. No host serves as much. The number of its
+ * digits bounds the length of a report.
+ */
+constexpr double maxLoad = 1e9;
 
-Json::Value jsonOfLoad(double load)
+Json::Value encodeLoad(double load)
 {
     return jsonOf(
-        static_cast<std::uint64_t>(std::llround(std::clamp(load, 0.0, highestLoad) * milli)));
+        static_cast<std::uint64_t>(std::llround(std::clamp(load, 0.0, maxLoad) * unitsPerRequest)));
 }
 
-double loadIn(JsonReader &reader)
+double decodeLoad(JsonReader &reader)
 {
-    const double load = static_cast<double>(reader.number("milliLoad")) / milli;
-    if (load > highestLoad)
+    const double load = static_cast<double>(reader.number("milliLoad")) / unitsPerRequest;
+    if (load > maxLoad)
         reader.fail();
     return load;
 }
 
-KeyHash hashIn(JsonReader &reader, const char *name)
+KeyHash decodeHash(JsonReader &reader, const char *name)
 {
     const auto hash = hashOfHex(reader.text(name));
     if (!hash)
@@ -43,8 +46,8 @@
 {
     for (const Json::Value &json : reader.list("slices")) {
         JsonReader entry{json};
-        const SliceRange range{hashIn(entry, "begin"), hashIn(entry, "end")};
-        const double load = loadIn(entry);
+        const SliceRange range{decodeHash(entry, "begin"), decodeHash(entry, "end")};
+        const double load = decodeLoad(entry);
         const bool isAfter = slices.empty() || slices.back().range.end < range.begin;
         if (!entry.isGood() || !isAfter || range.end < range.begin)
             reader.fail();
@@ -56,7 +59,7 @@
 {
     for (const Json::Value &json : reader.list("hotKeys")) {
         JsonReader entry{json};
-        const KeyLoad key{hashIn(entry, "key"), loadIn(entry)};
+        const KeyLoad key{decodeHash(entry, "key"), decodeLoad(entry)};
         if (!entry.isGood() || (!keys.empty() && keys.back().key >= key.key))
             reader.fail();
         keys.push_back(key);
@@ -73,14 +76,14 @@
         Json::Value entry{Json::objectValue};
         entry["begin"] = hexOfHash(slice.range.begin);
         entry["end"] = hexOfHash(slice.range.end);
-        entry["milliLoad"] = jsonOfLoad(slice.load);
+        entry["milliLoad"] = encodeLoad(slice.load);
         json["slices"].append(std::move(entry));
     }
     json["hotKeys"] = Json::Value{Json::arrayValue};
     for (const KeyLoad &key : report.hotKeys) {
         Json::Value entry{Json::objectValue};
         entry["key"] = hexOfHash(key.key);
-        entry["milliLoad"] = jsonOfLoad(key.load);
+        entry["milliLoad"] = encodeLoad(key.load);
         json["hotKeys"].append(std::move(entry));
     }
     return json;
