--- a/tests/entryfleet/entryfleet.h
+++ b/tests/entryfleet/entryfleet.h
@@ -128,7 +128,10 @@
      */
     void injectAnswerFaults(const std::string &id, const std::string &mode, int count);
 
-    /** Makes the server delay \a count of the next grants and releases by \a delay. */
+    /**
+     * Makes the server leave \a count of the next grants and releases unanswered, and execute them
+     * only after \a delay.
+     */
     void delayOrders(const std::string &id, int count, std::chrono::milliseconds delay);
 
     /** \returns the value of the metric \a name of \a host's daemon, or -1 if there is none. */
--- a/tests/entryfleet/test_entryreaders.cpp
+++ b/tests/entryfleet/test_entryreaders.cpp
@@ -81,9 +81,9 @@
     std::this_thread::sleep_for(6s);
     auto calls = storeCallsDuring(6s);
     calls.erase(lost);
-    const auto [least, most] =
+    const auto [fewestCalls, mostCalls] =
         std::ranges::minmax_element(calls, {}, [](const auto &entry) { return entry.second; });
-    BOOST_TEST(most->second > 2 * least->second);
+    BOOST_TEST(mostCalls->second > 2 * fewestCalls->second);
     startDaemon(lost);
     BOOST_TEST(eventually([&] { return servesKeys(lost); }));
     requireConfigAdopted("");
--- a/tests/entrysettings/test_entrysettings.cpp
+++ b/tests/entrysettings/test_entrysettings.cpp
@@ -44,7 +44,7 @@
     std::string m_path;
 };
 
-const std::string usable = R"(host: front-1
+const std::string validSettings = R"(host: front-1
 domain: leuven-lab
 store: "10.200.1.7:8384"
 addresses:
@@ -62,8 +62,8 @@
     return all;
 }
 
-/** Fills the placeholders of the template as the platform does for plain values. */
-std::string filled(std::string text)
+/** Replaces the placeholders of the template with plain values, as the platform does. */
+std::string fillTemplate(std::string text)
 {
     const std::pair<std::string, std::string> values[] = {
         {"{{node}}", "front-1"},
@@ -106,7 +106,7 @@
 
 BOOST_AUTO_TEST_CASE(settingsAreRead)
 {
-    const SettingsFile file{usable + "drainTime: 4s\nlogLevel: warning\n"};
+    const SettingsFile file{validSettings + "drainTime: 4s\nlogLevel: warning\n"};
     BOOST_TEST(io::hasStore(file.path()));
     const io::EntrySettingsReading reading = io::readEntrySettings(file.path());
     BOOST_REQUIRE(!reading.error);
@@ -121,7 +121,7 @@
 {
     std::ostringstream text;
     text << std::ifstream{BULRUSH_SOURCE_DIR "/deploy/settings.yaml.template"}.rdbuf();
-    const SettingsFile file{filled(text.str())};
+    const SettingsFile file{fillTemplate(text.str())};
     const io::EntrySettingsReading reading = io::readEntrySettings(file.path());
     BOOST_TEST(!reading.error);
     BOOST_TEST(reading.settings.callers.port == 8381);
@@ -136,58 +136,59 @@
 
 BOOST_AUTO_TEST_CASE(boundsAreSecondsWithFractions)
 {
-    const SettingsFile usual{usable};
-    const EntrySettings settings = io::readEntrySettings(usual.path()).settings;
+    const SettingsFile defaults{validSettings};
+    const EntrySettings settings = io::readEntrySettings(defaults.path()).settings;
     BOOST_TEST((settings.serverDrain == 2s));
     BOOST_TEST((settings.configInForce == 2s));
     BOOST_TEST((settings.drainTime == 5500ms));
     for (const std::string field :
          {"configInForceSeconds", "serverDrainSeconds", "shutdownGraceSeconds"}) {
         for (const std::string wrong : {"2s", "0", "-1", "soon", ""}) {
-            const std::string problem = problemsOf(usable + field + ": " + wrong + "\n");
+            const std::string problem = problemsOf(validSettings + field + ": " + wrong + "\n");
             BOOST_TEST(problem.find(field) != std::string::npos, wrong << ": " << problem);
         }
     }
-    // A drain time of its own goes first.
-    const SettingsFile both{usable + "shutdownGraceSeconds: 20\ndrainTime: 4s\n"};
+    // An explicit drain time takes precedence over the grace period.
+    const SettingsFile both{validSettings + "shutdownGraceSeconds: 20\ndrainTime: 4s\n"};
     BOOST_TEST((io::readEntrySettings(both.path()).settings.drainTime == 4s));
 }
 
 BOOST_AUTO_TEST_CASE(processorsAreANumberOfCores)
 {
-    const SettingsFile usual{usable};
-    BOOST_TEST(io::readEntrySettings(usual.path()).settings.processors == 1.0);
-    const std::string problem = problemsOf(usable + "processors: half\n");
+    const SettingsFile defaults{validSettings};
+    BOOST_TEST(io::readEntrySettings(defaults.path()).settings.processors == 1.0);
+    const std::string problem = problemsOf(validSettings + "processors: half\n");
     BOOST_TEST(problem.find("processors") != std::string::npos, problem);
     BOOST_TEST(problem.find("a number from 0 to 1024") != std::string::npos, problem);
 }
 
 BOOST_AUTO_TEST_CASE(retriesAreNumbersWithinBounds)
 {
-    const SettingsFile file{usable + "retries:\n  slack: 12.5\n"};
+    const SettingsFile file{validSettings + "retries:\n  slack: 12.5\n"};
     BOOST_TEST((io::readEntrySettings(file.path()).settings.retries == RetryTerms{0.2, 12.5}));
     for (const std::string wrong : {"-1", "many", "0.2s", "1e3", ""}) {
-        const std::string problem = problemsOf(usable + "retries:\n  ratio: " + wrong + "\n");
+        const std::string problem =
+            problemsOf(validSettings + "retries:\n  ratio: " + wrong + "\n");
         BOOST_TEST(problem.find("retries.ratio") != std::string::npos, wrong << ": " << problem);
         BOOST_TEST(problem.find("a number from 0 to 10") != std::string::npos, problem);
     }
 }
 
-BOOST_AUTO_TEST_CASE(whatIsWrongIsNamedWithItsFieldAndLine)
+BOOST_AUTO_TEST_CASE(problemsNameTheirFieldAndLine)
 {
     const auto without = [](std::string text, const std::string &line) {
         return text.erase(text.find(line), line.size());
     };
-    const std::string missing = problemsOf(without(usable, "domain: leuven-lab\n"));
+    const std::string missing = problemsOf(without(validSettings, "domain: leuven-lab\n"));
     BOOST_TEST(missing.find("domain") != std::string::npos);
-    const std::string wrong = problemsOf(without(usable, ":8384"));
+    const std::string wrong = problemsOf(without(validSettings, ":8384"));
     BOOST_TEST(wrong.find("store") != std::string::npos);
     BOOST_TEST(wrong.find(":3") != std::string::npos);
-    const std::string unknown = problemsOf(usable + "stores: 1\n");
+    const std::string unknown = problemsOf(validSettings + "stores: 1\n");
     BOOST_TEST(unknown.find("stores") != std::string::npos);
 }
 
-BOOST_AUTO_TEST_CASE(settingsWithoutAStoreAreAnotherDaemons)
+BOOST_AUTO_TEST_CASE(settingsWithoutAStoreAreNotOfAnEntryDaemon)
 {
     const SettingsFile file{"host: front-1\n"};
     BOOST_TEST(!io::hasStore(file.path()));
--- a/tests/logflood/test_logflood.cpp
+++ b/tests/logflood/test_logflood.cpp
@@ -29,7 +29,7 @@
     return count;
 }
 
-/** Standard output of this process goes into a pipe, and comes back. */
+/** Redirects the standard output of this process to a pipe, until restoreAndRead() is called. */
 class CapturedOutput
 {
 public:
@@ -41,8 +41,8 @@
         ::close(m_pipe[1]);
     }
 
-    /** Reads to the end, which comes as the output is put back. */
-    std::string restored()
+    /** Stops logging and restores the standard output. \returns everything that was written. */
+    std::string restoreAndRead()
     {
         std::string all;
         std::thread reader{[this, &all] {
@@ -69,8 +69,11 @@
 
 } // namespace
 
-/** Nobody reads the log, so the pipe is full at once: nobody waits, and what is lost is counted. */
-BOOST_AUTO_TEST_CASE(aFloodBlocksNobodyAndStaysBounded)
+/**
+ * Nothing reads the pipe, so it fills up at once. Logging threads must not block on it, and dropped
+ * lines must be counted.
+ */
+BOOST_AUTO_TEST_CASE(logFloodDoesNotBlockAndIsBounded)
 {
     CapturedOutput output;
     io::startLogging(LogLevel::Info, "host-1");
@@ -87,14 +90,14 @@
         thread.join();
     const auto took = std::chrono::steady_clock::now() - start;
     const std::uint64_t dropped = io::droppedLogLines();
-    const std::string text = output.restored();
+    const std::string text = output.restoreAndRead();
     const std::uint64_t written = occurrences(text, " info host-1 request id=");
 
-    // A writer that waited for the reader would never have ended.
+    // A thread that waited for the reader of the pipe would never finish.
     BOOST_TEST((took < 60s));
     BOOST_TEST(dropped > 0U);
     BOOST_TEST(written + dropped == static_cast<std::uint64_t>(writers * linesPerWriter));
-    // The queue, and what the pipe and its reader took meanwhile.
+    // The length of the queue, plus the lines in the pipe and in its reader.
     BOOST_TEST(written < io::maxQueuedLogLines + 4000U);
     BOOST_TEST(text.find("info host-1 request id=0-0 reason=\"a text with blanks\"")
                != std::string::npos);
--- a/tests/settingsreader/test_settingsreader.cpp
+++ b/tests/settingsreader/test_settingsreader.cpp
@@ -17,16 +17,16 @@
 
 const std::filesystem::path sourceFolder{BULRUSH_SOURCE_DIR};
 
-/** Reads by relative names, so that the problems show the same paths on every machine. */
-SettingsReading readWrong(const std::string &name)
+/** Reads files by relative path, so that problems contain the same paths on every machine. */
+SettingsReading readInvalid(const std::string &name)
 {
     std::filesystem::current_path(sourceFolder / "tests/settingsreader/wrong");
     return readSettings(name + ".yaml");
 }
 
-void checkWrong(const std::string &name, ConfigError error)
+void checkInvalid(const std::string &name, ConfigError error)
 {
-    const SettingsReading reading = readWrong(name);
+    const SettingsReading reading = readInvalid(name);
     BOOST_CHECK_EQUAL(reading.error, make_error_code(error));
     BOOST_TEST(!reading.problems.empty());
 
@@ -43,7 +43,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(leuvensportsExampleHasTheBriefsSizes)
+BOOST_AUTO_TEST_CASE(leuvensportExampleHasTheRequiredSizes)
 {
     const auto reading =
         readSettings((sourceFolder / "examples/leuvensport/antwerp-1.yaml").string());
@@ -63,7 +63,7 @@
     BOOST_TEST(settings.limits.maxBodyBytes == 128u << 20);
 }
 
-BOOST_AUTO_TEST_CASE(hinokunisExampleHasTheBriefsSizes)
+BOOST_AUTO_TEST_CASE(hinokuniExampleHasTheRequiredSizes)
 {
     const auto reading =
         readSettings((sourceFolder / "examples/hinokuni/kumamoto-1.yaml").string());
@@ -78,7 +78,7 @@
     BOOST_TEST(settings.seeds.size() == 9u);
 }
 
-BOOST_AUTO_TEST_CASE(examplesWriteTheDefaultsOfLeasesOut)
+BOOST_AUTO_TEST_CASE(examplesContainTheDefaultLeases)
 {
     const auto reading =
         readSettings((sourceFolder / "examples/hinokuni/kumamoto-1.yaml").string());
@@ -89,43 +89,43 @@
 
 BOOST_AUTO_TEST_CASE(everyWrongFieldIsReportedInOneReading)
 {
-    checkWrong("many-fields", ConfigError::Invalid);
+    checkInvalid("many-fields", ConfigError::Invalid);
 }
 
 BOOST_AUTO_TEST_CASE(missingFieldsAreReported)
 {
-    checkWrong("missing-fields", ConfigError::Invalid);
+    checkInvalid("missing-fields", ConfigError::Invalid);
 }
 
 BOOST_AUTO_TEST_CASE(fieldsThatClashAreReportedWithTheReason)
 {
-    checkWrong("clashes", ConfigError::Invalid);
+    checkInvalid("clashes", ConfigError::Invalid);
 }
 
-BOOST_AUTO_TEST_CASE(leasesThatOutlastEachOtherAreReported)
+BOOST_AUTO_TEST_CASE(inconsistentLeaseLengthsAreReported)
 {
-    checkWrong("lease-order", ConfigError::Invalid);
+    checkInvalid("lease-order", ConfigError::Invalid);
 }
 
 BOOST_AUTO_TEST_CASE(leasesOverTheRecoveryBoundAreReported)
 {
-    checkWrong("recovery", ConfigError::Invalid);
+    checkInvalid("recovery", ConfigError::Invalid);
 }
 
 BOOST_AUTO_TEST_CASE(problemsNameTheIncludedFile)
 {
-    checkWrong("included", ConfigError::Invalid);
+    checkInvalid("included", ConfigError::Invalid);
 }
 
 BOOST_AUTO_TEST_CASE(includedFilesIncludeNoOthers)
 {
-    checkWrong("nested-include", ConfigError::Invalid);
+    checkInvalid("nested-include", ConfigError::Invalid);
 }
 
 BOOST_AUTO_TEST_CASE(missingFilesAreReported)
 {
-    checkWrong("not-there", ConfigError::Unreadable);
-    checkWrong("includes-missing", ConfigError::Unreadable);
+    checkInvalid("not-there", ConfigError::Unreadable);
+    checkInvalid("includes-missing", ConfigError::Unreadable);
 }
 
 BOOST_AUTO_TEST_CASE(folderInPlaceOfAFileIsReported)
@@ -134,12 +134,12 @@
     BOOST_CHECK_EQUAL(readSettings("examples").error, make_error_code(ConfigError::Unreadable));
 }
 
-BOOST_AUTO_TEST_CASE(textsThatAreNoYamlAreReported)
+BOOST_AUTO_TEST_CASE(invalidYamlIsReported)
 {
-    checkWrong("no-yaml", ConfigError::NotYaml);
-    checkWrong("two-documents", ConfigError::NotYaml);
-    checkWrong("empty", ConfigError::NotYaml);
-    checkWrong("a-list", ConfigError::Invalid);
+    checkInvalid("no-yaml", ConfigError::NotYaml);
+    checkInvalid("two-documents", ConfigError::NotYaml);
+    checkInvalid("empty", ConfigError::NotYaml);
+    checkInvalid("a-list", ConfigError::Invalid);
 }
 
 BOOST_AUTO_TEST_CASE(everyWrongFileHasATest)
--- a/tests/support/goldentext.h
+++ b/tests/support/goldentext.h
@@ -20,8 +20,8 @@
 }
 
 /**
- * Checks \a text against the golden file \a name under tests/golden/. With BULRUSH_UPDATE_GOLDEN=1
- * the file is written instead.
+ * Compares \a text with the golden file \a name under tests/golden/. With BULRUSH_UPDATE_GOLDEN=1
+ * the file is overwritten instead.
  */
 inline void checkGolden(const std::string &name, const std::string &text)
 {
