--- a/src/libbulrushio/process/platformerror.cpp
+++ b/src/libbulrushio/process/platformerror.cpp
@@ -10,23 +10,23 @@
 {
     switch (error) {
     case PlatformError::NotReached:
-        return "the platform was not reached";
+        return "could not connect to the platform";
     case PlatformError::ConnectionLost:
-        return "the exchange with the platform broke off";
+        return "the connection to the platform broke during the call";
     case PlatformError::TimedOut:
-        return "the platform did not answer in time";
+        return "the platform did not answer within the timeout";
     case PlatformError::Unavailable:
         return "the platform could not serve the call";
     case PlatformError::Rejected:
-        return "the platform did not understand the call";
+        return "the platform rejected the call as malformed";
     case PlatformError::NotFound:
-        return "the platform has no such object";
+        return "the object does not exist on the platform";
     case PlatformError::NotChangeable:
-        return "the platform has another object of that name";
+        return "a different object of that name exists on the platform";
     case PlatformError::BadAnswer:
-        return "the platform's answer is malformed";
+        return "the platform's answer violates the interface";
     case PlatformError::AlreadyApplied:
-        return "an earlier sending of the transaction has taken effect";
+        return "an earlier attempt of the transaction took effect";
     case PlatformError::RowsUnchanged:
         return "the rows are unchanged, and the transaction may still take effect";
     }
--- a/src/libbulrushio/version/burnreport.cpp
+++ b/src/libbulrushio/version/burnreport.cpp
@@ -26,15 +26,15 @@
     {
         switch (static_cast<BurnReportError>(value)) {
         case BurnReportError::NotJson:
-            return "the counts are not a JSON object";
+            return "the burn counts are not a JSON object";
         case BurnReportError::UnknownFormat:
-            return "the counts are of another format version";
+            return "the burn counts have an unsupported format version";
         case BurnReportError::WrongField:
-            return "a field of the counts is missing or wrong";
+            return "a field of the burn counts is missing or invalid";
         case BurnReportError::WrongWindows:
-            return "the counts are over other windows";
+            return "the burn counts have different windows";
         case BurnReportError::WrongHistogram:
-            return "the latencies have other bins";
+            return "the latencies of the burn counts have different bins";
         }
         return "unknown error";
     }
