--- a/src/libbulrushio/connection/answerparser.cpp
+++ b/src/libbulrushio/connection/answerparser.cpp
@@ -11,8 +11,8 @@
 namespace {
 
 constexpr int firstFinalStatus = 200;
-/** What a backend server may send as its head; far above what any does. */
-constexpr std::size_t headerLimit = std::size_t{64} * 1024;
+/** Maximum size of an answer's header fields; backend servers send far less. */
+constexpr std::size_t maxHeaderBytes = std::size_t{64} * 1024;
 constexpr std::string_view timeoutParameter = "timeout=";
 
 } // namespace
@@ -39,21 +39,21 @@
 
 std::size_t AnswerParser::feed(std::string_view bytes)
 {
-    std::size_t taken = 0;
-    while (taken < bytes.size() && !m_isComplete && !m_error) {
+    std::size_t consumed = 0;
+    while (consumed < bytes.size() && !m_isComplete && !m_error) {
         m_hasBegun = true;
-        taken += http_parser_execute(&m_parser, &callbacks(), bytes.data() + taken,
-                                     bytes.size() - taken);
+        consumed += http_parser_execute(&m_parser, &callbacks(), bytes.data() + consumed,
+                                        bytes.size() - consumed);
         const auto state = static_cast<http_errno>(m_parser.http_errno);
         if (state == HPE_PAUSED && !m_isComplete) {
-            // An interim answer ended; the final one follows.
+            // The end of an interim answer; the final one follows.
             begin(m_isHead);
             m_hasBegun = true;
         } else if (state != HPE_OK && state != HPE_PAUSED && !m_error) {
             m_error = TransportError::AnswerMalformed;
         }
     }
-    return taken;
+    return consumed;
 }
 
 void AnswerParser::finish()
@@ -100,13 +100,13 @@
 bool AnswerParser::addHeaderBytes(std::size_t length)
 {
     m_headerBytes += length;
-    if (m_headerBytes <= headerLimit)
+    if (m_headerBytes <= maxHeaderBytes)
         return true;
     m_error = TransportError::AnswerTooLarge;
     return false;
 }
 
-int AnswerParser::onField(http_parser *parser, const char *at, std::size_t length)
+int AnswerParser::onFieldName(http_parser *parser, const char *at, std::size_t length)
 {
     AnswerParser &answer = self(parser);
     std::vector<HttpHeader> &headers = answer.m_response.headers;
@@ -117,7 +117,7 @@
     return answer.addHeaderBytes(length) ? 0 : -1;
 }
 
-int AnswerParser::onValue(http_parser *parser, const char *at, std::size_t length)
+int AnswerParser::onFieldValue(http_parser *parser, const char *at, std::size_t length)
 {
     AnswerParser &answer = self(parser);
     answer.m_isValueLast = true;
@@ -156,14 +156,14 @@
 const http_parser_settings &AnswerParser::callbacks()
 {
     static const http_parser_settings settings = [] {
-        http_parser_settings made;
-        http_parser_settings_init(&made);
-        made.on_header_field = &AnswerParser::onField;
-        made.on_header_value = &AnswerParser::onValue;
-        made.on_headers_complete = &AnswerParser::onHeadersComplete;
-        made.on_body = &AnswerParser::onBody;
-        made.on_message_complete = &AnswerParser::onMessageComplete;
-        return made;
+        http_parser_settings initialized;
+        http_parser_settings_init(&initialized);
+        initialized.on_header_field = &AnswerParser::onFieldName;
+        initialized.on_header_value = &AnswerParser::onFieldValue;
+        initialized.on_headers_complete = &AnswerParser::onHeadersComplete;
+        initialized.on_body = &AnswerParser::onBody;
+        initialized.on_message_complete = &AnswerParser::onMessageComplete;
+        return initialized;
     }();
     return settings;
 }
--- a/src/libbulrushio/connection/answerparser.h
+++ b/src/libbulrushio/connection/answerparser.h
@@ -13,53 +13,53 @@
 namespace bulrush::io {
 
 /**
- * Reads the answers that come on one connection, one at a time.
+ * Parses the answers received on one connection, one at a time.
  *
  * Not thread safe.
  */
 class AnswerParser
 {
 public:
-    /** An answer whose body is longer than \a bodyLimit is an error. */
+    /** Answers with a body longer than \a bodyLimit are rejected. */
     explicit AnswerParser(std::size_t bodyLimit);
 
     AnswerParser(const AnswerParser &) = delete;
     AnswerParser &operator=(const AnswerParser &) = delete;
 
-    /** Starts over for the next answer; one to a HEAD request has no body. */
+    /** Resets the parser for the next answer. \a isHead is set if it answers a HEAD request. */
     void begin(bool isHead);
 
     /**
-     * Takes in bytes up to the end of the answer. \returns how many were taken; the others belong
-     * to what follows. \pre !isComplete(), and no error before
+     * Parses bytes up to the end of the answer. \returns the number of bytes consumed; the others
+     * belong to the next answer. \pre !isComplete(), and no previous error
      */
     std::size_t feed(std::string_view bytes);
 
-    /** Takes in the end of the connection, which is the end of an answer without a length. */
+    /** Handles the end of the connection, which also ends an answer without a length. */
     void finish();
 
-    /** \returns what is wrong with the bytes, if anything. */
+    /** \returns the error in the bytes parsed so far, if any. */
     std::error_code error() const;
 
-    /** \returns whether any byte of an answer has come. */
+    /** \returns whether any byte of an answer was received. */
     bool hasBegun() const;
 
-    /** \returns whether the answer is whole. */
+    /** \returns whether the answer is complete. */
     bool isComplete() const;
 
-    /** \returns whether the connection can be used after this answer. \pre isComplete() */
+    /** \returns whether the connection can be reused after this answer. \pre isComplete() */
     bool keepsConnection() const;
 
-    /** \returns for how long the server keeps an idle connection, if it says so. */
+    /** \returns the idle time-out in the server's Keep-Alive field, if there is one. */
     std::optional<Duration> keepAlive() const;
 
-    /** \returns the answer. \pre isComplete() */
+    /** \returns the answer by moving it out of the parser. \pre isComplete() */
     HttpResponse takeResponse();
 
 private:
     static AnswerParser &self(http_parser *parser);
-    static int onField(http_parser *parser, const char *at, std::size_t length);
-    static int onValue(http_parser *parser, const char *at, std::size_t length);
+    static int onFieldName(http_parser *parser, const char *at, std::size_t length);
+    static int onFieldValue(http_parser *parser, const char *at, std::size_t length);
     static int onHeadersComplete(http_parser *parser);
     static int onBody(http_parser *parser, const char *at, std::size_t length);
     static int onMessageComplete(http_parser *parser);
--- a/src/libbulrushio/connection/servercall.h
+++ b/src/libbulrushio/connection/servercall.h
@@ -10,42 +10,48 @@
 
 namespace bulrush::io {
 
-/** A request to a server, with a body that is held whole. */
+/** A request to a server, with its complete body in memory. */
 struct ServerCall
 {
     Endpoint server;
     /**
-     * Tells runs of the server apart where they may follow each other at one address: a connection
-     * that was made to one carries no call to another. Empty where there is one only.
+     * Identifies the run (process lifetime) of the server, where several runs may use the same
+     * address one after the other: a connection to one run never carries a call to another. Empty
+     * if runs need not be distinguished.
      */
     std::string run = {};
     std::string method = "GET";
     /** Path and query. */
     std::string target = "/";
-    /** All fields but those of framing and connection. */
+    /** All fields except those for framing and connection management. */
     std::vector<HttpHeader> headers;
-    /** Shared with other attempts of the same request; null or empty if there is none. */
+    /**
+     * Shared with other attempts of the same request; null or empty for a request without a body.
+     */
     std::shared_ptr<const std::string> body;
-    /** For a connection to come about. */
+    /** Time-out for establishing a connection. */
     Duration connectTimeout = std::chrono::milliseconds{400};
-    /** From the start to the end of the answer. */
+    /** Time-out from the start of the call to the end of the answer. */
     Duration timeout = std::chrono::seconds{1};
-    /** From the first byte of the answer to its end, where that allows more time. */
+    /**
+     * Time-out from the first byte of the answer to its end. It extends the deadline that timeout
+     * sets, and never shortens it.
+     */
     Duration answerWithin = Duration::zero();
-    /** The call is not sent after this, when it has waited for its connection until then. */
+    /** The call fails unsent if its connection is established only after this time. */
     Instant sendBy = Instant::max();
-    /** Bytes that the server's host has not acknowledged by then end the connection. */
+    /** The connection fails if the server's host leaves sent bytes unacknowledged for this long. */
     Duration acknowledgeWithin = std::chrono::milliseconds{2500};
     /**
-     * The field of the request that its answer repeats. Answers with another value belong to
-     * other requests and are dropped. Empty if answers repeat nothing.
+     * The field of the request that its answer echoes. Answers with another value belong to other
+     * requests and are dropped. Empty if answers echo no field.
      */
     std::string echoedField;
-    /** Probes the connection while it is silent, so that one that has died is noticed. */
-    bool isProbed = false;
+    /** Enables TCP keep-alive probes, which detect a dead connection while it is idle. */
+    bool usesTcpKeepAlive = false;
 };
 
-/** Takes the end of a call. The answer is whole if, and only if, the error is clear. */
+/** Receives the result of a call. The answer is complete if, and only if, the error is clear. */
 using ServerCallHandler = std::function<void(HttpResult)>;
 
 } // namespace bulrush::io
--- a/src/libbulrushio/connection/serverclient.cpp
+++ b/src/libbulrushio/connection/serverclient.cpp
@@ -11,66 +11,67 @@
 
 using ConnectionPtr = std::shared_ptr<ServerConnection>;
 
-/** The connections that live, and those of them that wait for a call. */
+/** All connections that are not closed, and the idle ones among them. */
 struct ServerClient::Pool
 {
-    /** The address of a server, and the run that is meant. */
+    /** The address of a server and the name of its run. */
     using Target = std::pair<Endpoint, std::string>;
 
     std::set<ConnectionPtr> all;
     std::map<Target, std::vector<ConnectionPtr>> idle;
-    std::set<Target> linked;
-    LinkHandler linkChanged;
+    std::set<Target> connectedTargets;
+    ConnectionEventHandler connectionEventHandler;
 
-    static Target targetOf(const ConnectionPtr &connection)
+    static Target targetFor(const ConnectionPtr &connection)
     {
         return {connection->server(), connection->run()};
     }
 
     void update(const ConnectionPtr &connection)
     {
-        const Target target = targetOf(connection);
-        std::vector<ConnectionPtr> &waiting = idle[target];
-        std::erase(waiting, connection);
+        const Target target = targetFor(connection);
+        std::vector<ConnectionPtr> &idleConnections = idle[target];
+        std::erase(idleConnections, connection);
         if (connection->isClosed())
             all.erase(connection);
         else if (connection->isFree())
-            waiting.push_back(connection);
-        if (waiting.empty())
+            idleConnections.push_back(connection);
+        if (idleConnections.empty())
             idle.erase(target);
-        updateLink(connection, target);
+        updateConnectivity(connection, target);
     }
 
-    void updateLink(const ConnectionPtr &connection, const Target &target)
+    void updateConnectivity(const ConnectionPtr &connection, const Target &target)
     {
         if (connection->isConnected()) {
-            if (linked.insert(target).second)
-                tell(target.second, Link::Made);
+            if (connectedTargets.insert(target).second)
+                notify(target.second, Link::Made);
         } else if (connection->isClosed() && !isConnectedTo(target)) {
-            linked.erase(target);
+            connectedTargets.erase(target);
             if (connection->isLost())
-                tell(target.second, connection->isRefused() ? Link::Refused : Link::Lost);
+                notify(target.second, connection->isRefused() ? Link::Refused : Link::Lost);
         }
     }
 
     bool isConnectedTo(const Target &target) const
     {
         return std::ranges::any_of(all, [&target](const ConnectionPtr &connection) {
-            return connection->isConnected() && targetOf(connection) == target;
+            return connection->isConnected() && targetFor(connection) == target;
         });
     }
 
-    bool hasAnyTo(const Target &target) const
+    bool hasConnectionTo(const Target &target) const
     {
-        return linked.contains(target) || std::ranges::any_of(all, [&target](const auto &other) {
-                   return !other->isClosed() && targetOf(other) == target;
+        return connectedTargets.contains(target)
+            || std::ranges::any_of(all, [&target](const auto &other) {
+                   return !other->isClosed() && targetFor(other) == target;
                });
     }
 
-    void tell(const std::string &run, Link link) const
+    void notify(const std::string &run, Link link) const
     {
-        if (linkChanged)
-            linkChanged(run, link);
+        if (connectionEventHandler)
+            connectionEventHandler(run, link);
     }
 };
 
@@ -86,15 +87,15 @@
     m_pool->idle.clear();
 }
 
-void ServerClient::setLinkHandler(LinkHandler handler)
+void ServerClient::setLinkHandler(ConnectionEventHandler handler)
 {
-    m_pool->linkChanged = std::move(handler);
+    m_pool->connectionEventHandler = std::move(handler);
 }
 
 void ServerClient::keepConnected(const ServerCall &like)
 {
-    if (!m_pool->hasAnyTo({like.server, like.run}))
-        made(like.server, like.run)->open(like);
+    if (!m_pool->hasConnectionTo({like.server, like.run}))
+        createConnection(like.server, like.run)->open(like);
 }
 
 ServerClient::CallId ServerClient::send(ServerCall call, ServerCallHandler handler)
@@ -137,19 +138,19 @@
 ConnectionPtr ServerClient::connectionTo(const Endpoint &server, const std::string &run)
 {
     const Instant now = hostNow();
-    const auto waiting = m_pool->idle.find({server, run});
-    while (waiting != m_pool->idle.end() && !waiting->second.empty()) {
-        // The one used last: the others age until they are closed.
-        ConnectionPtr connection = waiting->second.back();
-        waiting->second.pop_back();
+    const auto idleConnections = m_pool->idle.find({server, run});
+    while (idleConnections != m_pool->idle.end() && !idleConnections->second.empty()) {
+        // Takes the most recently used one, so that surplus connections time out.
+        ConnectionPtr connection = idleConnections->second.back();
+        idleConnections->second.pop_back();
         if (connection->isFree() && now < connection->idleUntil())
             return connection;
         connection->close();
     }
-    return made(server, run);
+    return createConnection(server, run);
 }
 
-ConnectionPtr ServerClient::made(const Endpoint &server, const std::string &run)
+ConnectionPtr ServerClient::createConnection(const Endpoint &server, const std::string &run)
 {
     const std::weak_ptr<Pool> pool = m_pool;
     auto connection = std::make_shared<ServerConnection>(m_loop, server, run,
--- a/src/libbulrushio/connection/serverclient.h
+++ b/src/libbulrushio/connection/serverclient.h
@@ -16,11 +16,11 @@
 class ServerConnection;
 
 /**
- * HTTP/1.1 client that keeps connections and sends each request once: a kept connection that dies
- * under a request ends the call, as the server may have done the work.
+ * HTTP/1.1 client with persistent connections that sends each request once: if a reused connection
+ * fails during a request, the call fails without a retry, as the server may have run the request.
  *
- * All methods are called on the loop's thread, where the handlers run too, never from within a
- * call. A handler must not destroy the client.
+ * All methods must be called on the event loop's thread. Handlers run on the same thread, but never
+ * from within a method. A handler must not destroy the client.
  */
 class ServerClient
 {
@@ -29,52 +29,53 @@
 
     explicit ServerClient(asio::io_context &loop);
 
-    /** Closes all connections; handlers of open calls are not called. */
+    /** Closes all connections; the handlers of open calls are not called. */
     ~ServerClient();
 
     ServerClient(const ServerClient &) = delete;
     ServerClient &operator=(const ServerClient &) = delete;
 
-    /** Sends \a call and hands its end to \a handler, once. */
+    /** Sends \a call and passes its result to \a handler, exactly once. */
     CallId send(ServerCall call, ServerCallHandler handler);
 
-    /** Ends a call: its connection is closed, its handler not called any more. */
+    /** Cancels a call: closes its connection and does not call its handler. */
     void cancel(CallId id);
 
-    /** \returns whether any of an open call may have gone out; false if it is not open. */
+    /** \returns whether bytes of an open call may have been sent; false if it is not open. */
     bool isSent(CallId id) const;
 
-    /** \returns when the call \a id took its steps so far; none if it has ended. */
+    /** \returns the times of the steps of the open call \a id so far; empty if it has ended. */
     CallTimes times(CallId id) const;
 
-    /** Connects as \a like would if there is no connection for it, for calls to come. */
+    /** Opens a connection for later calls to the server of \a like, unless there is one already. */
     void keepConnected(const ServerCall &like);
 
-    /** What became of the connections to a run of a server. */
+    /** A change of the connectivity to a run of a server. */
     enum class Link {
-        Made,    ///< one was made
-        Lost,    ///< the last was lost, or could not be made
-        Refused, ///< the same, as nobody listens at the address: the run has ended
+        Made,    ///< the first connection was established
+        Lost,    ///< the last connection was lost, or could not be established
+        Refused, ///< the address refuses connections: the run has stopped
     };
 
     /**
-     * Told of changes of links; of a loss after the end of the call on it, if there was one.
-     * Neither a connection that the server ended as it had said is a loss, nor one that was given
-     * up with a call that got no answer in time.
+     * Receives changes of the connectivity; a loss is reported after the handler of the call on
+     * that connection. A connection does not count as lost if the server closed it as announced, or
+     * if the client closed it because a call timed out.
      */
-    using LinkHandler = std::function<void(const std::string &run, Link link)>;
+    using ConnectionEventHandler = std::function<void(const std::string &run, Link link)>;
 
-    /** Sets who is told. */
-    void setLinkHandler(LinkHandler handler);
+    /** Sets the handler of connectivity changes. */
+    void setLinkHandler(ConnectionEventHandler handler);
 
-    /** \returns how many connections were opened so far. */
+    /** \returns the number of connections opened so far. */
     std::uint64_t openedCount() const;
 
 private:
     struct Pool;
 
     std::shared_ptr<ServerConnection> connectionTo(const Endpoint &server, const std::string &run);
-    std::shared_ptr<ServerConnection> made(const Endpoint &server, const std::string &run);
+    std::shared_ptr<ServerConnection> createConnection(const Endpoint &server,
+                                                       const std::string &run);
 
     asio::io_context &m_loop;
     std::shared_ptr<Pool> m_pool;
--- a/src/libbulrushio/connection/serverconnection.cpp
+++ b/src/libbulrushio/connection/serverconnection.cpp
@@ -19,25 +19,30 @@
 
 namespace {
 
-/** Answers are held whole; the longest that is taken. */
-constexpr std::size_t answerBodyLimit = std::size_t{32} << 20;
-/** For how long a connection is kept where the server says nothing: below the usual 5 s and up. */
-constexpr Duration defaultIdleTime = std::chrono::seconds{4};
-/** The same for one that was made for calls to come. */
-constexpr Duration unusedIdleTime = std::chrono::minutes{1};
-/** Left of the time that a server says, so that its close doesn't cross a request. */
-constexpr Duration idleMargin = std::chrono::milliseconds{1200};
-/** A silent connection is probed after this, and given up after as much again. */
-constexpr int probeSeconds = 1;
-constexpr int probeCount = 2;
+/** Answers are kept in memory completely; longer ones are an error. */
+constexpr std::size_t maxAnswerBodyBytes = std::size_t{32} << 20;
+/** Idle time-out if the server announces none; servers usually allow 5 s or more. */
+constexpr Duration defaultIdleTimeout = std::chrono::seconds{4};
+/** Idle time-out of a connection that was opened without a call. */
+constexpr Duration unusedIdleTimeout = std::chrono::minutes{1};
+/**
+ * Subtracted from the idle time-out that a server announces, so that its close doesn't coincide
+ * with a new request.
+ */
+constexpr Duration idleTimeoutMargin = std::chrono::milliseconds{1200};
+/** Idle time before the first TCP keep-alive probe, and the interval between probes. */
+constexpr int keepAliveProbeSeconds = 1;
+/** The connection fails after this many unanswered probes. */
+constexpr int keepAliveProbeCount = 2;
+
 template<typename Value>
 void setSocketOption(asio::ip::tcp::socket &socket, int level, int name, Value value)
 {
-    // Only a help to notice dead peers sooner; a host that refuses it loses nothing else.
+    // The options only speed up the detection of dead peers, so that errors can be ignored.
     static_cast<void>(::setsockopt(socket.native_handle(), level, name, &value, sizeof(Value)));
 }
 
-std::string headText(const ServerCall &call)
+std::string requestHead(const ServerCall &call)
 {
     std::string head = call.method + ' ' + call.target + " HTTP/1.1\r\n";
     for (const HttpHeader &header : call.headers)
@@ -59,7 +64,7 @@
     , m_server(std::move(server))
     , m_run(std::move(run))
     , m_stateHandler(std::move(stateHandler))
-    , m_parser(answerBodyLimit)
+    , m_parser(maxAnswerBodyBytes)
 { }
 
 void ServerConnection::send(ServerCall call, ServerCallHandler handler)
@@ -67,7 +72,7 @@
     m_call = std::move(call);
     m_handler = std::move(handler);
     ++m_callCount;
-    m_head = headText(m_call);
+    m_head = requestHead(m_call);
     m_parser.begin(m_call.method == "HEAD");
     m_stage = TransferStage::NotConnected;
     m_times = {};
@@ -112,10 +117,10 @@
     startTimer(hostNow() + std::min(m_call.connectTimeout, m_call.timeout));
     m_socket.async_connect(
         {address, m_server.port},
-        [self = shared_from_this()](asio::error_code failure) { self->connected(failure); });
+        [self = shared_from_this()](asio::error_code failure) { self->handleConnected(failure); });
 }
 
-void ServerConnection::connected(std::error_code error)
+void ServerConnection::handleConnected(std::error_code error)
 {
     if (m_isClosed || (!m_handler && !m_isOpening))
         return;
@@ -129,7 +134,7 @@
     if (std::exchange(m_isOpening, false)) {
         m_timer.cancel();
         m_call = {};
-        m_idleUntil = hostNow() + unusedIdleTime;
+        m_idleUntil = hostNow() + unusedIdleTimeout;
         read();
         m_stateHandler(shared_from_this());
         return;
@@ -147,17 +152,18 @@
     m_socket.set_option(asio::ip::tcp::no_delay{true}, ignored);
     using std::chrono::duration_cast;
     using std::chrono::milliseconds;
-    const auto unacknowledged = duration_cast<milliseconds>(m_call.acknowledgeWithin).count();
-    setSocketOption(m_socket, IPPROTO_TCP, TCP_USER_TIMEOUT, static_cast<int>(unacknowledged));
-    // Every close is a reset, also by the system when the process ends: bytes that a cut held up
-    // must not reach the server after their call was given up.
+    const auto acknowledgeTimeoutMs = duration_cast<milliseconds>(m_call.acknowledgeWithin).count();
+    setSocketOption(m_socket, IPPROTO_TCP, TCP_USER_TIMEOUT,
+                    static_cast<int>(acknowledgeTimeoutMs));
+    // Closes with a reset, also when the system closes the socket at process exit: bytes that are
+    // delayed by a network partition must not reach the server after their call has failed.
     m_socket.set_option(asio::socket_base::linger{true, 0}, ignored);
-    if (!m_call.isProbed)
+    if (!m_call.usesTcpKeepAlive)
         return;
     setSocketOption(m_socket, SOL_SOCKET, SO_KEEPALIVE, 1);
-    setSocketOption(m_socket, IPPROTO_TCP, TCP_KEEPIDLE, probeSeconds);
-    setSocketOption(m_socket, IPPROTO_TCP, TCP_KEEPINTVL, probeSeconds);
-    setSocketOption(m_socket, IPPROTO_TCP, TCP_KEEPCNT, probeCount);
+    setSocketOption(m_socket, IPPROTO_TCP, TCP_KEEPIDLE, keepAliveProbeSeconds);
+    setSocketOption(m_socket, IPPROTO_TCP, TCP_KEEPINTVL, keepAliveProbeSeconds);
+    setSocketOption(m_socket, IPPROTO_TCP, TCP_KEEPCNT, keepAliveProbeCount);
 }
 
 void ServerConnection::write()
@@ -170,15 +176,15 @@
         parts[1] = asio::buffer(*m_call.body);
     asio::async_write(m_socket, parts,
                       [self = shared_from_this(), body = m_call.body](
-                          asio::error_code error, std::size_t) { self->written(error); });
+                          asio::error_code error, std::size_t) { self->handleWritten(error); });
     read();
 }
 
-void ServerConnection::written(std::error_code error)
+void ServerConnection::handleWritten(std::error_code error)
 {
     if (m_isClosed || !m_handler)
         return;
-    // A failed write leaves the end to the reader: the server may have answered and closed.
+    // After a failed write the read decides the result: the server may have answered and closed.
     if (error)
         return;
     m_stage = TransferStage::Sent;
@@ -194,29 +200,29 @@
         asio::buffer(m_buffer),
         [self = shared_from_this()](asio::error_code error, std::size_t length) {
             self->m_isReading = false;
-            self->received(error, length);
+            self->handleRead(error, length);
         });
 }
 
-void ServerConnection::received(std::error_code error, std::size_t length)
+void ServerConnection::handleRead(std::error_code error, std::size_t length)
 {
     if (m_isClosed)
         return;
     if (!m_handler) {
-        // The server closes, or sends what nobody asked for: either way, of no further use.
+        // The server closed the connection or sent unrequested bytes; it can't be reused.
         m_isLost = error && hostNow() < m_idleUntil;
         close();
         return;
     }
     if (!error) {
-        takeBytes({m_buffer.data(), length});
+        handleBytes({m_buffer.data(), length});
         return;
     }
-    // Only a proper end of the connection can be the end of an answer without a length.
+    // Only an orderly close can mark the end of an answer without a length.
     if (error == asio::error::eof)
         m_parser.finish();
     if (m_parser.isComplete()) {
-        if (!takeAnswer(false))
+        if (!handleAnswer(false))
             failCall(TransportError::AnswerMismatched);
         return;
     }
@@ -227,13 +233,13 @@
                                      : TransportError::ConnectionLost);
 }
 
-/** Gives up what the connection is at, at \a deadline and not before. */
+/** Fails the current call or connection attempt at \a deadline. */
 void ServerConnection::startTimer(Instant deadline)
 {
     m_timer.expires_after(std::max(Duration::zero(), deadline - hostNow()));
     m_timer.async_wait([self = shared_from_this()](asio::error_code failure) {
         if (!failure)
-            self->timedOut();
+            self->handleTimeout();
     });
 }
 
@@ -245,7 +251,7 @@
     startTimer(m_deadline);
 }
 
-void ServerConnection::takeBytes(std::string_view bytes)
+void ServerConnection::handleBytes(std::string_view bytes)
 {
     if (!m_parser.hasBegun() && m_call.answerWithin > Duration::zero())
         extendDeadline(hostNow() + m_call.answerWithin);
@@ -255,38 +261,39 @@
             failCall(m_parser.error());
             return;
         }
-        if (m_parser.isComplete() && takeAnswer(bytes.empty()))
+        if (m_parser.isComplete() && handleAnswer(bytes.empty()))
             return;
     }
     read();
 }
 
-bool ServerConnection::takeAnswer(bool isLast)
+bool ServerConnection::handleAnswer(bool isLast)
 {
-    // An answer before the end of the request leaves the rest of the request due on the connection.
+    // If the answer ends before the request is sent, the connection still owes the rest of it.
     const bool isReusable = isLast && m_parser.keepsConnection() && m_stage == TransferStage::Sent;
-    const std::optional<Duration> kept = m_parser.keepAlive();
+    const std::optional<Duration> keepAliveTime = m_parser.keepAlive();
     HttpResponse response = m_parser.takeResponse();
-    if (!isOwnAnswer(response)) {
+    if (!matchesCall(response)) {
         m_parser.begin(m_call.method == "HEAD");
         return false;
     }
     m_isConnected = isReusable;
-    m_idleUntil = hostNow() + (kept ? *kept - idleMargin : defaultIdleTime);
+    m_idleUntil =
+        hostNow() + (keepAliveTime ? *keepAliveTime - idleTimeoutMargin : defaultIdleTimeout);
     endCall({{}, TransferStage::Answered, std::move(response)});
     return true;
 }
 
-bool ServerConnection::isOwnAnswer(const HttpResponse &response) const
+bool ServerConnection::matchesCall(const HttpResponse &response) const
 {
     if (m_call.echoedField.empty())
         return true;
-    const HttpHeader *asked = findField(m_call.headers, m_call.echoedField);
-    const HttpHeader *told = findField(response.headers, m_call.echoedField);
-    // Without the field it can only be this call's if there was no other before on the connection.
-    if (!told)
+    const HttpHeader *sentField = findField(m_call.headers, m_call.echoedField);
+    const HttpHeader *answerField = findField(response.headers, m_call.echoedField);
+    // Without the field, the answer can only be attributed if this is the connection's first call.
+    if (!answerField)
         return m_callCount == 1;
-    return asked && asked->value == told->value;
+    return sentField && sentField->value == answerField->value;
 }
 
 void ServerConnection::failCall(std::error_code error)
@@ -294,7 +301,7 @@
     if (!m_handler && !m_isOpening)
         return;
     m_isConnected = false;
-    // Of a server that has not answered in time it is not known.
+    // A time-out does not show that the server has stopped.
     m_isLost = error != TransportError::TimedOut;
     if (std::exchange(m_isOpening, false))
         close();
@@ -318,7 +325,7 @@
     handler(std::move(result));
 }
 
-void ServerConnection::timedOut()
+void ServerConnection::handleTimeout()
 {
     const bool isConnecting = m_stage == TransferStage::NotConnected;
     failCall(isConnecting ? TransportError::ConnectionFailed : TransportError::TimedOut);
--- a/src/libbulrushio/connection/serverconnection.h
+++ b/src/libbulrushio/connection/serverconnection.h
@@ -16,30 +16,33 @@
 namespace bulrush::io {
 
 /**
- * One connection to a server; it carries one call at a time and never sends a request twice.
+ * One connection to a server. It carries one call at a time and never sends a request twice.
  *
- * Used on the loop's thread only.
+ * Must be used on the event loop's thread only.
  */
 class ServerConnection : public std::enable_shared_from_this<ServerConnection>
 {
 public:
-    /** Told when the connection was made, became free, or closed, for its pool. */
+    /** Called when the connection was established, became free, or was closed. */
     using StateHandler = std::function<void(const std::shared_ptr<ServerConnection> &)>;
 
-    /** \a run is the run of the server that it is to lead to. */
+    /** \a run is the run of the server that the connection is for. */
     ServerConnection(asio::io_context &loop, Endpoint server, std::string run,
                      StateHandler stateHandler);
 
     ServerConnection(const ServerConnection &) = delete;
     ServerConnection &operator=(const ServerConnection &) = delete;
 
-    /** Sends \a call and hands its end to \a handler, never from within. \pre isFree() */
+    /**
+     * Sends \a call and passes its result to \a handler, which is never called from within this
+     * method. \pre isFree()
+     */
     void send(ServerCall call, ServerCallHandler handler);
 
-    /** Connects as \a like would, for calls to come. \pre nothing was sent on it */
+    /** Connects with the time-outs of \a like, for later calls. \pre nothing was sent on it */
     void open(const ServerCall &like);
 
-    /** Closes the connection; the handler of a call on it is not called any more. */
+    /** Closes the connection; the handler of a call on it is not called. */
     void close();
 
     const Endpoint &server() const;
@@ -48,47 +51,48 @@
     /** \returns whether a call can be sent. */
     bool isFree() const;
 
-    /** \returns whether the connection has ended. */
+    /** \returns whether the connection is closed. */
     bool isClosed() const;
 
-    /** \returns whether it is established and has not ended. */
+    /** \returns whether the connection is established and not closed. */
     bool isConnected() const;
 
     /**
-     * \returns whether it could not be made, or was ended by the other side, neither with an answer
-     * that said so nor after the idle time that the server allows: the server may have ended.
+     * \returns whether the connection could not be established, or failed, or was closed by the
+     * server without an announcement in an answer and before the idle time-out: the server may have
+     * stopped.
      */
     bool isLost() const;
 
-    /** \returns whether it could not be made as nobody listens: the server has ended. */
+    /** \returns whether the address refused the connection: the server has stopped. */
     bool isRefused() const;
 
-    /** \returns until when the connection may be used again. \pre isFree() */
+    /** \returns the time until which the connection may be reused. \pre isFree() */
     Instant idleUntil() const;
 
-    /** \returns when the call on it took its steps. */
+    /** \returns the times of the steps of the current call. */
     const CallTimes &times() const;
 
-    /** \returns how far the call on it has come. */
+    /** \returns the stage of the current call. */
     TransferStage stage() const;
 
 private:
     void connect();
-    void connected(std::error_code error);
+    void handleConnected(std::error_code error);
     void setOptions();
     void write();
-    void written(std::error_code error);
+    void handleWritten(std::error_code error);
     void read();
-    void received(std::error_code error, std::size_t length);
+    void handleRead(std::error_code error, std::size_t length);
     void startTimer(Instant deadline);
     void extendDeadline(Instant deadline);
-    void takeBytes(std::string_view bytes);
-    /** \returns whether the answer is the call's own; another's is dropped. */
-    bool takeAnswer(bool isLast);
-    bool isOwnAnswer(const HttpResponse &response) const;
+    void handleBytes(std::string_view bytes);
+    /** \returns whether the answer belongs to the current call; any other answer is dropped. */
+    bool handleAnswer(bool isLast);
+    bool matchesCall(const HttpResponse &response) const;
     void failCall(std::error_code error);
     void endCall(HttpResult result);
-    void timedOut();
+    void handleTimeout();
 
     asio::io_context &m_loop;
     asio::ip::tcp::socket m_socket;
@@ -105,10 +109,10 @@
     Instant m_idleUntil;
     Instant m_deadline;
     CallTimes m_times;
-    /** Calls that were sent on it so far. */
+    /** The number of calls sent on this connection so far. */
     int m_callCount = 0;
     bool m_isConnected = false;
-    /** It is being made without a call. */
+    /** Whether the connection is being established without a call. */
     bool m_isOpening = false;
     bool m_isReading = false;
     bool m_isClosed = false;
