--- a/src/libbulrushio/connection/callerconnection.cpp
+++ b/src/libbulrushio/connection/callerconnection.cpp
@@ -14,24 +14,25 @@
 
 namespace {
 
-constexpr std::chrono::seconds lingerTime{2};
-constexpr std::size_t dropBufferSize = 4096;
-constexpr std::size_t lingerBytes = std::size_t{1024} * 1024;
+constexpr std::chrono::seconds lingerTimeout{2};
+constexpr std::size_t discardBufferSize = 4096;
+constexpr std::size_t maxDiscardedBytes = std::size_t{1024} * 1024;
 constexpr int badRequest = 400;
 constexpr int requestTimeout = 408;
 constexpr std::string_view continueLine = "HTTP/1.1 100 Continue\r\n\r\n";
 
-thread_local CallerConnection *currentConnection = nullptr;
+thread_local CallerConnection *activeConnection = nullptr;
 
-void sendAtOnce(asio::ip::tcp::socket &socket, std::string_view bytes)
+void sendNonBlocking(asio::ip::tcp::socket &socket, std::string_view bytes)
 {
-    // Short, into an empty send buffer: what doesn't fit belongs to a caller that doesn't read.
+    // The text is short and the send buffer empty. It only fails to fit if the caller does not
+    // read.
     const ssize_t sent =
         ::send(socket.native_handle(), bytes.data(), bytes.size(), MSG_DONTWAIT | MSG_NOSIGNAL);
     static_cast<void>(sent);
 }
 
-std::string refusalText(int status)
+std::string formatRefusal(int status)
 {
     const HttpResponse response = refusal(status);
     std::string text = statusLine(status);
@@ -64,34 +65,34 @@
     return !m_isClosed && m_socket.is_open();
 }
 
-void CallerConnection::listIn(const std::shared_ptr<CallerRegistry> &registry)
+void CallerConnection::registerWith(const std::shared_ptr<CallerRegistry> &registry)
 {
     m_registry = registry;
     m_server = registry->server();
-    m_wholeBodyLimit = registry->wholeBodyLimit();
+    m_bufferedBodyLimit = registry->wholeBodyLimit();
     registry->add(this);
 }
 
 std::uint64_t CallerConnection::wholeBodyLimit() const
 {
-    return m_wholeBodyLimit;
+    return m_bufferedBodyLimit;
 }
 
-void CallerConnection::noteRead(std::error_code error, std::size_t length)
+void CallerConnection::recordRead(std::error_code error, std::size_t length)
 {
     m_unhandledBytes += length;
     m_hasReadFailed = m_hasReadFailed || error;
 }
 
-void CallerConnection::noteRequest()
+void CallerConnection::recordRequest()
 {
     m_unhandledBytes = 0;
 }
 
-void CallerConnection::noteUpload(std::uint64_t length)
+void CallerConnection::recordUpload(std::uint64_t length)
 {
     m_upload = length;
-    noteRequest();
+    recordRequest();
 }
 
 std::optional<std::uint64_t> CallerConnection::takeUpload()
@@ -107,7 +108,7 @@
 void CallerConnection::sendContinue()
 {
     if (m_openExchanges == 0)
-        sendAtOnce(m_socket, continueLine);
+        sendNonBlocking(m_socket, continueLine);
 }
 
 int CallerConnection::beginExchange(const std::shared_ptr<CallerLink> &link)
@@ -123,24 +124,24 @@
     --m_openExchanges;
 }
 
-bool CallerConnection::decideClose(int number, bool isAsked)
+bool CallerConnection::decideClose(int number, bool isCloseRequested)
 {
     const auto registry = m_registry.lock();
     const bool isDraining = !registry || registry->isDraining();
-    // An answer that ended the connection would cut off those to later requests.
-    const bool isClosing = isAsked || (isDraining && number == m_exchanges);
-    m_takesRequests = m_takesRequests && !isClosing;
+    // Closing after this answer would cut off the answers to later requests.
+    const bool isClosing = isCloseRequested || (isDraining && number == m_exchanges);
+    m_acceptsRequests = m_acceptsRequests && !isClosing;
     return isClosing;
 }
 
-void CallerConnection::takeNoMore()
+void CallerConnection::stopAcceptingRequests()
 {
-    m_takesRequests = false;
+    m_acceptsRequests = false;
 }
 
-bool CallerConnection::takesRequests() const
+bool CallerConnection::acceptsRequests() const
 {
-    return m_takesRequests;
+    return m_acceptsRequests;
 }
 
 void CallerConnection::closeIfIdle()
@@ -157,35 +158,35 @@
 {
     if (m_isClosed)
         return;
-    const std::optional<int> refusal = dueRefusal();
+    const std::optional<int> refusal = pendingRefusal();
     if (!refusal) {
         closeNow();
         return;
     }
-    sendAtOnce(m_socket, refusalText(*refusal));
+    sendNonBlocking(m_socket, formatRefusal(*refusal));
     lingerAndClose();
 }
 
 void CallerConnection::lingerAndClose()
 {
     m_isClosed = true;
-    tellLinks();
+    notifyLinks();
     asio::error_code ignored;
     m_socket.shutdown(asio::ip::tcp::socket::shutdown_send, ignored);
     m_socket.cancel(ignored);
-    m_dropBuffer.resize(dropBufferSize);
-    m_lingerTimer.expires_after(lingerTime);
+    m_discardBuffer.resize(discardBufferSize);
+    m_lingerTimer.expires_after(lingerTimeout);
     m_lingerTimer.async_wait([self = shared_from_this()](asio::error_code error) {
         if (!error)
             self->closeNow();
     });
-    dropIncoming();
+    discardIncoming();
 }
 
 void CallerConnection::closeNow()
 {
     m_isClosed = true;
-    tellLinks();
+    notifyLinks();
     m_lingerTimer.cancel();
     asio::error_code ignored;
     m_socket.shutdown(asio::ip::tcp::socket::shutdown_both, ignored);
@@ -193,49 +194,49 @@
 }
 
 CallerConnection::Scope::Scope(CallerConnection *connection)
-    : m_outer(std::exchange(currentConnection, connection))
+    : m_outer(std::exchange(activeConnection, connection))
 { }
 
 CallerConnection::Scope::~Scope()
 {
-    currentConnection = m_outer;
+    activeConnection = m_outer;
 }
 
 CallerConnection *CallerConnection::current()
 {
-    return currentConnection;
+    return activeConnection;
 }
 
-std::optional<int> CallerConnection::dueRefusal() const
+std::optional<int> CallerConnection::pendingRefusal() const
 {
-    if (m_openExchanges > 0 || !m_takesRequests || m_hasReadFailed || !m_socket.is_open())
+    if (m_openExchanges > 0 || !m_acceptsRequests || m_hasReadFailed || !m_socket.is_open())
         return std::nullopt;
     if (m_refusal)
         return m_refusal;
     if (m_unhandledBytes == 0)
         return std::nullopt;
-    // Bytes that the parser refused end the connection while they are handled, a timer does not.
-    return currentConnection == this ? badRequest : requestTimeout;
+    // The parser closes the connection while its bytes are being handled; a time-out does not.
+    return activeConnection == this ? badRequest : requestTimeout;
 }
 
-void CallerConnection::tellLinks()
+void CallerConnection::notifyLinks()
 {
     for (const std::weak_ptr<CallerLink> &weak : std::exchange(m_links, {})) {
         if (const auto link = weak.lock())
-            asio::post(m_socket.get_executor(), [link] { link->tellGone(); });
+            asio::post(m_socket.get_executor(), [link] { link->notifyDisconnect(); });
     }
 }
 
-void CallerConnection::dropIncoming()
+void CallerConnection::discardIncoming()
 {
     m_socket.async_read_some(
-        asio::buffer(m_dropBuffer),
+        asio::buffer(m_discardBuffer),
         [self = shared_from_this()](asio::error_code error, std::size_t length) {
-            self->m_droppedBytes += length;
-            if (error || self->m_droppedBytes > lingerBytes)
+            self->m_discardedBytes += length;
+            if (error || self->m_discardedBytes > maxDiscardedBytes)
                 self->closeNow();
             else
-                self->dropIncoming();
+                self->discardIncoming();
         });
 }
 
@@ -249,14 +250,14 @@
     return m_server.lock();
 }
 
-void CallerRegistry::setWholeBodyLimit(std::uint64_t limit)
+void CallerRegistry::setBufferedBodyLimit(std::uint64_t limit)
 {
-    m_wholeBodyLimit = limit;
+    m_bufferedBodyLimit = limit;
 }
 
 std::uint64_t CallerRegistry::wholeBodyLimit() const
 {
-    return m_wholeBodyLimit;
+    return m_bufferedBodyLimit;
 }
 
 void CallerRegistry::add(CallerConnection *connection)
--- a/src/libbulrushio/connection/callerconnection.h
+++ b/src/libbulrushio/connection/callerconnection.h
@@ -18,10 +18,10 @@
 class CallerRegistry;
 
 /**
- * A caller's socket and what the server has to know of it beside the parser: whether a close is
- * due to a fault of the caller, which is then told of it, and who waits for the caller.
+ * A caller's socket together with the state that the server keeps outside the HTTP parser: the
+ * refusal to send before a close that the caller has caused, and the links of its open requests.
  *
- * Used on the loop's thread only.
+ * Must be used on the event loop's thread only.
  */
 class CallerConnection : public std::enable_shared_from_this<CallerConnection>
 {
@@ -37,64 +37,70 @@
     /** \returns whether the connection can still be used. */
     bool isOpen() const;
 
-    /** Lists the connection in \a registry as long as it lives, and keeps the server as long. */
-    void listIn(const std::shared_ptr<CallerRegistry> &registry);
+    /** Registers the connection with \a registry, and keeps the server alive, until destruction. */
+    void registerWith(const std::shared_ptr<CallerRegistry> &registry);
 
-    /** \returns the length up to which bodies on this connection are held whole. */
+    /**
+     * \returns the length up to which request bodies on this connection are buffered completely.
+     */
     std::uint64_t wholeBodyLimit() const;
 
-    /** Notes the end of a read of \a length bytes. */
-    void noteRead(std::error_code error, std::size_t length);
+    /** Records the result of a read of \a length bytes. */
+    void recordRead(std::error_code error, std::size_t length);
 
-    /** Notes that a request came whole, as far as its body is held. */
-    void noteRequest();
+    /** Records that a request is complete, including its body if that is buffered. */
+    void recordRequest();
 
-    /** Notes that a body of \a length will be read by whoever handles the request. */
-    void noteUpload(std::uint64_t length);
+    /** Records that the handler of the request reads its body of \a length. */
+    void recordUpload(std::uint64_t length);
 
-    /** \returns the length of the body noted by noteUpload(), once. */
+    /** \returns the length set by recordUpload() and clears it. */
     std::optional<std::uint64_t> takeUpload();
 
-    /** Sets the status that a caller gets whose request is refused unread. */
+    /** Sets the status that close() sends to a caller whose request is refused by the parser. */
     void refuse(int status);
 
-    /** Tells a caller that waits for it to send its body. */
+    /** Sends 100 Continue to a caller that waits for it before it sends its body. */
     void sendContinue();
 
     /**
-     * Counts a request as open, and lets \a link know if the caller goes away.
-     * \returns the number of the request on this connection.
+     * Counts a request as open; \a link is notified if the caller disconnects.
+     * \returns the ordinal of the request on this connection.
      */
     int beginExchange(const std::shared_ptr<CallerLink> &link);
 
-    /** Counts one open request less. */
+    /** Counts a request as finished. */
     void endExchange();
 
     /**
-     * Decides whether the answer to request \a number ends the connection: if \a isAsked, or the
-     * server drains and no later request has come. If so, no further request is taken.
+     * Decides whether the connection closes after the answer to request \a number: if
+     * \a isCloseRequested, or if the server drains and no later request has arrived. If so, no
+     * further request is accepted.
      */
-    bool decideClose(int number, bool isAsked);
+    bool decideClose(int number, bool isCloseRequested);
 
-    /** Has requests that come later dropped, as the one that came now is the last. */
-    void takeNoMore();
+    /** Makes the current request the last one; later requests are dropped. */
+    void stopAcceptingRequests();
 
-    /** \returns whether further requests are taken. */
-    bool takesRequests() const;
+    /** \returns whether further requests are accepted. */
+    bool acceptsRequests() const;
 
-    /** Closes the connection if no request is open or coming. */
+    /** Closes the connection if no request is open or being received. */
     void closeIfIdle();
 
-    /** Closes for the server: a caller at fault is told first, then given time to read it. */
+    /**
+     * Closes the connection on behalf of the server. If the caller caused the close, a refusal is
+     * sent first, and the caller gets time to read it.
+     */
     void close();
 
-    /** Closes after what was written has been sent, reading and dropping what still comes. */
+    /** Closes after all written bytes were sent; bytes received until then are discarded. */
     void lingerAndClose();
 
-    /** Closes at once. */
+    /** Closes immediately. */
     void closeNow();
 
-    /** Makes the connection the current one of this thread for its life. */
+    /** Makes the connection the current one of this thread during the scope's lifetime. */
     class Scope
     {
     public:
@@ -108,59 +114,59 @@
         CallerConnection *m_outer;
     };
 
-    /** \returns the connection whose bytes are being handled on this thread, or null. */
+    /** \returns the connection whose event is being handled on this thread, or null. */
     static CallerConnection *current();
 
 private:
-    std::optional<int> dueRefusal() const;
-    void tellLinks();
-    void dropIncoming();
+    std::optional<int> pendingRefusal() const;
+    void notifyLinks();
+    void discardIncoming();
 
     asio::ip::tcp::socket m_socket;
     asio::steady_timer m_lingerTimer;
     std::weak_ptr<CallerRegistry> m_registry;
     std::shared_ptr<void> m_server;
     std::vector<std::weak_ptr<CallerLink>> m_links;
-    std::string m_dropBuffer;
-    std::uint64_t m_wholeBodyLimit = 0;
+    std::string m_discardBuffer;
+    std::uint64_t m_bufferedBodyLimit = 0;
     std::optional<std::uint64_t> m_upload;
     std::optional<int> m_refusal;
     std::size_t m_unhandledBytes = 0;
-    std::size_t m_droppedBytes = 0;
+    std::size_t m_discardedBytes = 0;
     int m_openExchanges = 0;
     int m_exchanges = 0;
     bool m_hasReadFailed = false;
-    bool m_takesRequests = true;
+    bool m_acceptsRequests = true;
     bool m_isClosed = false;
 };
 
-/** The connections of one server. Used on the loop's thread only. */
+/** The connections of one server. Must be used on the event loop's thread only. */
 class CallerRegistry
 {
 public:
-    /** Sets the server, which must not end before its connections. */
+    /** Sets the server that the connections keep alive. */
     void setServer(std::weak_ptr<void> server);
 
-    /** \returns the server, to be held by a connection. */
+    /** \returns an owning reference to the server, or null if it was destroyed. */
     std::shared_ptr<void> server() const;
 
-    /** Sets the length up to which bodies are held whole, before any connection is added. */
-    void setWholeBodyLimit(std::uint64_t limit);
+    /** Sets the length up to which bodies are buffered completely. \pre no connection was added */
+    void setBufferedBodyLimit(std::uint64_t limit);
     std::uint64_t wholeBodyLimit() const;
 
     void add(CallerConnection *connection);
     void remove(CallerConnection *connection);
 
-    /** \returns the connections that are open. */
+    /** \returns the number of open connections. */
     std::size_t count() const;
 
-    /** Has each answer from now on end its connection. */
+    /** From now on, each answer closes its connection, unless a later request has arrived on it. */
     void drain();
 
-    /** Closes the connections that have no request open. */
+    /** Closes the connections without an open request. */
     void closeIdle();
 
-    /** Closes all connections at once. */
+    /** Closes all connections immediately. */
     void closeNow();
 
     bool isDraining() const;
@@ -168,7 +174,7 @@
 private:
     std::weak_ptr<void> m_server;
     std::vector<CallerConnection *> m_connections;
-    std::uint64_t m_wholeBodyLimit = 0;
+    std::uint64_t m_bufferedBodyLimit = 0;
     bool m_isDraining = false;
 };
 
--- a/src/libbulrushio/connection/callerlink.h
+++ b/src/libbulrushio/connection/callerlink.h
@@ -7,66 +7,69 @@
 
 namespace bulrush::io {
 
-/** What follows the bytes that are written to a caller. */
+/** The position of written bytes in an answer. */
 enum class WritePart {
-    More,         ///< the answer goes on
-    Last,         ///< the answer ends; the connection is kept
-    LastAndClose, ///< the answer ends, then the connection is closed
+    More,         ///< further parts follow
+    Last,         ///< the last part; the connection stays open
+    LastAndClose, ///< the last part; the connection is closed after it
 };
 
 /**
- * One request's way to its caller: the rest of its body in, the bytes of its answer out.
+ * Connects a request to its caller: reads the remaining body and writes the answer.
  *
- * All methods are called on the loop's thread; no handler is called from within them.
+ * All methods must be called on the event loop's thread; no handler is called from within them.
  */
 class CallerLink
 {
 public:
-    /** Takes the next bytes of the body; none and no error mean its end. */
+    /** Receives the next bytes of the body; no bytes and no error mark its end. */
     using BodyHandler = std::function<void(std::error_code, std::string)>;
-    /** Told when bytes were handed to the connection, or that they never will be. */
+    /** Called when bytes were passed to the connection, or with an error if they can't be. */
     using WrittenHandler = std::function<void(std::error_code)>;
-    using GoneHandler = std::function<void()>;
+    using DisconnectHandler = std::function<void()>;
 
     virtual ~CallerLink() = default;
 
-    /** Reads the next bytes of the body. \pre the last read has ended. */
+    /** Reads the next bytes of the body. \pre the previous read has completed */
     virtual void readBody(BodyHandler handler) = 0;
 
-    /** Writes \a bytes after those written before. */
+    /** Writes \a bytes after all earlier ones. */
     virtual void write(std::string bytes, WritePart part, WrittenHandler handler) = 0;
 
-    /** Closes the connection at once, whatever is still to be written. */
+    /** Closes the connection immediately and drops unsent bytes. */
     virtual void abort() = 0;
 
     /**
-     * Decides whether the connection closes after this answer; if so, it takes no further
-     * requests. \a isAsked tells that the answer itself asks for it.
+     * Decides whether the connection closes after this answer; if so, it accepts no further
+     * requests. \a isCloseRequested is set if the request or its answer requires the close.
      */
-    virtual bool decideClose(bool isAsked) = 0;
+    virtual bool decideClose(bool isCloseRequested) = 0;
 
-    /** Sets what is called, once, if the caller goes away before its answer is written. */
-    void setGoneHandler(GoneHandler handler);
+    /**
+     * Sets the handler that is called, once, if the caller disconnects before its answer is
+     * written.
+     */
+    void setGoneHandler(DisconnectHandler handler);
 
-    /** Lets go of the connection, and calls the handler set, if any. */
-    void tellGone();
+    /** Releases the connection and calls the disconnect handler, if one is set. */
+    void notifyDisconnect();
 
 private:
-    virtual void letGo()
+    virtual void releaseConnection()
     { }
 
-    GoneHandler m_goneHandler;
+    DisconnectHandler m_disconnectHandler;
 };
 
-inline void CallerLink::setGoneHandler(GoneHandler handler)
+inline void CallerLink::setGoneHandler(DisconnectHandler handler)
 {
-    m_goneHandler = std::move(handler);
+    m_disconnectHandler = std::move(handler);
 }
 
-inline void CallerLink::tellGone()
+inline void CallerLink::notifyDisconnect()
 {
-    letGo();
-    if (const auto handler = std::exchange(m_goneHandler, nullptr))
+    releaseConnection();
+    if (const auto handler = std::exchange(m_disconnectHandler, nullptr))
         handler();
 }
 
--- a/src/libbulrushio/connection/callerserver.cpp
+++ b/src/libbulrushio/connection/callerserver.cpp
@@ -14,7 +14,7 @@
 
 namespace bulrush::io {
 
-// RESTinio looks these two up for the type of its socket, and names them.
+// RESTinio finds these two functions by overload resolution on the socket type, under these names.
 // NOLINTBEGIN(readability-identifier-naming)
 
 template<typename Connection, typename StartRead, typename Failed>
@@ -43,27 +43,27 @@
 constexpr int versionNotSupported = 505;
 
 /**
- * Requests taken from a connection at a time, so that none waits unread behind a slow one; with two
- * or more, a caller's close shows meanwhile.
+ * Maximum number of requests of a connection in progress, so that none stays unread behind a slow
+ * one. With two or more, a caller's close is also detected while its request is being handled.
  */
-constexpr std::size_t pipelinedRequests = 16;
+constexpr std::size_t maxPipelinedRequests = 16;
 constexpr std::size_t readBufferSize = std::size_t{8} * 1024;
-constexpr std::size_t parallelAccepts = 4;
-constexpr std::chrono::milliseconds longestTimerPeriod{500};
-constexpr std::chrono::milliseconds shortestTimerPeriod{5};
+constexpr std::size_t concurrentAccepts = 4;
+constexpr std::chrono::milliseconds maxTimerPeriod{500};
+constexpr std::chrono::milliseconds minTimerPeriod{5};
 
-/** Names RESTinio's methods, and selects our settings of its parser. */
+/** RESTinio's default methods; as a distinct type, it selects the parser settings defined below. */
 class CallerMethods : public restinio::default_http_methods_t
 { };
 
 using ParserContext = restinio::impl::http_parser_ctx_t;
 
-ParserContext &contextOf(const http_parser *parser)
+ParserContext &parserContext(const http_parser *parser)
 {
     return *static_cast<ParserContext *>(parser->data);
 }
 
-/** Ends the parsing; the caller gets \a status as the connection closes. */
+/** Aborts parsing; the caller receives \a status when the connection is closed. */
 int refuse(int status)
 {
     if (CallerConnection *connection = CallerConnection::current())
@@ -71,7 +71,7 @@
     return -1;
 }
 
-int headStatus(const http_parser *parser, const ParserContext &context)
+int checkHead(const http_parser *parser, const ParserContext &context)
 {
     if (parser->http_major != 1 || parser->http_minor != 1)
         return versionNotSupported;
@@ -115,7 +115,7 @@
     return result == 0 ? 0 : refuse(headerTooLarge);
 }
 
-/** \returns the length up to which the connection's bodies are held whole. */
+/** \returns the length up to which bodies on the current connection are buffered completely. */
 std::uint64_t wholeBodyLimit()
 {
     const CallerConnection *connection = CallerConnection::current();
@@ -124,10 +124,10 @@
 
 int onHeadersComplete(http_parser *parser)
 {
-    ParserContext &context = contextOf(parser);
-    // No change of protocol is offered; the mark is used for large bodies instead.
+    ParserContext &context = parserContext(parser);
+    // Protocol upgrades are not supported; the flag marks large bodies instead.
     parser->upgrade = 0;
-    if (const int status = headStatus(parser, context); status != 0)
+    if (const int status = checkHead(parser, context); status != 0)
         return refuse(status);
     CallerConnection *connection = CallerConnection::current();
     const bool hasBody =
@@ -138,7 +138,7 @@
         parser->content_length == ULLONG_MAX || parser->content_length <= wholeBodyLimit();
     if (isSmall)
         return restinio::impl::restinio_headers_complete_cb(parser);
-    // Not RESTinio's callback: it would reserve room for the whole body.
+    // RESTinio's callback is skipped, as it would reserve memory for the complete body.
     context.m_leading_headers_completed = true;
     return 0;
 }
@@ -146,32 +146,36 @@
 int onMessageComplete(http_parser *parser)
 {
     if (CallerConnection *connection = CallerConnection::current())
-        connection->noteRequest();
+        connection->recordRequest();
     return restinio::impl::restinio_message_complete_cb<CallerMethods>(parser);
 }
 
-/** Hands a request with a large body on, by its first bytes, as if it asked for an upgrade. */
-int handUpload(http_parser *parser, std::uint64_t length, std::string_view firstBytes)
+/**
+ * Passes a request with a large body to the request handler with the first bytes of its body. It
+ * uses RESTinio's mechanism for upgrades, which hands over the socket.
+ */
+int startUpload(http_parser *parser, std::uint64_t length, std::string_view firstBytes)
 {
     CallerConnection *connection = CallerConnection::current();
     if (!connection)
         return -1;
-    connection->noteUpload(length);
-    contextOf(parser).m_body.assign(firstBytes);
+    connection->recordUpload(length);
+    parserContext(parser).m_body.assign(firstBytes);
     parser->upgrade = 1;
     return restinio::impl::restinio_message_complete_cb<CallerMethods>(parser);
 }
 
 int onBody(http_parser *parser, const char *at, std::size_t length)
 {
-    const std::size_t held = contextOf(parser).m_body.size() + length;
+    const std::size_t bufferedBytes = parserContext(parser).m_body.size() + length;
     if (isChunked(parser))
-        return held > wholeBodyLimit() ? refuse(lengthRequired)
-                                       : restinio::impl::restinio_body_cb(parser, at, length);
-    // The parser has taken these bytes off already.
-    const std::uint64_t whole = parser->content_length + held;
-    if (whole > wholeBodyLimit())
-        return handUpload(parser, whole, {at, length});
+        return bufferedBytes > wholeBodyLimit()
+            ? refuse(lengthRequired)
+            : restinio::impl::restinio_body_cb(parser, at, length);
+    // The parser has already subtracted these bytes from content_length.
+    const std::uint64_t bodyLength = parser->content_length + bufferedBytes;
+    if (bodyLength > wholeBodyLimit())
+        return startUpload(parser, bodyLength, {at, length});
     return restinio::impl::restinio_body_cb(parser, at, length);
 }
 
@@ -200,7 +204,7 @@
 
 namespace {
 
-/** Lists each connection as it is accepted. */
+/** Registers each accepted connection. */
 class AcceptListener
 {
 public:
@@ -215,7 +219,7 @@
         const auto cause = notice.cause();
         if (connection
             && restinio::holds_alternative<restinio::connection_state::accepted_t>(cause))
-            connection->listIn(m_registry);
+            connection->registerWith(m_registry);
     }
 
 private:
@@ -236,7 +240,7 @@
 using Server = restinio::http_server_t<CallerTraits>;
 using RestinioConnection = restinio::impl::connection_t<CallerTraits>;
 
-restinio::response_output_flags_t flagsOf(WritePart part)
+restinio::response_output_flags_t outputFlags(WritePart part)
 {
     return {part == WritePart::More ? restinio::response_parts_attr_t::not_final_parts
                                     : restinio::response_parts_attr_t::final_parts,
@@ -245,7 +249,7 @@
                 : restinio::response_connection_attr_t::connection_keepalive};
 }
 
-/** The link of a request that RESTinio read whole: its answer goes through RESTinio. */
+/** The link of a request whose body RESTinio buffered; its answer is written through RESTinio. */
 class RestinioLink : public CallerLink
 {
 public:
@@ -270,19 +274,19 @@
         m_connection->closeNow();
     }
 
-    bool decideClose(bool isAsked) override
+    bool decideClose(bool isCloseRequested) override
     {
-        return m_connection->decideClose(m_number, isAsked);
+        return m_connection->decideClose(m_number, isCloseRequested);
     }
 
-    /** Sets the number of the request on its connection. */
+    /** Sets the ordinal of the request on its connection. */
     void setNumber(int number)
     {
         m_number = number;
     }
 
 private:
-    void letGo() override
+    void releaseConnection() override
     {
         m_handle.reset();
     }
@@ -309,15 +313,16 @@
                                    connection = m_connection](const asio::error_code &error) {
         if (part != WritePart::More)
             connection->endExchange();
-        const std::error_code told =
+        const std::error_code writeError =
             error ? make_error_code(TransportError::CallerGone) : std::error_code{};
         if (handler)
-            asio::post(connection->socket().get_executor(), [handler, told] { handler(told); });
+            asio::post(connection->socket().get_executor(),
+                       [handler, writeError] { handler(writeError); });
     });
-    m_handle->write_response_parts(m_requestId, flagsOf(part), std::move(group));
+    m_handle->write_response_parts(m_requestId, outputFlags(part), std::move(group));
 }
 
-RequestHead headOf(const restinio::request_t &request)
+RequestHead toRequestHead(const restinio::request_t &request)
 {
     const restinio::http_request_header_t &header = request.header();
     RequestHead head{header.method().c_str(), header.request_target(), {}};
@@ -327,7 +332,7 @@
     return head;
 }
 
-/** Checks what the parser lets pass and the next server might read in another way. */
+/** Rejects input that the parser accepts but the next server might interpret differently. */
 bool isWellFormed(const RequestHead &head)
 {
     const auto isPrintable = [](unsigned char c) {
@@ -337,13 +342,13 @@
         && std::ranges::all_of(head.headers, isSafeField);
 }
 
-bool isKeptAlive(const RequestHead &head)
+bool requestsKeepAlive(const RequestHead &head)
 {
     const std::vector<std::string_view> values = fieldValues(head.headers, "Connection");
     return std::ranges::none_of(values, [](auto value) { return listHolds(value, "close"); });
 }
 
-std::string textOf(const asio::ip::tcp::endpoint &endpoint)
+std::string formatEndpoint(const asio::ip::tcp::endpoint &endpoint)
 {
     const std::string address = endpoint.address().to_string();
     const std::string port = std::to_string(endpoint.port());
@@ -352,7 +357,7 @@
 
 } // namespace
 
-/** The server; its connections outlive it, so they hold the core only. */
+/** The server. Its connections may outlive it, so they refer to the core only. */
 class CallerServer::Impl
 {
 public:
@@ -371,12 +376,12 @@
         ProgressLimits limits;
     };
 
-    static restinio::request_handling_status_t take(Core &core,
-                                                    const restinio::request_handle_t &request);
-    static std::shared_ptr<CallerLink> wholeLink(CallerConnection &connection,
-                                                 restinio::request_t &request);
-    static std::shared_ptr<CallerLink> uploadLink(const Core &core, restinio::request_t &request,
-                                                  std::uint64_t length);
+    static restinio::request_handling_status_t
+    handleRequest(Core &core, const restinio::request_handle_t &request);
+    static std::shared_ptr<CallerLink> createRestinioLink(CallerConnection &connection,
+                                                          restinio::request_t &request);
+    static std::shared_ptr<CallerLink>
+    createUploadLink(const Core &core, restinio::request_t &request, std::uint64_t length);
     void configure(restinio::server_settings_t<CallerTraits> &settings);
     void setTimeouts(restinio::server_settings_t<CallerTraits> &settings) const;
 
@@ -395,7 +400,7 @@
                                         [this](auto &target) { configure(target); }))
 {
     m_registry->setServer(m_server);
-    m_registry->setWholeBodyLimit(m_settings.wholeBodyLimit);
+    m_registry->setBufferedBodyLimit(m_settings.wholeBodyLimit);
 }
 
 std::error_code CallerServer::Impl::listen()
@@ -409,36 +414,37 @@
 }
 
 restinio::request_handling_status_t
-CallerServer::Impl::take(Core &core, const restinio::request_handle_t &request)
+CallerServer::Impl::handleRequest(Core &core, const restinio::request_handle_t &request)
 {
     CallerConnection *connection = CallerConnection::current();
     if (!connection)
         return restinio::request_rejected();
-    if (!connection->takesRequests())
-        return restinio::request_accepted(); // never answered: the answer before it was the last
+    if (!connection->acceptsRequests())
+        return restinio::request_accepted(); // stays unanswered: the connection closes after the
+                                             // previous answer
     const std::optional<std::uint64_t> upload = connection->takeUpload();
-    RequestHead head = headOf(*request);
-    const std::shared_ptr<CallerLink> link =
-        upload ? uploadLink(core, *request, *upload) : wholeLink(*connection, *request);
+    RequestHead head = toRequestHead(*request);
+    const std::shared_ptr<CallerLink> link = upload ? createUploadLink(core, *request, *upload)
+                                                    : createRestinioLink(*connection, *request);
     const bool isUsable = isWellFormed(head);
-    const bool isLast = upload || !isUsable || !isKeptAlive(head);
+    const bool isLast = upload || !isUsable || !requestsKeepAlive(head);
     if (isLast)
-        connection->takeNoMore();
+        connection->stopAcceptingRequests();
     auto writer = std::make_shared<ResponseWriter>(link, head.method == "HEAD", !isLast);
     if (!isUsable) {
         writer->send(refusal(badRequest));
         return restinio::request_accepted();
     }
-    core.handler(std::make_shared<IncomingRequest>(std::move(head),
-                                                   upload ? std::string{} : request->body(),
-                                                   upload.value_or(request->body().size()),
-                                                   textOf(request->remote_endpoint()), link),
-                 std::move(writer));
+    core.handler(
+        std::make_shared<IncomingRequest>(std::move(head), upload ? std::string{} : request->body(),
+                                          upload.value_or(request->body().size()),
+                                          formatEndpoint(request->remote_endpoint()), link),
+        std::move(writer));
     return restinio::request_accepted();
 }
 
-std::shared_ptr<CallerLink> CallerServer::Impl::wholeLink(CallerConnection &connection,
-                                                          restinio::request_t &request)
+std::shared_ptr<CallerLink> CallerServer::Impl::createRestinioLink(CallerConnection &connection,
+                                                                   restinio::request_t &request)
 {
     auto link = std::make_shared<RestinioLink>(connection.shared_from_this(),
                                                restinio::impl::access_req_connection(request),
@@ -447,16 +453,17 @@
     return link;
 }
 
-std::shared_ptr<CallerLink>
-CallerServer::Impl::uploadLink(const Core &core, restinio::request_t &request, std::uint64_t length)
+std::shared_ptr<CallerLink> CallerServer::Impl::createUploadLink(const Core &core,
+                                                                 restinio::request_t &request,
+                                                                 std::uint64_t length)
 {
     auto handle = restinio::impl::access_req_connection(request);
     auto internals = static_cast<RestinioConnection &>(*handle).move_upgrade_internals();
     using Monitor = decltype(internals.m_lifetime_monitor);
-    auto holder = std::make_shared<Monitor>(std::move(internals.m_lifetime_monitor));
+    auto lifetimeMonitor = std::make_shared<Monitor>(std::move(internals.m_lifetime_monitor));
     const std::shared_ptr<CallerConnection> &connection = internals.m_socket.connection();
     auto link = std::make_shared<UploadLink>(connection, request.body(), length, core.limits,
-                                             std::move(holder));
+                                             std::move(lifetimeMonitor));
     connection->beginExchange(link);
     return link;
 }
@@ -466,12 +473,12 @@
     settings.address(m_settings.address)
         .port(m_settings.port)
         .buffer_size(readBufferSize)
-        .max_pipelined_requests(pipelinedRequests)
-        .concurrent_accepts_count(parallelAccepts)
+        .max_pipelined_requests(maxPipelinedRequests)
+        .concurrent_accepts_count(concurrentAccepts)
         .max_parallel_connections(m_settings.connectionLimit)
         .connection_state_listener(std::make_shared<AcceptListener>(m_registry))
         .request_handler([core = m_core](const restinio::request_handle_t &request) {
-            return take(*core, request);
+            return handleRequest(*core, request);
         })
         .acceptor_options_setter([isShared = m_settings.isPortShared](auto &options) {
             options.set_option(asio::ip::tcp::acceptor::reuse_address{true});
@@ -498,9 +505,9 @@
     using std::chrono::duration_cast;
     using std::chrono::milliseconds;
     constexpr int checksPerTimeout = 4;
-    const auto shortest = std::min(m_settings.requestReadTimeout, m_settings.writeTimeout);
-    const auto period = std::clamp(duration_cast<milliseconds>(shortest / checksPerTimeout),
-                                   shortestTimerPeriod, longestTimerPeriod);
+    const auto shortestTimeout = std::min(m_settings.requestReadTimeout, m_settings.writeTimeout);
+    const auto period = std::clamp(duration_cast<milliseconds>(shortestTimeout / checksPerTimeout),
+                                   minTimerPeriod, maxTimerPeriod);
     settings.read_next_http_message_timelimit(m_settings.requestReadTimeout)
         .write_http_response_timelimit(m_settings.writeTimeout)
         .handle_request_timeout(m_settings.handlingTimeout)
--- a/src/libbulrushio/connection/callerserver.h
+++ b/src/libbulrushio/connection/callerserver.h
@@ -14,34 +14,34 @@
 
 namespace bulrush::io {
 
-/** Bodies up to this length are held whole, unless settings say otherwise. */
+/** Default of the length up to which request bodies are buffered completely. */
 constexpr std::uint64_t smallBodyLimit = std::uint64_t{64} * 1024;
 
-/** Where a CallerServer listens, and what it takes from a caller. */
+/** The address of a CallerServer and its limits. */
 struct CallerServerSettings
 {
-    /** An IP number. */
+    /** A numeric IP address. */
     std::string address = "127.0.0.1";
-    /** 0 lets the host choose one. */
+    /** 0 selects a free port. */
     std::uint16_t port = 0;
-    /** Lets several servers listen on the port, one for each thread of traffic. */
+    /** Allows several servers to listen on the port, one per traffic thread. */
     bool isPortShared = false;
-    /** Connections open at a time; further callers wait in the host's queue. */
+    /** Maximum number of open connections; further callers wait in the host's accept queue. */
     std::size_t connectionLimit = 1024;
-    /** Time for a request to come, from the answer before it to the end of a small body. */
+    /** Time-out for receiving a request, from the previous answer to the end of a buffered body. */
     Duration requestReadTimeout = std::chrono::seconds{10};
-    /** Time that the reading of a large body may stand still. */
+    /** Maximum time without progress while a large body is read. */
     Duration bodyIdleTimeout = std::chrono::seconds{30};
-    /** Time that the writing of a piece of an answer may take. */
+    /** Time-out for writing one part of an answer. */
     Duration writeTimeout = std::chrono::seconds{30};
-    /** Time for the handling of a request; whoever handles it has to end before that. */
+    /** Time-out for handling a request; the request handler must finish earlier by itself. */
     Duration handlingTimeout = std::chrono::minutes{10};
     /**
-     * Bodies up to this length are held whole; longer ones are read as their user asks for them,
-     * if their length is known, and are refused if it is not.
+     * Bodies up to this length are buffered completely. The request handler reads longer ones part
+     * by part if their length is known in advance; otherwise they are refused.
      */
     std::uint64_t wholeBodyLimit = smallBodyLimit;
-    /** Length of the largest body that is taken. */
+    /** Maximum length of a body. */
     std::uint64_t bodyLimit = std::uint64_t{128} * 1024 * 1024;
     std::size_t urlLimit = std::size_t{8} * 1024;
     std::size_t headerCountLimit = 100;
@@ -49,43 +49,43 @@
     std::size_t headerValueLimit = std::size_t{8} * 1024;
 };
 
-/** Takes a request. A writer that is let go before it was finished closes the connection. */
+/** Handles a request. If the writer is destroyed unfinished, the connection is closed. */
 using RequestHandler =
     std::function<void(std::shared_ptr<IncomingRequest>, std::shared_ptr<ResponseWriter>)>;
 
 /**
- * HTTP/1.1 server over RESTinio on one loop.
+ * HTTP/1.1 server on one event loop, built on RESTinio.
  *
- * Malformed, oversized and slow requests are answered here and never reach the handler. All
- * methods are called on the loop's thread, or before the loop runs.
+ * Malformed, oversized and slow requests are refused by the server and never reach the handler. All
+ * methods must be called on the event loop's thread, or before the loop runs.
  */
 class CallerServer
 {
 public:
     CallerServer(asio::io_context &loop, CallerServerSettings settings, RequestHandler handler);
 
-    /** Stops listening and closes all connections. \pre not called from within the handler. */
+    /** Stops listening and closes all connections. \pre not called from within the handler */
     ~CallerServer();
 
     CallerServer(const CallerServer &) = delete;
     CallerServer &operator=(const CallerServer &) = delete;
 
-    /** Starts to listen. \returns TransportError::ListenFailed if the address can't be used. */
+    /** Starts to listen. \returns TransportError::ListenFailed if the address is not usable. */
     std::error_code listen();
 
-    /** \returns the port listened on. \pre listen() succeeded */
+    /** \returns the port that the server listens on. \pre listen() succeeded */
     std::uint16_t port() const;
 
-    /** Has each answer from now on end its connection. Requests are taken as before. */
+    /** From now on, each answer closes its connection. Requests are still accepted. */
     void drain();
 
-    /** Takes no further connections; those in the host's queue are reset. */
+    /** Accepts no further connections; those in the host's accept queue are reset. */
     void stopListening();
 
-    /** Closes the connections that have no request open, and none that is coming. */
+    /** Closes the connections on which no request is open or being received. */
     void closeIdle();
 
-    /** \returns the connections that are open. */
+    /** \returns the number of open connections. */
     std::size_t connectionCount() const;
 
 private:
--- a/src/libbulrushio/connection/callersocket.h
+++ b/src/libbulrushio/connection/callersocket.h
@@ -13,13 +13,13 @@
 namespace bulrush::io {
 
 /**
- * What RESTinio takes for its socket: the socket of a CallerConnection, with each completion run
- * in the connection's scope, and the close left to the connection.
+ * Adapts a CallerConnection to RESTinio's socket interface. Completion handlers run in the
+ * connection's scope, and the connection performs the close.
  */
 class CallerSocket
 {
 public:
-    // Asio's names
+    // Names required by Asio's socket concepts
     // NOLINTBEGIN(readability-identifier-naming)
     using Socket = asio::ip::tcp::socket;
     using executor_type = Socket::executor_type;
@@ -41,7 +41,7 @@
 
     const std::shared_ptr<CallerConnection> &connection()
     {
-        // RESTinio accepts again into a socket that it has moved from.
+        // RESTinio reuses a moved-from socket for its next accept.
         if (!m_connection)
             m_connection = std::make_shared<CallerConnection>(*m_loop);
         return m_connection;
@@ -60,7 +60,7 @@
 
     void shutdown(Socket::shutdown_type, asio::error_code &)
     {
-        // Left to close(), which may have something to say first.
+        // Done by close(), which may have to send a refusal first.
     }
 
     void close()
@@ -79,7 +79,7 @@
                 executor,
                 [connection = m_connection, handler = std::forward<Handler>(handler)](
                     const asio::error_code &error, std::size_t length) mutable {
-                    connection->noteRead(error, length);
+                    connection->recordRead(error, length);
                     const CallerConnection::Scope scope{connection.get()};
                     handler(error, length);
                 }));
--- a/src/libbulrushio/connection/httpstatus.cpp
+++ b/src/libbulrushio/connection/httpstatus.cpp
@@ -45,7 +45,7 @@
     StatusText{505, "HTTP Version Not Supported", "Not run: send the request in HTTP/1.1."},
 };
 
-StatusText textOf(int status)
+StatusText statusText(int status)
 {
     const auto *found = std::ranges::find(statusTexts, status, &StatusText::status);
     return found == statusTexts.end() ? StatusText{status, {}, {}} : *found;
@@ -55,12 +55,13 @@
 
 std::string statusLine(int status)
 {
-    return "HTTP/1.1 " + std::to_string(status) + ' ' + std::string{textOf(status).reason} + "\r\n";
+    return "HTTP/1.1 " + std::to_string(status) + ' ' + std::string{statusText(status).reason}
+    + "\r\n";
 }
 
 HttpResponse refusal(int status)
 {
-    std::string advice{textOf(status).advice};
+    std::string advice{statusText(status).advice};
     return {status, {{"Content-Type", "text/plain"}}, advice + '\n'};
 }
 
--- a/src/libbulrushio/connection/httpstatus.h
+++ b/src/libbulrushio/connection/httpstatus.h
@@ -6,16 +6,16 @@
 
 namespace bulrush::io {
 
-/** \returns the status line of HTTP/1.1 for \a status, with its line end. Thread safe. */
+/** \returns the HTTP/1.1 status line for \a status, including the line end. Thread safe. */
 std::string statusLine(int status);
 
 /**
- * \returns the answer to a request that is refused with \a status before anything was done about
- * it; it says what the caller can do. Thread safe.
+ * \returns the answer to a request that is refused with \a status before it was run; its body tells
+ * the caller how to correct the request. Thread safe.
  */
 HttpResponse refusal(int status);
 
-/** \returns a page of plain text. Thread safe. */
+/** \returns an answer with \a body as plain text. Thread safe. */
 HttpResponse textPage(int status, std::string body);
 
 } // namespace bulrush::io
--- a/src/libbulrushio/connection/incomingrequest.cpp
+++ b/src/libbulrushio/connection/incomingrequest.cpp
@@ -18,7 +18,7 @@
     m_link->readBody(std::move(handler));
 }
 
-void IncomingRequest::setGoneHandler(CallerLink::GoneHandler handler)
+void IncomingRequest::setGoneHandler(CallerLink::DisconnectHandler handler)
 {
     m_link->setGoneHandler(std::move(handler));
 }
--- a/src/libbulrushio/connection/incomingrequest.h
+++ b/src/libbulrushio/connection/incomingrequest.h
@@ -14,15 +14,15 @@
 struct RequestHead
 {
     std::string method;
-    /** Path and query, as they came. */
+    /** Path and query as received. */
     std::string target;
     std::vector<HttpHeader> headers;
 };
 
 /**
- * A request of a caller. A small body is held whole, a larger one is read as its user asks for it.
+ * A request of a caller. A small body is buffered completely; a larger one is read with readBody().
  *
- * Used on the server's loop only.
+ * Must be used on the server's event loop only.
  */
 class IncomingRequest
 {
@@ -35,27 +35,27 @@
     /** \returns the caller's address and port. */
     const std::string &remoteAddress() const;
 
-    /** \returns whether body() is all of the body; else readBody() has to be used. */
+    /** \returns whether body() is the complete body; otherwise readBody() must be used. */
     bool isBodyWhole() const;
 
-    /** \returns the whole body. \pre isBodyWhole() */
+    /** \returns the complete body. \pre isBodyWhole() */
     const std::string &body() const;
 
     /** \returns the body's length. */
     std::uint64_t bodyLength() const;
 
     /**
-     * Reads the next bytes of a body that is not held whole, and hands them to \a handler; none
-     * and no error mean its end. Nothing is read from the caller in between.
-     * \pre !isBodyWhole(), and the last read has ended.
+     * Reads the next bytes of a body that is not buffered, and passes them to \a handler; no bytes
+     * and no error mark its end. Nothing is read from the caller between calls.
+     * \pre !isBodyWhole(), and the previous read has completed
      */
     void readBody(CallerLink::BodyHandler handler);
 
     /**
-     * Calls \a handler once if the caller closes its connection before its answer is written, as
-     * far as that shows: a connection whose body waits to be read tells nothing.
+     * Calls \a handler once if the caller closes its connection before its answer is written. The
+     * close is not detected while part of the body is still unread.
      */
-    void setGoneHandler(CallerLink::GoneHandler handler);
+    void setGoneHandler(CallerLink::DisconnectHandler handler);
 
 private:
     RequestHead m_head;
--- a/src/libbulrushio/connection/responsewriter.cpp
+++ b/src/libbulrushio/connection/responsewriter.cpp
@@ -15,7 +15,7 @@
 constexpr int noContent = 204;
 constexpr int notModified = 304;
 
-bool isSetHere(const HttpHeader &header)
+bool isManagedField(const HttpHeader &header)
 {
     return isSameField(header.name, "Content-Length")
         || isSameField(header.name, "Transfer-Encoding") || isSameField(header.name, "Connection")
@@ -24,10 +24,10 @@
 
 std::string chunk(std::string_view bytes)
 {
-    constexpr int hexadecimal = 16;
+    constexpr int hexadecimalBase = 16;
     std::array<char, sizeof(std::size_t) * 2> digits{};
     const auto end =
-        std::to_chars(digits.data(), digits.data() + digits.size(), bytes.size(), hexadecimal);
+        std::to_chars(digits.data(), digits.data() + digits.size(), bytes.size(), hexadecimalBase);
     std::string text{digits.data(), end.ptr};
     text.reserve(text.size() + bytes.size() + 4);
     text += "\r\n";
@@ -56,7 +56,7 @@
 
 void ResponseWriter::send(const HttpResponse &response)
 {
-    std::string text = headText({response.status, response.headers});
+    std::string text = formatHead({response.status, response.headers});
     if (response.status != noContent)
         text += lengthField(response.body.size());
     text += "\r\n";
@@ -68,7 +68,7 @@
 
 void ResponseWriter::begin(const ResponseHead &head, std::optional<std::uint64_t> length)
 {
-    std::string text = headText(head);
+    std::string text = formatHead(head);
     m_hasNoBody = isBodyless(head.status);
     m_bytesLeft = m_hasNoBody ? 0 : length;
     if (length && head.status != noContent)
@@ -113,12 +113,12 @@
     m_link->abort();
 }
 
-std::string ResponseWriter::headText(const ResponseHead &head)
+std::string ResponseWriter::formatHead(const ResponseHead &head)
 {
     m_isKeptAlive = !m_link->decideClose(!m_isKeptAlive);
     std::string text = statusLine(head.status);
     for (const HttpHeader &header : head.headers) {
-        if (isSetHere(header) || !isSafeField(header))
+        if (isManagedField(header) || !isSafeField(header))
             continue;
         text += header.name;
         text += ": ";
--- a/src/libbulrushio/connection/responsewriter.h
+++ b/src/libbulrushio/connection/responsewriter.h
@@ -11,15 +11,16 @@
 namespace bulrush::io {
 
 /**
- * Writes the one answer to a caller's request, whole or piece by piece. An answer that is not
- * finished, or falls short of its length, ends in a close that the caller can't take for its end.
+ * Writes the answer to a caller's request, at once or in parts. If the answer is not finished or is
+ * shorter than announced, the connection is closed in a way that the caller can distinguish from a
+ * complete answer.
  *
- * Used on the server's loop only.
+ * Must be used on the server's event loop only.
  */
 class ResponseWriter
 {
 public:
-    /** \a isHead tells that the request's method is HEAD, so that no body is written. */
+    /** \a isHead is set for requests with the method HEAD, whose answers have no body. */
     ResponseWriter(std::shared_ptr<CallerLink> link, bool isHead, bool isKeptAlive);
 
     /** Aborts an answer that was not finished. */
@@ -28,35 +29,41 @@
     ResponseWriter(const ResponseWriter &) = delete;
     ResponseWriter &operator=(const ResponseWriter &) = delete;
 
-    /** Writes a whole answer. Fields about framing and connection are set here. \pre !hasBegun() */
+    /**
+     * Writes a complete answer. The fields for framing and connection management are generated and
+     * replace those in \a response. \pre !hasBegun()
+     */
     void send(const HttpResponse &response);
 
     /**
-     * Begins an answer; without \a length its body goes in chunks. Fields about framing and
-     * connection are set here. \pre !hasBegun()
+     * Begins an answer; without \a length its body is sent in chunks. The fields for framing and
+     * connection management are generated and replace those in \a head. \pre !hasBegun()
      */
     void begin(const ResponseHead &head, std::optional<std::uint64_t> length);
 
     /**
-     * Writes the next bytes of the body. For back-pressure the next are written once \a handler
-     * was called, which is not from within this call. \pre hasBegun() && !isOver()
+     * Writes the next bytes of the body. For back-pressure, the user waits for \a handler before
+     * the next write. The handler is never called from within this method.
+     * \pre hasBegun() && !isOver()
      */
     void write(std::string bytes, CallerLink::WrittenHandler handler);
 
-    /** Ends the answer; one that falls short of its length is aborted. \pre hasBegun() */
+    /** Finishes the answer; one that is shorter than announced is aborted. \pre hasBegun() */
     void finish();
 
-    /** Closes the connection, so that what was written can't be taken for a whole answer. */
+    /**
+     * Closes the connection, so that the caller can't mistake a partial answer for a complete one.
+     */
     void abort();
 
-    /** \returns whether anything of an answer was written. */
+    /** \returns whether any part of an answer was written. */
     bool hasBegun() const;
 
     /** \returns whether the answer was finished or aborted. */
     bool isOver() const;
 
 private:
-    std::string headText(const ResponseHead &head);
+    std::string formatHead(const ResponseHead &head);
     void writeLast(std::string bytes);
     bool isBodyless(int status) const;
 
--- a/src/libbulrushio/connection/uploadlink.cpp
+++ b/src/libbulrushio/connection/uploadlink.cpp
@@ -14,9 +14,10 @@
 namespace bulrush::io {
 
 UploadLink::UploadLink(std::shared_ptr<CallerConnection> connection, std::string firstBytes,
-                       std::uint64_t length, ProgressLimits limits, std::shared_ptr<void> holder)
+                       std::uint64_t length, ProgressLimits limits,
+                       std::shared_ptr<void> lifetimeMonitor)
     : m_connection(std::move(connection))
-    , m_holder(std::move(holder))
+    , m_lifetimeMonitor(std::move(lifetimeMonitor))
     , m_limits(limits)
     , m_readTimer(m_connection->socket().get_executor())
     , m_writeTimer(m_connection->socket().get_executor())
@@ -26,19 +27,19 @@
 
 UploadLink::~UploadLink()
 {
-    if (!m_isOver)
+    if (!m_isFinished)
         m_connection->closeNow();
 }
 
 void UploadLink::readBody(BodyHandler handler)
 {
     m_bodyHandler = std::move(handler);
-    if (m_isOver)
-        postBody(TransportError::CallerGone, {});
+    if (m_isFinished)
+        postBodyResult(TransportError::CallerGone, {});
     else if (!m_firstBytes.empty())
-        postBody({}, std::exchange(m_firstBytes, {}));
+        postBodyResult({}, std::exchange(m_firstBytes, {}));
     else if (m_bytesLeft == 0)
-        postBody({}, {});
+        postBodyResult({}, {});
     else
         readMore();
 }
@@ -52,9 +53,9 @@
 
 void UploadLink::abort()
 {
-    if (m_isOver)
+    if (m_isFinished)
         return;
-    m_isOver = true;
+    m_isFinished = true;
     m_readTimer.cancel();
     m_writeTimer.cancel();
     m_connection->closeNow();
@@ -76,23 +77,23 @@
         self->m_hasStalled = true;
         self->m_connection->socket().cancel(ignored);
     });
-    m_buffer.resize(static_cast<std::size_t>(std::min<std::uint64_t>(readSize, m_bytesLeft)));
+    m_buffer.resize(static_cast<std::size_t>(std::min<std::uint64_t>(maxReadBytes, m_bytesLeft)));
     m_connection->socket().async_read_some(
         asio::buffer(m_buffer),
         [self = shared_from_this()](asio::error_code error, std::size_t length) {
             self->m_readTimer.cancel();
-            self->bodyRead(error, length);
+            self->handleBodyRead(error, length);
         });
 }
 
-void UploadLink::bodyRead(std::error_code error, std::size_t length)
+void UploadLink::handleBodyRead(std::error_code error, std::size_t length)
 {
     if (error) {
         const auto handler = std::exchange(m_bodyHandler, nullptr);
         if (handler)
             handler(TransportError::RequestTruncated, {});
         if (!m_hasStalled)
-            callerLeft(); // a caller that stalls can still be answered
+            handleDisconnect(); // a stalled caller can still receive an answer
         return;
     }
     m_bytesLeft -= length;
@@ -105,50 +106,51 @@
 
 void UploadLink::watchForClose()
 {
-    if (std::exchange(m_isWatching, true) || m_isOver)
+    if (std::exchange(m_isWatchingForClose, true) || m_isFinished)
         return;
     auto &socket = m_connection->socket();
     socket.async_wait(asio::ip::tcp::socket::wait_read,
                       [weak = weak_from_this()](std::error_code error) {
                           const auto self = weak.lock();
-                          if (error || !self || self->m_isOver)
+                          if (error || !self || self->m_isFinished)
                               return;
                           char byte = 0;
                           const int descriptor = self->m_connection->socket().native_handle();
                           if (::recv(descriptor, &byte, 1, MSG_PEEK | MSG_DONTWAIT) <= 0)
-                              self->callerLeft();
+                              self->handleDisconnect();
                       });
 }
 
-void UploadLink::callerLeft()
+void UploadLink::handleDisconnect()
 {
-    if (m_isOver)
+    if (m_isFinished)
         return;
     abort();
-    tellGone();
+    notifyDisconnect();
 }
 
 void UploadLink::writeNext()
 {
-    if (m_isOver) {
-        asio::post(m_connection->socket().get_executor(),
-                   [self = shared_from_this()] { self->written(TransportError::CallerGone); });
+    if (m_isFinished) {
+        asio::post(m_connection->socket().get_executor(), [self = shared_from_this()] {
+            self->handleWritten(TransportError::CallerGone);
+        });
         return;
     }
     m_writeTimer.expires_after(m_limits.writeTimeout);
     m_writeTimer.async_wait([weak = weak_from_this()](asio::error_code error) {
         if (const auto self = weak.lock(); self && !error)
-            self->callerLeft();
+            self->handleDisconnect();
     });
     asio::async_write(m_connection->socket(), asio::buffer(m_writes.front().bytes),
                       [self = shared_from_this()](asio::error_code error, std::size_t) {
                           self->m_writeTimer.cancel();
-                          self->written(error ? make_error_code(TransportError::CallerGone)
-                                              : std::error_code{});
+                          self->handleWritten(error ? make_error_code(TransportError::CallerGone)
+                                                    : std::error_code{});
                       });
 }
 
-void UploadLink::written(std::error_code error)
+void UploadLink::handleWritten(std::error_code error)
 {
     const Write write = std::move(m_writes.front());
     m_writes.pop_front();
@@ -158,14 +160,14 @@
     if (write.handler)
         write.handler(error);
     if (error) {
-        callerLeft();
-    } else if (write.part != WritePart::More && !m_isOver) {
-        m_isOver = true;
+        handleDisconnect();
+    } else if (write.part != WritePart::More && !m_isFinished) {
+        m_isFinished = true;
         m_connection->lingerAndClose();
     }
 }
 
-void UploadLink::postBody(std::error_code error, std::string bytes)
+void UploadLink::postBodyResult(std::error_code error, std::string bytes)
 {
     asio::post(m_connection->socket().get_executor(),
                [self = shared_from_this(), error, bytes = std::move(bytes)]() mutable {
--- a/src/libbulrushio/connection/uploadlink.h
+++ b/src/libbulrushio/connection/uploadlink.h
@@ -14,7 +14,7 @@
 
 class CallerConnection;
 
-/** How long a caller may leave a connection without progress. */
+/** Time-outs of a caller's connection without progress. */
 struct ProgressLimits
 {
     Duration bodyIdleTimeout;
@@ -22,23 +22,26 @@
 };
 
 /**
- * The link of a request with a large body: reads the body from the caller's socket as it is asked
- * for, and closes the connection after the answer.
+ * The link of a request with a large body. It reads from the caller's socket only when readBody()
+ * requests more, and closes the connection after the answer.
  */
 class UploadLink
     : public CallerLink
     , public std::enable_shared_from_this<UploadLink>
 {
 public:
-    /** \a holder is kept as long as the link, for whoever counts connections. */
+    /**
+     * \a lifetimeMonitor is kept until the link is destroyed, so that the connection counts towards
+     * the server's connection limit.
+     */
     UploadLink(std::shared_ptr<CallerConnection> connection, std::string firstBytes,
-               std::uint64_t length, ProgressLimits limits, std::shared_ptr<void> holder);
+               std::uint64_t length, ProgressLimits limits, std::shared_ptr<void> lifetimeMonitor);
     ~UploadLink() override;
 
     void readBody(BodyHandler handler) override;
     void write(std::string bytes, WritePart part, WrittenHandler handler) override;
     void abort() override;
-    bool decideClose(bool isAsked) override;
+    bool decideClose(bool isCloseRequested) override;
 
 private:
     struct Write
@@ -49,17 +52,17 @@
     };
 
     void readMore();
-    void bodyRead(std::error_code error, std::size_t length);
+    void handleBodyRead(std::error_code error, std::size_t length);
     void watchForClose();
-    void callerLeft();
+    void handleDisconnect();
     void writeNext();
-    void written(std::error_code error);
-    void postBody(std::error_code error, std::string bytes);
+    void handleWritten(std::error_code error);
+    void postBodyResult(std::error_code error, std::string bytes);
 
-    static constexpr std::size_t readSize = std::size_t{64} * 1024;
+    static constexpr std::size_t maxReadBytes = std::size_t{64} * 1024;
 
     std::shared_ptr<CallerConnection> m_connection;
-    std::shared_ptr<void> m_holder;
+    std::shared_ptr<void> m_lifetimeMonitor;
     ProgressLimits m_limits;
     asio::steady_timer m_readTimer;
     asio::steady_timer m_writeTimer;
@@ -69,8 +72,8 @@
     BodyHandler m_bodyHandler;
     std::deque<Write> m_writes;
     bool m_hasStalled = false;
-    bool m_isWatching = false;
-    bool m_isOver = false;
+    bool m_isWatchingForClose = false;
+    bool m_isFinished = false;
 };
 
 } // namespace bulrush::io
