--- a/src/libbulrushio/connection/callerserver.cpp
+++ b/src/libbulrushio/connection/callerserver.cpp
@@ -345,7 +345,7 @@
 bool requestsKeepAlive(const RequestHead &head)
 {
     const std::vector<std::string_view> values = fieldValues(head.headers, "Connection");
-    return std::ranges::none_of(values, [](auto value) { return listHolds(value, "close"); });
+    return std::ranges::none_of(values, [](auto value) { return listContains(value, "close"); });
 }
 
 std::string formatEndpoint(const asio::ip::tcp::endpoint &endpoint)
--- a/src/libbulrushio/connection/curlmulti.cpp
+++ b/src/libbulrushio/connection/curlmulti.cpp
@@ -15,12 +15,12 @@
 
 namespace {
 
-constexpr std::size_t idleHandleLimit = 64;
-constexpr long keptConnectionLimit = 1024;
+constexpr std::size_t maxIdleHandles = 64;
+constexpr long connectionCacheSize = 1024;
 
 } // namespace
 
-/** A socket of libcurl in the loop. */
+/** A socket of libcurl that the event loop watches. */
 class SocketWatch
 {
 public:
@@ -31,7 +31,7 @@
     { }
 
     curl_socket_t m_key;
-    bool m_isDuplicate; ///< libcurl closes the socket itself, without telling
+    bool m_isDuplicate; ///< libcurl closes the original socket itself, without notification
     asio::posix::stream_descriptor m_descriptor;
     bool m_wantsRead = false;
     bool m_wantsWrite = false;
@@ -52,14 +52,14 @@
     curl_multi_setopt(m_multi, CURLMOPT_TIMERFUNCTION, &CurlMulti::onTimer);
     curl_multi_setopt(m_multi, CURLMOPT_TIMERDATA, this);
     curl_multi_setopt(m_multi, CURLMOPT_PIPELINING, CURLPIPE_NOTHING);
-    // By itself libcurl keeps but four for each transfer that runs.
-    curl_multi_setopt(m_multi, CURLMOPT_MAXCONNECTS, keptConnectionLimit);
+    // By default libcurl caches only four connections per running transfer.
+    curl_multi_setopt(m_multi, CURLMOPT_MAXCONNECTS, connectionCacheSize);
 }
 
 CurlMulti::~CurlMulti()
 {
     m_isClosing = true;
-    m_touched.clear();
+    m_pendingDeliveries.clear();
     while (!m_transfers.empty())
         m_transfers.begin()->second->abandon();
     for (CURL *handle : m_idleHandles)
@@ -82,7 +82,7 @@
     curl_multi_setopt(m_multi, CURLMOPT_MAX_HOST_CONNECTIONS, count);
 }
 
-CURL *CurlMulti::takeHandle()
+CURL *CurlMulti::acquireHandle()
 {
     if (m_idleHandles.empty())
         return curl_easy_init();
@@ -91,9 +91,9 @@
     return handle;
 }
 
-void CurlMulti::giveHandle(CURL *handle)
+void CurlMulti::recycleHandle(CURL *handle)
 {
-    if (m_isClosing || m_idleHandles.size() >= idleHandleLimit) {
+    if (m_isClosing || m_idleHandles.size() >= maxIdleHandles) {
         curl_easy_cleanup(handle);
         return;
     }
@@ -127,8 +127,8 @@
 
 void CurlMulti::scheduleDelivery(CurlTransfer &transfer)
 {
-    m_touched.insert(transfer.shared_from_this());
-    if (m_isActing || m_isDeliveryPosted || m_isClosing)
+    m_pendingDeliveries.insert(transfer.shared_from_this());
+    if (m_isRunningAction || m_isDeliveryPosted || m_isClosing)
         return;
     m_isDeliveryPosted = true;
     asio::post(m_loop, [weak = weak_from_this()] {
@@ -189,7 +189,8 @@
         return;
     }
     if (found == m_watches.end()) {
-        // A socket that libcurl made for itself, as the resolver does: it closes it unannounced.
+        // A socket that libcurl created internally, such as the resolver's. libcurl closes it
+        // without notification.
         auto watch = std::make_shared<SocketWatch>(m_loop, socket, ::dup(socket), true);
         found = m_watches.emplace(socket, std::move(watch)).first;
     }
@@ -208,8 +209,8 @@
                 watch->m_isReadPending = false;
                 if (watch->m_isClosed)
                     return;
-                socketReady(watch,
-                            watch->m_wantsRead ? (error ? CURL_CSELECT_ERR : CURL_CSELECT_IN) : 0);
+                handleSocketReady(
+                    watch, watch->m_wantsRead ? (error ? CURL_CSELECT_ERR : CURL_CSELECT_IN) : 0);
             });
     }
     if (watch->m_wantsWrite && !watch->m_isWritePending) {
@@ -219,18 +220,18 @@
                 watch->m_isWritePending = false;
                 if (watch->m_isClosed)
                     return;
-                socketReady(
+                handleSocketReady(
                     watch, watch->m_wantsWrite ? (error ? CURL_CSELECT_ERR : CURL_CSELECT_OUT) : 0);
             });
     }
 }
 
-void CurlMulti::socketReady(const std::shared_ptr<SocketWatch> &watch, int events)
+void CurlMulti::handleSocketReady(const std::shared_ptr<SocketWatch> &watch, int events)
 {
     if (events == 0)
         return;
     const auto self = shared_from_this();
-    act(watch->m_key, events);
+    runSocketAction(watch->m_key, events);
     if (!watch->m_isClosed)
         armWatch(watch);
 }
@@ -239,17 +240,17 @@
 {
     if (m_isClosing)
         return;
-    const std::uint64_t turn = ++m_timerTurn;
+    const std::uint64_t generation = ++m_timerGeneration;
     m_timer.cancel();
     if (timeoutMs < 0)
         return;
-    const auto expire = [weak = weak_from_this(), turn](asio::error_code error = {}) {
+    const auto expire = [weak = weak_from_this(), generation](asio::error_code error = {}) {
         const auto self = weak.lock();
-        if (!error && self && self->m_timerTurn == turn)
-            self->act(CURL_SOCKET_TIMEOUT, 0);
+        if (!error && self && self->m_timerGeneration == generation)
+            self->runSocketAction(CURL_SOCKET_TIMEOUT, 0);
     };
     if (timeoutMs == 0) {
-        // As each transfer begins: setting a timer would cost a call of the host's kernel.
+        // This is the case at the start of each transfer; a timer would cost a system call.
         asio::post(m_loop, expire);
         return;
     }
@@ -257,13 +258,13 @@
     m_timer.async_wait(expire);
 }
 
-void CurlMulti::act(curl_socket_t socket, int events)
+void CurlMulti::runSocketAction(curl_socket_t socket, int events)
 {
     int running = 0;
-    m_isActing = true;
+    m_isRunningAction = true;
     curl_multi_socket_action(m_multi, socket, events, &running);
     collectFinished();
-    m_isActing = false;
+    m_isRunningAction = false;
     deliver();
 }
 
@@ -283,8 +284,8 @@
 void CurlMulti::deliver()
 {
     m_isDeliveryPosted = false;
-    const auto touched = std::exchange(m_touched, {});
-    for (const auto &transfer : touched)
+    const auto pending = std::exchange(m_pendingDeliveries, {});
+    for (const auto &transfer : pending)
         transfer->deliver();
 }
 
--- a/src/libbulrushio/connection/curlmulti.h
+++ b/src/libbulrushio/connection/curlmulti.h
@@ -17,11 +17,11 @@
 class SocketWatch;
 
 /**
- * Drives libcurl's multi interface from an Asio loop: watches its sockets, keeps its timer, and
- * tells transfers of what came once libcurl has returned, so that they may start, end or destroy
- * transfers freely.
+ * Drives libcurl's multi interface from an Asio event loop: watches its sockets and runs its timer.
+ * Events are delivered to transfers only after libcurl has returned, so that their handlers may
+ * start, cancel or destroy transfers.
  *
- * All methods are called on the loop's thread.
+ * All methods must be called on the event loop's thread.
  */
 class CurlMulti : public std::enable_shared_from_this<CurlMulti>
 {
@@ -32,25 +32,25 @@
     CurlMulti(const CurlMulti &) = delete;
     CurlMulti &operator=(const CurlMulti &) = delete;
 
-    /** \returns the loop that drives the transfers. */
+    /** \returns the event loop that drives the transfers. */
     asio::io_context &loop();
 
-    /** Allows at most \a count connections to one host and port; 0 means no limit. */
+    /** Limits the connections to one host and port to \a count; 0 means no limit. */
     void setConnectionsPerHost(long count);
 
-    /** \returns an easy handle with nothing set, a used one where there is one. */
-    CURL *takeHandle();
+    /** \returns an easy handle in its initial state, recycled if possible; null on failure. */
+    CURL *acquireHandle();
 
-    /** Gives back a handle that no transfer uses any more. */
-    void giveHandle(CURL *handle);
+    /** Takes back a handle that is no longer in use. */
+    void recycleHandle(CURL *handle);
 
-    /** Starts \a transfer. \returns whether libcurl took it. */
+    /** Starts \a transfer. \returns whether libcurl accepted it. */
     bool add(const std::shared_ptr<CurlTransfer> &transfer);
 
-    /** Ends \a transfer; its connection is closed unless its answer was whole. */
+    /** Ends \a transfer; its connection is closed unless its answer is complete. */
     void remove(CurlTransfer &transfer);
 
-    /** Tells \a transfer soon, from the loop, to deliver what it holds. */
+    /** Schedules the delivery of the pending events of \a transfer on the event loop. */
     void scheduleDelivery(CurlTransfer &transfer);
 
 private:
@@ -61,9 +61,9 @@
 
     void watchSocket(curl_socket_t socket, int what);
     void armWatch(const std::shared_ptr<SocketWatch> &watch);
-    void socketReady(const std::shared_ptr<SocketWatch> &watch, int events);
+    void handleSocketReady(const std::shared_ptr<SocketWatch> &watch, int events);
     void setTimer(long timeoutMs);
-    void act(curl_socket_t socket, int events);
+    void runSocketAction(curl_socket_t socket, int events);
     void collectFinished();
     void deliver();
 
@@ -72,10 +72,10 @@
     CURLM *m_multi;
     std::unordered_map<curl_socket_t, std::shared_ptr<SocketWatch>> m_watches;
     std::unordered_map<CurlTransfer *, std::shared_ptr<CurlTransfer>> m_transfers;
-    std::unordered_set<std::shared_ptr<CurlTransfer>> m_touched;
+    std::unordered_set<std::shared_ptr<CurlTransfer>> m_pendingDeliveries;
     std::vector<CURL *> m_idleHandles;
-    std::uint64_t m_timerTurn = 0;
-    bool m_isActing = false;
+    std::uint64_t m_timerGeneration = 0;
+    bool m_isRunningAction = false;
     bool m_isDeliveryPosted = false;
     bool m_isClosing = false;
 };
--- a/src/libbulrushio/connection/curltransfer.cpp
+++ b/src/libbulrushio/connection/curltransfer.cpp
@@ -14,12 +14,12 @@
 namespace {
 
 constexpr std::string_view urlScheme = "http://";
-constexpr std::size_t responseHeaderLimit = 256;
+constexpr std::size_t maxResponseFields = 256;
 constexpr int notModified = 304;
 constexpr int noContent = 204;
 
-/** The head's size as libcurl writes it when it adds no field but Host. */
-std::size_t leastHeadSize(const HttpRequest &request)
+/** \returns the size of the head that libcurl sends if it adds no field except Host. */
+std::size_t minHeadSize(const HttpRequest &request)
 {
     const std::string_view rest = std::string_view{request.url}.substr(urlScheme.size());
     const std::size_t authority = std::min(rest.find('/'), rest.size());
@@ -47,11 +47,11 @@
 } // namespace
 
 CurlTransfer::CurlTransfer(std::shared_ptr<CurlMulti> multi, HttpRequest request, RequestBody body,
-                           std::optional<HttpHeader> echo, TransferHandler handler)
+                           std::optional<HttpHeader> echoedField, TransferHandler handler)
     : m_multi(std::move(multi))
     , m_request(std::move(request))
     , m_body(std::move(body))
-    , m_echo(std::move(echo))
+    , m_echoedField(std::move(echoedField))
     , m_handler(std::move(handler))
     , m_timeout(m_multi->loop())
 { }
@@ -73,7 +73,7 @@
         end(TransportError::TimedOut, TransferStage::NotConnected);
         return;
     }
-    m_handle = m_multi->takeHandle();
+    m_handle = m_multi->acquireHandle();
     if (!m_handle || !prepare() || !m_multi->add(shared_from_this())) {
         end(TransportError::InternalFailure, TransferStage::NotConnected);
         return;
@@ -84,7 +84,7 @@
 void CurlTransfer::abandon()
 {
     m_isAbandoned = true;
-    release();
+    releaseHandle();
     if (!m_isDelivering)
         m_handler = nullptr;
 }
@@ -93,15 +93,15 @@
 {
     if (m_isAbandoned)
         return;
-    if (m_end && !m_end->error)
-        m_end->error = error;
-    else if (!m_end)
+    if (m_result && !m_result->error)
+        m_result->error = error;
+    else if (!m_result)
         end(error, m_handle ? reachedStage() : TransferStage::NotConnected);
 }
 
 void CurlTransfer::feed(std::string_view bytes)
 {
-    if (m_end || m_isAbandoned)
+    if (m_result || m_isAbandoned)
         return;
     m_outgoing.append(bytes);
     if (m_isSendPaused) {
@@ -113,7 +113,7 @@
 void CurlTransfer::finishBody()
 {
     m_isBodyFinished = true;
-    if (m_isSendPaused && !m_end && !m_isAbandoned) {
+    if (m_isSendPaused && !m_result && !m_isAbandoned) {
         m_isSendPaused = false;
         applyPause();
     }
@@ -121,8 +121,8 @@
 
 std::size_t CurlTransfer::bodyRoom() const
 {
-    const std::size_t held = m_outgoing.size() - m_outgoingRead;
-    return held >= transferBufferLimit ? 0 : transferBufferLimit - held;
+    const std::size_t buffered = m_outgoing.size() - m_outgoingRead;
+    return buffered >= transferBufferLimit ? 0 : transferBufferLimit - buffered;
 }
 
 void CurlTransfer::setAnswerPaused(bool isPaused)
@@ -146,7 +146,7 @@
 
 void CurlTransfer::finish(CURLcode code)
 {
-    const std::error_code error = code == CURLE_OK ? framingError() : errorOf(code);
+    const std::error_code error = code == CURLE_OK ? framingError() : toTransportError(code);
     end(error, error ? reachedStage() : TransferStage::Answered);
 }
 
@@ -162,8 +162,8 @@
 
 void CurlTransfer::deliverEvents()
 {
-    if (m_owesRoom && !m_end && !m_isAbandoned) {
-        m_owesRoom = false;
+    if (m_isRoomEventPending && !m_result && !m_isAbandoned) {
+        m_isRoomEventPending = false;
         m_handler(BodyRoom{});
     }
     if (m_isHeadComplete && !m_isHeadDelivered && !m_isAnswerPaused && !m_isAbandoned) {
@@ -172,50 +172,50 @@
     }
     if (!m_incoming.empty() && !m_isAnswerPaused && !m_isAbandoned)
         m_handler(BodyChunk{std::exchange(m_incoming, {})});
-    if (m_isReceivePaused && m_incoming.empty() && !m_end && !m_isAbandoned) {
+    if (m_isReceivePaused && m_incoming.empty() && !m_result && !m_isAbandoned) {
         m_isReceivePaused = false;
         applyPause();
     }
-    if (m_end && (m_end->error || !m_isAnswerPaused) && !m_isAbandoned) {
+    if (m_result && (m_result->error || !m_isAnswerPaused) && !m_isAbandoned) {
         m_isAbandoned = true;
-        m_handler(*m_end);
+        m_handler(*m_result);
     }
 }
 
 std::size_t CurlTransfer::onRead(char *buffer, std::size_t size, std::size_t count, void *self)
 {
     auto *transfer = static_cast<CurlTransfer *>(self);
-    std::string &held = transfer->m_outgoing;
-    const std::size_t available = held.size() - transfer->m_outgoingRead;
+    std::string &buffered = transfer->m_outgoing;
+    const std::size_t available = buffered.size() - transfer->m_outgoingRead;
     if (available == 0 && !transfer->m_isBodyFinished) {
         transfer->m_isSendPaused = true;
-        transfer->m_owesRoom = true;
+        transfer->m_isRoomEventPending = true;
         transfer->m_multi->scheduleDelivery(*transfer);
         return CURL_READFUNC_PAUSE;
     }
-    const std::size_t taken = std::min(size * count, available);
-    std::memcpy(buffer, held.data() + transfer->m_outgoingRead, taken);
-    transfer->m_outgoingRead += taken;
-    if (transfer->m_outgoingRead == held.size()) {
-        held.clear();
+    const std::size_t copied = std::min(size * count, available);
+    std::memcpy(buffer, buffered.data() + transfer->m_outgoingRead, copied);
+    transfer->m_outgoingRead += copied;
+    if (transfer->m_outgoingRead == buffered.size()) {
+        buffered.clear();
         transfer->m_outgoingRead = 0;
     } else if (transfer->m_outgoingRead >= transferBufferLimit / 2) {
-        held.erase(0, transfer->m_outgoingRead);
+        buffered.erase(0, transfer->m_outgoingRead);
         transfer->m_outgoingRead = 0;
     }
     if (!transfer->m_isBodyFinished && transfer->bodyRoom() >= transferBufferLimit / 2) {
-        transfer->m_owesRoom = true;
+        transfer->m_isRoomEventPending = true;
         transfer->m_multi->scheduleDelivery(*transfer);
     }
-    return taken;
+    return copied;
 }
 
 std::size_t CurlTransfer::onWrite(char *bytes, std::size_t size, std::size_t count, void *self)
 {
     auto *transfer = static_cast<CurlTransfer *>(self);
     const std::size_t length = size * count;
-    const std::size_t held = transfer->m_incoming.size();
-    if (held > 0 && held + length > transferBufferLimit) {
+    const std::size_t buffered = transfer->m_incoming.size();
+    if (buffered > 0 && buffered + length > transferBufferLimit) {
         transfer->m_isReceivePaused = true;
         return CURL_WRITEFUNC_PAUSE;
     }
@@ -245,7 +245,7 @@
     curl_easy_setopt(m_handle, CURLOPT_PATH_AS_IS, 1L);
     curl_easy_setopt(m_handle, CURLOPT_TCP_NODELAY, 1L);
     if (m_request.isFreshConnection) {
-        // libcurl sends a request again only where a kept connection turns out to be dead.
+        // libcurl resends a request only if a reused connection turns out to be dead.
         curl_easy_setopt(m_handle, CURLOPT_FRESH_CONNECT, 1L);
         curl_easy_setopt(m_handle, CURLOPT_FORBID_REUSE, 1L);
     }
@@ -253,14 +253,14 @@
     curl_easy_setopt(m_handle, CURLOPT_WRITEDATA, this);
     curl_easy_setopt(m_handle, CURLOPT_HEADERFUNCTION, &CurlTransfer::onHeader);
     curl_easy_setopt(m_handle, CURLOPT_HEADERDATA, this);
-    m_headSize = leastHeadSize(m_request);
+    m_headSize = minHeadSize(m_request);
     prepareBody();
     return prepareHeaders();
 }
 
 bool CurlTransfer::prepareHeaders()
 {
-    // An empty field keeps libcurl from adding its own.
+    // A field without a value prevents libcurl from adding its own.
     std::vector<std::string> lines{"Expect:", "Accept:"};
     bool hasContentType = false;
     for (const HttpHeader &header : m_request.headers) {
@@ -271,10 +271,10 @@
     if (!hasContentType)
         lines.emplace_back("Content-Type:");
     for (const std::string &line : lines) {
-        curl_slist *grown = curl_slist_append(m_headerList, line.c_str());
-        if (!grown)
+        curl_slist *extendedList = curl_slist_append(m_headerList, line.c_str());
+        if (!extendedList)
             return false;
-        m_headerList = grown;
+        m_headerList = extendedList;
     }
     return curl_easy_setopt(m_handle, CURLOPT_HTTPHEADER, m_headerList) == CURLE_OK;
 }
@@ -283,10 +283,10 @@
 {
     if (m_request.method == "HEAD")
         curl_easy_setopt(m_handle, CURLOPT_NOBODY, 1L);
-    if (const auto *whole = std::get_if<std::string>(&m_body)) {
-        const auto length = static_cast<curl_off_t>(whole->size());
+    if (const auto *completeBody = std::get_if<std::string>(&m_body)) {
+        const auto length = static_cast<curl_off_t>(completeBody->size());
         curl_easy_setopt(m_handle, CURLOPT_POST, 1L);
-        curl_easy_setopt(m_handle, CURLOPT_POSTFIELDS, whole->data());
+        curl_easy_setopt(m_handle, CURLOPT_POSTFIELDS, completeBody->data());
         curl_easy_setopt(m_handle, CURLOPT_POSTFIELDSIZE_LARGE, length);
     } else if (const auto *streamed = std::get_if<StreamedBody>(&m_body)) {
         prepareStreamedBody(*streamed);
@@ -305,11 +305,12 @@
 
 void CurlTransfer::armTimeout()
 {
-    // Not libcurl's own timeout: that one stands still while a transfer waits for a connection.
+    // libcurl's own time-out is not used, as it does not run while a transfer waits for a
+    // connection.
     m_timeout.expires_after(m_request.timeout);
     m_timeout.async_wait([weak = weak_from_this()](asio::error_code error) {
         const auto self = weak.lock();
-        if (!error && self && !self->m_end)
+        if (!error && self && !self->m_result)
             self->end(TransportError::TimedOut, self->reachedStage());
     });
 }
@@ -330,7 +331,7 @@
         return;
     }
     const std::size_t colon = line.find(':');
-    if (colon == std::string_view::npos || m_head.headers.size() >= responseHeaderLimit) {
+    if (colon == std::string_view::npos || m_head.headers.size() >= maxResponseFields) {
         m_isHeadMalformed = true;
         return;
     }
@@ -349,22 +350,22 @@
         m_request.method == "HEAD" || m_head.status == noContent || m_head.status == notModified;
     m_isHeadMalformed = lengths.size() + (hasEncoding ? 1 : 0) > 1;
     m_isFramed = isBodyless || !lengths.empty() || hasEncoding;
-    m_isMismatched = !carriesEcho();
+    m_isMismatched = !hasMatchingEcho();
     m_isHeadComplete = !m_isMismatched;
     m_multi->scheduleDelivery(*this);
 }
 
-bool CurlTransfer::carriesEcho() const
+bool CurlTransfer::hasMatchingEcho() const
 {
-    if (!m_echo)
+    if (!m_echoedField)
         return true;
-    const std::vector<std::string_view> values = fieldValues(m_head.headers, m_echo->name);
-    return values.size() == 1 && values.front() == m_echo->value;
+    const std::vector<std::string_view> values = fieldValues(m_head.headers, m_echoedField->name);
+    return values.size() == 1 && values.front() == m_echoedField->value;
 }
 
 std::error_code CurlTransfer::framingError() const
 {
-    // libcurl takes a head that breaks off for an answer.
+    // libcurl accepts a truncated head as a complete answer.
     if (!m_isHeadComplete)
         return TransportError::AnswerTruncated;
     if (!m_isFramed)
@@ -372,7 +373,7 @@
     return {};
 }
 
-std::error_code CurlTransfer::errorOf(CURLcode code) const
+std::error_code CurlTransfer::toTransportError(CURLcode code) const
 {
     if (m_isHeadMalformed)
         return TransportError::AnswerMalformed;
@@ -399,7 +400,7 @@
 
 TransferStage CurlTransfer::reachedStage() const
 {
-    // Counts what the socket took, over all attempts of this exchange.
+    // Counts the bytes that the socket accepted, over all attempts of this exchange.
     long requestBytes = 0;
     curl_easy_getinfo(m_handle, CURLINFO_REQUEST_SIZE, &requestBytes);
     if (requestBytes == 0 && sentBodyBytes() == 0)
@@ -409,8 +410,9 @@
 
 bool CurlTransfer::isRequestSent() const
 {
-    if (const auto *whole = std::get_if<std::string>(&m_body); whole && !whole->empty())
-        return sentBodyBytes() >= whole->size();
+    if (const auto *completeBody = std::get_if<std::string>(&m_body);
+        completeBody && !completeBody->empty())
+        return sentBodyBytes() >= completeBody->size();
     if (const auto *streamed = std::get_if<StreamedBody>(&m_body); streamed)
         return streamed->length && *streamed->length > 0 && sentBodyBytes() >= *streamed->length;
     long requestBytes = 0;
@@ -427,18 +429,18 @@
 
 void CurlTransfer::end(std::error_code error, TransferStage stage)
 {
-    m_end = TransferEnd{error, stage, m_handle ? sentBodyBytes() : 0};
+    m_result = TransferResult{error, stage, m_handle ? sentBodyBytes() : 0};
     m_multi->scheduleDelivery(*this);
-    release();
+    releaseHandle();
 }
 
-void CurlTransfer::release()
+void CurlTransfer::releaseHandle()
 {
     m_timeout.cancel();
     if (!m_handle)
         return;
     m_multi->remove(*this);
-    m_multi->giveHandle(std::exchange(m_handle, nullptr));
+    m_multi->recycleHandle(std::exchange(m_handle, nullptr));
 }
 
 void CurlTransfer::applyPause()
--- a/src/libbulrushio/connection/curltransfer.h
+++ b/src/libbulrushio/connection/curltransfer.h
@@ -16,56 +16,62 @@
 class CurlMulti;
 
 /**
- * One exchange on an easy handle of libcurl: request out, answer in, with bounded buffers.
+ * One HTTP exchange on an easy handle of libcurl, with bounded buffers.
  *
- * All methods are called on the loop's thread. The handler is never called from within them, nor
- * from within libcurl.
+ * All methods must be called on the event loop's thread. The handler is never called from within
+ * them, nor from within libcurl.
  */
 class CurlTransfer : public std::enable_shared_from_this<CurlTransfer>
 {
 public:
-    /** An answer whose head does not carry  echo, once, is dropped with its connection. */
+    /**
+     * If \a echoedField is given, an answer that does not contain this field exactly once is
+     * dropped and its connection closed.
+     */
     CurlTransfer(std::shared_ptr<CurlMulti> multi, HttpRequest request, RequestBody body,
-                 std::optional<HttpHeader> echo, TransferHandler handler);
+                 std::optional<HttpHeader> echoedField, TransferHandler handler);
     ~CurlTransfer();
 
     CurlTransfer(const CurlTransfer &) = delete;
     CurlTransfer &operator=(const CurlTransfer &) = delete;
 
-    /** Starts the exchange; a request that can't be sent ends with an event, as others do. */
+    /** Starts the exchange. A request that can't be sent is also reported by an event. */
     void start();
 
-    /** Ends the exchange silently; unless it had ended, its connection is closed. */
+    /** Cancels the exchange without an event; closes its connection if it was still running. */
     void abandon();
 
     /**
-     * Ends the exchange with \a error and the stage reached, unless its end was told. Unless the
-     * answer had come whole, its connection is closed.
+     * Fails the exchange with \a error and the reached stage, unless its result was already
+     * delivered. The connection is closed unless the complete answer was received.
      */
     void fail(std::error_code error);
 
-    /** Appends \a bytes to the request's body. \pre the body is streamed and not finished. */
+    /** Appends \a bytes to the request's body. \pre the body is streamed and not finished */
     void feed(std::string_view bytes);
 
     /** Marks the end of the streamed body. */
     void finishBody();
 
-    /** \returns how many bytes may be fed before the buffer's limit is met. */
+    /** \returns the number of bytes that can be fed before the buffer limit is reached. */
     std::size_t bodyRoom() const;
 
-    /** Holds back the events of the answer, and after a full buffer the connection, or goes on. */
+    /**
+     * Pauses or resumes the events of the answer. While paused, the connection is read until the
+     * buffer is full.
+     */
     void setAnswerPaused(bool isPaused);
 
-    /** \returns the bytes that are held for both directions now. */
+    /** \returns the number of bytes currently buffered for both directions. */
     std::size_t bufferedBytes() const;
 
-    /** For CurlMulti: the easy handle. */
+    /** \returns the easy handle, for CurlMulti. */
     CURL *handle() const;
 
-    /** For CurlMulti: libcurl is done with the exchange. */
+    /** Called by CurlMulti when libcurl has finished the exchange. */
     void finish(CURLcode code);
 
-    /** For CurlMulti: passes on what has come. */
+    /** Called by CurlMulti to deliver pending events to the handler. */
     void deliver();
 
 private:
@@ -81,20 +87,20 @@
     void armTimeout();
     void readHeaderLine(std::string_view line);
     void completeHead();
-    bool carriesEcho() const;
+    bool hasMatchingEcho() const;
     std::error_code framingError() const;
-    std::error_code errorOf(CURLcode code) const;
+    std::error_code toTransportError(CURLcode code) const;
     TransferStage reachedStage() const;
     bool isRequestSent() const;
     std::uint64_t sentBodyBytes() const;
     void end(std::error_code error, TransferStage stage);
-    void release();
+    void releaseHandle();
     void applyPause();
 
     std::shared_ptr<CurlMulti> m_multi;
     HttpRequest m_request;
     RequestBody m_body;
-    std::optional<HttpHeader> m_echo;
+    std::optional<HttpHeader> m_echoedField;
     TransferHandler m_handler;
     CURL *m_handle = nullptr;
     curl_slist *m_headerList = nullptr;
@@ -105,7 +111,7 @@
     std::size_t m_outgoingRead = 0;
     bool m_isBodyFinished = false;
     bool m_isSendPaused = false;
-    bool m_owesRoom = false;
+    bool m_isRoomEventPending = false;
 
     ResponseHead m_head;
     bool m_isHeadComplete = false;
@@ -117,9 +123,9 @@
     bool m_isReceivePaused = false;
     bool m_isAnswerPaused = false;
 
-    std::optional<TransferEnd> m_end;
+    std::optional<TransferResult> m_result;
     bool m_isDelivering = false;
-    bool m_isAbandoned = false; ///< the handler is called no more
+    bool m_isAbandoned = false; ///< the handler must not be called any more
 };
 
 } // namespace bulrush::io
--- a/src/libbulrushio/connection/httpclient.cpp
+++ b/src/libbulrushio/connection/httpclient.cpp
@@ -12,8 +12,8 @@
 
 namespace {
 
-/** Answers that are held whole may be no longer than this. */
-constexpr std::size_t wholeAnswerLimit = std::size_t{16} * 1024 * 1024;
+/** Answers are kept in memory completely; longer ones are an error. */
+constexpr std::size_t maxAnswerBodyBytes = std::size_t{16} * 1024 * 1024;
 
 void initializeLibrary()
 {
@@ -27,7 +27,7 @@
     return std::make_shared<CurlMulti>(loop);
 }
 
-RequestBody wholeBody(HttpRequest &request)
+RequestBody takeBody(HttpRequest &request)
 {
     const bool isBodyless = request.method == "GET" || request.method == "HEAD"
         || request.method == "DELETE" || request.method == "OPTIONS";
@@ -38,7 +38,7 @@
 
 } // namespace
 
-/** The transfers in flight, and the answers as far as they have come. */
+/** The transfers in flight and the parts of their answers received so far. */
 class HttpClient::Impl
 {
 public:
@@ -55,11 +55,11 @@
         std::shared_ptr<CurlTransfer> transfer;
     };
 
-    void take(TransferId id, TransferEvent event);
-    void takeEvent(TransferId id, ResponseHead &head);
-    void takeEvent(TransferId id, BodyChunk &chunk);
-    void takeEvent(TransferId id, const BodyRoom &room);
-    void takeEvent(TransferId id, const TransferEnd &end);
+    void dispatchEvent(TransferId id, TransferEvent event);
+    void handleEvent(TransferId id, ResponseHead &head);
+    void handleEvent(TransferId id, BodyChunk &chunk);
+    void handleEvent(TransferId id, const BodyRoom &room);
+    void handleEvent(TransferId id, const TransferResult &transferResult);
 
     std::shared_ptr<CurlMulti> m_multi;
     std::unordered_map<TransferId, Fetch> m_fetches;
@@ -72,26 +72,26 @@
         fetch.transfer->abandon();
 }
 
-void HttpClient::Impl::take(TransferId id, TransferEvent event)
+void HttpClient::Impl::dispatchEvent(TransferId id, TransferEvent event)
 {
     if (!m_fetches.contains(id))
         return;
-    std::visit([this, id](auto &alternative) { takeEvent(id, alternative); }, event);
+    std::visit([this, id](auto &alternative) { handleEvent(id, alternative); }, event);
 }
 
-void HttpClient::Impl::takeEvent(TransferId id, ResponseHead &head)
+void HttpClient::Impl::handleEvent(TransferId id, ResponseHead &head)
 {
     Fetch &fetch = m_fetches.at(id);
     fetch.response.status = head.status;
     fetch.response.headers = std::move(head.headers);
 }
 
-void HttpClient::Impl::takeEvent(TransferId id, BodyChunk &chunk)
+void HttpClient::Impl::handleEvent(TransferId id, BodyChunk &chunk)
 {
     Fetch &fetch = m_fetches.at(id);
-    if (fetch.response.body.size() + chunk.bytes.size() > wholeAnswerLimit) {
+    if (fetch.response.body.size() + chunk.bytes.size() > maxAnswerBodyBytes) {
         fetch.transfer->abandon();
-        takeEvent(id, TransferEnd{TransportError::AnswerTooLarge, TransferStage::Sent, 0});
+        handleEvent(id, TransferResult{TransportError::AnswerTooLarge, TransferStage::Sent, 0});
         return;
     }
     if (fetch.response.body.empty())
@@ -100,15 +100,15 @@
         fetch.response.body.append(chunk.bytes);
 }
 
-void HttpClient::Impl::takeEvent(TransferId, const BodyRoom &)
+void HttpClient::Impl::handleEvent(TransferId, const BodyRoom &)
 { }
 
-void HttpClient::Impl::takeEvent(TransferId id, const TransferEnd &end)
+void HttpClient::Impl::handleEvent(TransferId id, const TransferResult &transferResult)
 {
     auto node = m_fetches.extract(id);
     Fetch &fetch = node.mapped();
-    HttpResult result{end.error, end.stage, {}};
-    if (!end.error)
+    HttpResult result{transferResult.error, transferResult.stage, {}};
+    if (!transferResult.error)
         result.response = std::move(fetch.response);
     fetch.handler(std::move(result));
 }
@@ -127,10 +127,12 @@
 HttpClient::TransferId HttpClient::fetch(HttpRequest request, Handler handler)
 {
     const TransferId id = ++m_impl->m_lastId;
-    RequestBody body = wholeBody(request);
-    auto transfer = std::make_shared<CurlTransfer>(
-        m_impl->m_multi, std::move(request), std::move(body), std::nullopt,
-        [impl = m_impl.get(), id](TransferEvent event) { impl->take(id, std::move(event)); });
+    RequestBody body = takeBody(request);
+    auto transfer = std::make_shared<CurlTransfer>(m_impl->m_multi, std::move(request),
+                                                   std::move(body), std::nullopt,
+                                                   [impl = m_impl.get(), id](TransferEvent event) {
+                                                       impl->dispatchEvent(id, std::move(event));
+                                                   });
     m_impl->m_fetches.emplace(id, Impl::Fetch{std::move(handler), {}, transfer});
     transfer->start();
     return id;
--- a/src/libbulrushio/connection/httpclient.h
+++ b/src/libbulrushio/connection/httpclient.h
@@ -23,23 +23,23 @@
     std::string value;
 };
 
-/** A request whose body is small enough to be held whole. */
+/** A request whose complete body is kept in memory. */
 struct HttpRequest
 {
     std::string method = "GET";
     std::string url;
     std::vector<HttpHeader> headers;
     std::string body;
-    /** Time from the call to the end of the answer. */
+    /** Time-out from the call to the end of the answer. */
     Duration timeout = std::chrono::seconds{1};
     /**
-     * Opens a connection for this request alone. Set for work that must not run twice: a client
-     * that finds a kept connection closed would otherwise send the request again.
+     * Opens a connection for this request alone. Required for work that must not run twice:
+     * otherwise the client resends the request if a reused connection turns out to be closed.
      */
     bool isFreshConnection = false;
 };
 
-/** An answer, whole. */
+/** A complete answer. */
 struct HttpResponse
 {
     int status = 0;
@@ -47,38 +47,38 @@
     std::string body;
 };
 
-/** How far a transfer came, which decides whether its work can have run. */
+/** The stage that a transfer reached; it determines whether the server may have run the request. */
 enum class TransferStage {
-    NotConnected, ///< no byte of the request left: it did not run
-    Sending,      ///< some of the request was sent: it may have run
-    Sent,         ///< all of the request was sent: it may have run
-    Answered,     ///< the answer is whole
+    NotConnected, ///< no byte of the request was sent: it did not run
+    Sending,      ///< part of the request was sent: it may have run
+    Sent,         ///< the complete request was sent: it may have run
+    Answered,     ///< the complete answer was received
 };
 
-/** When a call took its steps; none is set that it did not come to. */
+/** The times of the steps of a call; steps that it did not reach are unset. */
 struct CallTimes
 {
-    /** It had a connection. */
+    /** The connection was available. */
     std::optional<Instant> connectedAt;
-    /** All of the request was handed to the host. */
+    /** The complete request was passed to the host's network stack. */
     std::optional<Instant> writtenAt;
 };
 
-/** The end of a transfer. \a response is whole if, and only if, \a error is clear. */
+/** The result of a transfer. \a response is complete if, and only if, \a error is clear. */
 struct HttpResult
 {
     std::error_code error;
     TransferStage stage = TransferStage::NotConnected;
     HttpResponse response;
-    /** Told by ServerClient alone. */
+    /** Set by ServerClient only. */
     CallTimes times = {};
 };
 
 /**
- * HTTP/1.1 client over libcurl's multi interface, driven by an Asio loop.
+ * HTTP/1.1 client over libcurl's multi interface, driven by an Asio event loop.
  *
- * All methods are called on the loop's thread, where the handlers run too. A handler must not
- * destroy the client.
+ * All methods must be called on the event loop's thread; the handlers run on it as well. A handler
+ * must not destroy the client.
  */
 class HttpClient
 {
@@ -93,22 +93,22 @@
     HttpClient &operator=(const HttpClient &) = delete;
 
     /**
-     * Allows at most \a count connections to one host and port at a time; further transfers wait,
-     * within their timeouts. 0, as at first, means no limit.
+     * Limits the concurrent connections to one host and port to \a count; further transfers wait,
+     * within their time-outs. 0, the default, means no limit.
      */
     void setConnectionsPerHost(long count);
 
     /**
-     * Starts \a request and calls \a handler once with its end, never from within this call.
+     * Starts \a request and calls \a handler once with its result, never from within this method.
      */
     TransferId fetch(HttpRequest request, Handler handler);
 
     /**
-     * Ends a transfer: its connection is closed and its handler is not called any more.
+     * Cancels a transfer: closes its connection and does not call its handler.
      */
     void cancel(TransferId id);
 
-    /** For StreamTransfer: what drives the connections, shared with them. */
+    /** \returns the driver of the connections, for StreamTransfer, which shares its ownership. */
     const std::shared_ptr<CurlMulti> &multi() const;
 
 private:
--- a/src/libbulrushio/connection/httpfield.cpp
+++ b/src/libbulrushio/connection/httpfield.cpp
@@ -6,18 +6,18 @@
 
 namespace {
 
-constexpr std::string_view tokenMarks = "!#$%&'*+-.^_`|~";
+constexpr std::string_view tokenSymbols = "!#$%&'*+-.^_`|~";
 
-char lowered(char c)
+char toLower(char c)
 {
     return c >= 'A' && c <= 'Z' ? static_cast<char>(c - 'A' + 'a') : c;
 }
 
 bool isTokenCharacter(char c)
 {
-    const char low = lowered(c);
+    const char low = toLower(c);
     return (low >= 'a' && low <= 'z') || (c >= '0' && c <= '9')
-        || tokenMarks.find(c) != std::string_view::npos;
+        || tokenSymbols.find(c) != std::string_view::npos;
 }
 
 bool isFieldCharacter(char c)
@@ -30,7 +30,7 @@
 
 bool isSameField(std::string_view left, std::string_view right)
 {
-    return std::ranges::equal(left, right, {}, lowered, lowered);
+    return std::ranges::equal(left, right, {}, toLower, toLower);
 }
 
 bool isToken(std::string_view text)
@@ -69,11 +69,11 @@
     return values;
 }
 
-bool listHolds(std::string_view list, std::string_view word)
+bool listContains(std::string_view list, std::string_view item)
 {
     while (!list.empty()) {
         const std::size_t comma = std::min(list.find(','), list.size());
-        if (isSameField(trimmed(list.substr(0, comma)), word))
+        if (isSameField(trimmed(list.substr(0, comma)), item))
             return true;
         list.remove_prefix(std::min(comma + 1, list.size()));
     }
--- a/src/libbulrushio/connection/httpfield.h
+++ b/src/libbulrushio/connection/httpfield.h
@@ -8,17 +8,16 @@
 
 namespace bulrush::io {
 
-/** \returns whether two field names are the same, case aside. Thread safe. */
+/** \returns whether two field names are equal, ignoring case. Thread safe. */
 bool isSameField(std::string_view left, std::string_view right);
 
-/** \returns whether \a text is a token as RFC 9110 has it: a method or a field name. Thread safe.
- */
+/** \returns whether \a text is a token of RFC 9110, as methods and field names are. Thread safe. */
 bool isToken(std::string_view text);
 
-/** \returns whether \a header can be sent without ending its line early. Thread safe. */
+/** \returns whether \a header has no characters that could break out of its line. Thread safe. */
 bool isSafeField(const HttpHeader &header);
 
-/** \returns \a text without blanks at its ends. Thread safe. */
+/** \returns \a text without leading and trailing spaces and tabs. Thread safe. */
 std::string_view trimmed(std::string_view text);
 
 /** \returns the first field called \a name, or null. Thread safe. */
@@ -28,7 +27,7 @@
 std::vector<std::string_view> fieldValues(std::span<const HttpHeader> headers,
                                           std::string_view name);
 
-/** \returns whether the comma separated \a list holds \a word, case aside. Thread safe. */
-bool listHolds(std::string_view list, std::string_view word);
+/** \returns whether the comma-separated \a list contains \a item, ignoring case. Thread safe. */
+bool listContains(std::string_view list, std::string_view item);
 
 } // namespace bulrush::io
--- a/src/libbulrushio/connection/proxyexchange.cpp
+++ b/src/libbulrushio/connection/proxyexchange.cpp
@@ -14,17 +14,17 @@
 
 namespace {
 
-constexpr std::string_view ownPrefix = "X-Bulrush-";
+constexpr std::string_view bulrushFieldPrefix = "X-Bulrush-";
 constexpr std::string_view requestField = "X-Bulrush-Request";
 constexpr std::string_view ranField = "X-Bulrush-Ran";
 constexpr std::string_view reasonField = "X-Bulrush-Reason";
 constexpr int notModified = 304;
 
-/** Answers up to this size are held until they are whole, so that a cut one can be replaced. */
-constexpr std::size_t heldAnswerLimit = std::size_t{64} * 1024;
+/** Answers up to this size are buffered until complete, so that a truncated one can be replaced. */
+constexpr std::size_t maxBufferedAnswerBytes = std::size_t{64} * 1024;
 
-/** Fields that concern one connection, and those that are set anew for the next one. */
-constexpr std::array<std::string_view, 12> hopFields{
+/** Hop-by-hop fields, and fields that are generated anew for the next connection. */
+constexpr std::array<std::string_view, 12> hopByHopFields{
     "Connection",
     "Keep-Alive",
     "Proxy-Authenticate",
@@ -39,23 +39,24 @@
     "Host",
 };
 
-bool isOwnField(std::string_view name)
+bool isBulrushField(std::string_view name)
 {
-    return isSameField(name.substr(0, ownPrefix.size()), ownPrefix);
+    return isSameField(name.substr(0, bulrushFieldPrefix.size()), bulrushFieldPrefix);
 }
 
-std::vector<HttpHeader> endToEndFields(std::span<const HttpHeader> headers, bool keepsOwn)
+std::vector<HttpHeader> endToEndFields(std::span<const HttpHeader> headers, bool keepsBulrushFields)
 {
-    const std::vector<std::string_view> listed = fieldValues(headers, "Connection");
+    const std::vector<std::string_view> connectionOptions = fieldValues(headers, "Connection");
     const auto isDropped = [&](std::string_view name) {
         const auto isSame = [name](std::string_view other) {
             return isSameField(name, other);
         };
-        const auto names = [name](std::string_view list) {
-            return listHolds(list, name);
+        const auto isListed = [name](std::string_view list) {
+            return listContains(list, name);
         };
-        return std::ranges::any_of(hopFields, isSame) || std::ranges::any_of(listed, names)
-            || (!keepsOwn && isOwnField(name));
+        return std::ranges::any_of(hopByHopFields, isSame)
+            || std::ranges::any_of(connectionOptions, isListed)
+            || (!keepsBulrushFields && isBulrushField(name));
     };
     std::vector<HttpHeader> kept;
     kept.reserve(headers.size());
@@ -66,15 +67,15 @@
     return kept;
 }
 
-std::string valueOf(std::span<const HttpHeader> headers, std::string_view name)
+std::string firstFieldValue(std::span<const HttpHeader> headers, std::string_view name)
 {
     const HttpHeader *header = findField(headers, name);
     return header ? header->value : std::string{};
 }
 
-std::optional<std::uint64_t> lengthOf(std::span<const HttpHeader> headers)
+std::optional<std::uint64_t> contentLength(std::span<const HttpHeader> headers)
 {
-    const std::string text = valueOf(headers, "Content-Length");
+    const std::string text = firstFieldValue(headers, "Content-Length");
     std::uint64_t length = 0;
     const auto parsed = std::from_chars(text.data(), text.data() + text.size(), length);
     if (text.empty() || parsed.ec != std::errc{})
@@ -93,7 +94,7 @@
 
 ProxyExchange::ProxyExchange(HttpClient &client, std::shared_ptr<IncomingRequest> request,
                              std::shared_ptr<ResponseWriter> writer, ProxyTarget target,
-                             EndHandler handler)
+                             ResultHandler handler)
     : m_client(client)
     , m_request(std::move(request))
     , m_writer(std::move(writer))
@@ -103,7 +104,7 @@
 
 ProxyExchange::~ProxyExchange()
 {
-    if (!m_isOver)
+    if (!m_isFinished)
         m_request->setGoneHandler(nullptr);
 }
 
@@ -118,7 +119,7 @@
                                          HttpHeader{std::string{requestField}, m_target.requestId},
                                          [weak = weak_from_this()](TransferEvent event) {
                                              if (const auto self = weak.lock())
-                                                 self->take(std::move(event));
+                                                 self->dispatchEvent(std::move(event));
                                          });
 }
 
@@ -127,63 +128,63 @@
     return m_peakBufferedBytes;
 }
 
-void ProxyExchange::take(TransferEvent event)
+void ProxyExchange::dispatchEvent(TransferEvent event)
 {
-    if (m_isOver)
+    if (m_isFinished)
         return;
-    notePeak();
-    std::visit([this](auto &alternative) { takeEvent(alternative); }, event);
-    notePeak();
+    updatePeakBufferedBytes();
+    std::visit([this](auto &alternative) { handleEvent(alternative); }, event);
+    updatePeakBufferedBytes();
 }
 
-void ProxyExchange::takeEvent(ResponseHead &head)
+void ProxyExchange::handleEvent(ResponseHead &head)
 {
-    m_end.status = head.status;
-    m_end.ran = valueOf(head.headers, ranField);
-    m_end.reason = valueOf(head.headers, reasonField);
+    m_result.status = head.status;
+    m_result.ran = firstFieldValue(head.headers, ranField);
+    m_result.reason = firstFieldValue(head.headers, reasonField);
     m_answerHead = std::move(head);
     const Outcome outcome =
-        outcomeOfAnswer(m_end.status, ranStatementOf(m_end.ran), m_end.reason, Duration{});
+        outcomeOfAnswer(m_result.status, ranStatementOf(m_result.ran), m_result.reason, Duration{});
     m_isRefused = !std::holds_alternative<WholeAnswer>(outcome);
     if (m_target.captureLimit > 0)
-        m_end.contentType = valueOf(m_answerHead.headers, "Content-Type");
+        m_result.contentType = firstFieldValue(m_answerHead.headers, "Content-Type");
 }
 
-void ProxyExchange::takeEvent(BodyChunk &chunk)
+void ProxyExchange::handleEvent(BodyChunk &chunk)
 {
     if (m_isRefused)
-        return; // nothing of it is passed
-    m_end.answerBytes += chunk.bytes.size();
-    if (m_end.answerBytes <= m_target.captureLimit)
-        m_end.capturedBody += chunk.bytes;
+        return; // a refused answer is not relayed
+    m_result.answerBytes += chunk.bytes.size();
+    if (m_result.answerBytes <= m_target.captureLimit)
+        m_result.capturedBody += chunk.bytes;
     else
-        m_end.capturedBody.clear();
+        m_result.capturedBody.clear();
     if (m_writer->hasBegun()) {
-        passBytes(std::move(chunk.bytes));
+        relayBytes(std::move(chunk.bytes));
         return;
     }
-    m_heldAnswer += chunk.bytes;
-    if (m_heldAnswer.size() <= heldAnswerLimit)
+    m_bufferedAnswer += chunk.bytes;
+    if (m_bufferedAnswer.size() <= maxBufferedAnswerBytes)
         return;
     beginAnswer();
-    passBytes(std::exchange(m_heldAnswer, {}));
+    relayBytes(std::exchange(m_bufferedAnswer, {}));
 }
 
-void ProxyExchange::takeEvent(const BodyRoom &)
+void ProxyExchange::handleEvent(const BodyRoom &)
 {
-    pullBody();
+    readRequestBody();
 }
 
-void ProxyExchange::takeEvent(const TransferEnd &end)
+void ProxyExchange::handleEvent(const TransferResult &transferResult)
 {
-    m_end.bodyBytesSent = end.bodyBytesSent;
+    m_result.bodyBytesSent = transferResult.bodyBytesSent;
     if (m_isRefused) {
-        finish(TransportError::ServerRefused, end.stage);
+        finish(TransportError::ServerRefused, transferResult.stage);
         return;
     }
-    if (!end.error)
-        passWhole();
-    finish(end.error, end.stage);
+    if (!transferResult.error)
+        finishAnswer();
+    finish(transferResult.error, transferResult.stage);
 }
 
 HttpRequest ProxyExchange::outgoingRequest() const
@@ -209,43 +210,43 @@
     return m_request->body();
 }
 
-void ProxyExchange::pullBody()
+void ProxyExchange::readRequestBody()
 {
-    if (m_isPulling || m_isOver || m_pulledBytes == m_request->bodyLength())
+    if (m_isReadingBody || m_isFinished || m_bodyBytesRead == m_request->bodyLength())
         return;
-    m_isPulling = true;
-    m_end.isBodyIntact = false;
+    m_isReadingBody = true;
+    m_result.isBodyIntact = false;
     m_request->readBody([weak = weak_from_this()](std::error_code error, const std::string &bytes) {
         if (const auto self = weak.lock())
-            self->bodyPulled(error, bytes);
+            self->handleBodyRead(error, bytes);
     });
 }
 
-void ProxyExchange::bodyPulled(std::error_code error, const std::string &bytes)
+void ProxyExchange::handleBodyRead(std::error_code error, const std::string &bytes)
 {
-    m_isPulling = false;
-    if (m_isOver)
+    m_isReadingBody = false;
+    if (m_isFinished)
         return;
     if (error) {
         m_transfer->fail(error);
         return;
     }
-    m_pulledBytes += bytes.size();
+    m_bodyBytesRead += bytes.size();
     m_transfer->feed(bytes);
-    notePeak();
-    if (m_pulledBytes == m_request->bodyLength())
+    updatePeakBufferedBytes();
+    if (m_bodyBytesRead == m_request->bodyLength())
         m_transfer->finishBody();
     else if (m_transfer->bodyRoom() > 0)
-        pullBody();
+        readRequestBody();
 }
 
-void ProxyExchange::passBytes(std::string bytes)
+void ProxyExchange::relayBytes(std::string bytes)
 {
     m_transfer->setAnswerPaused(true);
     m_bytesInWrite = bytes.size();
     m_writer->write(std::move(bytes), [weak = weak_from_this()](std::error_code error) {
         const auto self = weak.lock();
-        if (!self || self->m_isOver)
+        if (!self || self->m_isFinished)
             return;
         self->m_bytesInWrite = 0;
         if (error)
@@ -259,48 +260,49 @@
 {
     ResponseHead head{m_answerHead.status,
                       endToEndFields(m_answerHead.headers, m_target.passesOwnFields)};
-    m_writer->begin(head, lengthOf(m_answerHead.headers));
+    m_writer->begin(head, contentLength(m_answerHead.headers));
 }
 
-void ProxyExchange::passWhole()
+void ProxyExchange::finishAnswer()
 {
     if (m_writer->hasBegun()) {
         m_writer->finish();
         return;
     }
-    if (m_heldAnswer.empty()) {
-        // The length of such an answer is that of the body which GET would get.
-        const bool isOfOther = m_request->head().method == "HEAD" || m_end.status == notModified;
+    if (m_bufferedAnswer.empty()) {
+        // Such an answer announces the length of the body that a GET request would receive.
+        const bool announcesGetLength =
+            m_request->head().method == "HEAD" || m_result.status == notModified;
         ResponseHead head{m_answerHead.status,
                           endToEndFields(m_answerHead.headers, m_target.passesOwnFields)};
-        m_writer->begin(head, isOfOther ? lengthOf(m_answerHead.headers) : 0);
+        m_writer->begin(head, announcesGetLength ? contentLength(m_answerHead.headers) : 0);
         m_writer->finish();
         return;
     }
     m_writer->send({m_answerHead.status,
                     endToEndFields(m_answerHead.headers, m_target.passesOwnFields),
-                    std::move(m_heldAnswer)});
+                    std::move(m_bufferedAnswer)});
 }
 
 void ProxyExchange::finish(std::error_code error, TransferStage stage)
 {
-    m_isOver = true;
+    m_isFinished = true;
     m_request->setGoneHandler(nullptr);
-    m_end.error = error;
-    m_end.stage = stage;
-    m_end.hasBegunAnswer = m_writer->hasBegun();
-    if (error && m_end.hasBegunAnswer)
+    m_result.error = error;
+    m_result.stage = stage;
+    m_result.hasBegunAnswer = m_writer->hasBegun();
+    if (error && m_result.hasBegunAnswer)
         m_writer->abort();
-    const EndHandler handler = std::exchange(m_handler, nullptr);
+    const ResultHandler handler = std::exchange(m_handler, nullptr);
     const auto keepAlive = shared_from_this();
-    handler(m_end);
+    handler(m_result);
 }
 
-void ProxyExchange::notePeak()
+void ProxyExchange::updatePeakBufferedBytes()
 {
-    const std::size_t held = m_transfer ? m_transfer->bufferedBytes() : 0;
+    const std::size_t transferBytes = m_transfer ? m_transfer->bufferedBytes() : 0;
     m_peakBufferedBytes =
-        std::max(m_peakBufferedBytes, held + m_heldAnswer.size() + m_bytesInWrite);
+        std::max(m_peakBufferedBytes, transferBytes + m_bufferedAnswer.size() + m_bytesInWrite);
 }
 
 } // namespace bulrush::io
--- a/src/libbulrushio/connection/streamtransfer.cpp
+++ b/src/libbulrushio/connection/streamtransfer.cpp
@@ -7,9 +7,9 @@
 namespace bulrush::io {
 
 StreamTransfer::StreamTransfer(HttpClient &client, HttpRequest request, RequestBody body,
-                               std::optional<HttpHeader> echo, TransferHandler handler)
+                               std::optional<HttpHeader> echoedField, TransferHandler handler)
     : m_transfer(std::make_shared<CurlTransfer>(client.multi(), std::move(request), std::move(body),
-                                                std::move(echo), std::move(handler)))
+                                                std::move(echoedField), std::move(handler)))
 {
     m_transfer->start();
 }
--- a/src/libbulrushio/connection/transferevent.h
+++ b/src/libbulrushio/connection/transferevent.h
@@ -12,20 +12,20 @@
 
 namespace bulrush::io {
 
-/** Bound on the bytes that a streaming transfer holds for each direction. */
+/** Maximum number of bytes that a streaming transfer buffers for each direction. */
 constexpr std::size_t transferBufferLimit = std::size_t{256} * 1024;
 
-/** A body that is fed while the request is sent. */
+/** A body that is supplied in parts while the request is sent. */
 struct StreamedBody
 {
-    /** Its length; without one it is sent in chunks. */
+    /** The length of the body; without it, the body is sent in chunks. */
     std::optional<std::uint64_t> length;
 };
 
-/** What a request carries as its body: nothing, all of it, or what is fed later. */
+/** The body of a request: none, a complete body, or one that is supplied in parts. */
 using RequestBody = std::variant<std::monostate, std::string, StreamedBody>;
 
-/** The head of an answer; interim (1xx) heads are passed over. */
+/** The head of a final answer; interim (1xx) answers are skipped. */
 struct ResponseHead
 {
     int status = 0;
@@ -38,23 +38,26 @@
     std::string bytes;
 };
 
-/** The connection takes bytes of the request's body, and there is room for more. */
+/** The transfer is ready for more bytes of the request's body. */
 struct BodyRoom
 { };
 
-/** The end of a transfer; the answer was whole if, and only if, \a error is clear. */
-struct TransferEnd
+/** The result of a transfer; the answer was complete if, and only if, \a error is clear. */
+struct TransferResult
 {
     std::error_code error;
     TransferStage stage = TransferStage::NotConnected;
-    /** Bytes of the request's body that were handed to the connection. */
+    /** The number of bytes of the request's body that were passed to the connection. */
     std::uint64_t bodyBytesSent = 0;
 };
 
-/** What a streaming transfer tells: a head, chunks in order, room in between, and one end. */
-using TransferEvent = std::variant<ResponseHead, BodyChunk, BodyRoom, TransferEnd>;
+/**
+ * An event of a streaming transfer: one head, the chunks in order, any number of room events in
+ * between, and finally one result.
+ */
+using TransferEvent = std::variant<ResponseHead, BodyChunk, BodyRoom, TransferResult>;
 
-/** Takes the events of a transfer. It may destroy the transfer. */
+/** Handles the events of a transfer. It may destroy the transfer. */
 using TransferHandler = std::function<void(TransferEvent)>;
 
 } // namespace bulrush::io
--- a/tests/httpclient/test_httpclient.cpp
+++ b/tests/httpclient/test_httpclient.cpp
@@ -288,7 +288,7 @@
     int requests = 0;
     ScriptedServer server{loop, closingAfterSecond(requests)};
     BOOST_TEST(!fetch(get(server.url())).error);
-    std::optional<TransferEnd> end;
+    std::optional<TransferResult> end;
     std::unique_ptr<StreamTransfer> transfer;
     transfer = std::make_unique<StreamTransfer>(
         client, post(server.url(), {}, false), StreamedBody{3}, std::nullopt,
@@ -296,7 +296,7 @@
             if (std::holds_alternative<BodyRoom>(event)) {
                 transfer->feed("pay");
                 transfer->finishBody();
-            } else if (const auto *last = std::get_if<TransferEnd>(&event)) {
+            } else if (const auto *last = std::get_if<TransferResult>(&event)) {
                 end = *last;
             }
         });
