--- a/src/libbulrushio/connection/peerclient.cpp
+++ b/src/libbulrushio/connection/peerclient.cpp
@@ -9,7 +9,7 @@
 
 constexpr int httpOk = 200;
 
-RpcReply replyOf(const HttpResult &result)
+RpcReply toReply(const HttpResult &result)
 {
     if (result.error || result.response.status != httpOk)
         return {RpcError::Unreachable, result.error.message(), {}};
@@ -35,7 +35,7 @@
     request.timeout = timeout;
     m_http.fetch(std::move(request),
                  [this, handler = std::move(handler)](const HttpResult &result) {
-                     RpcReply reply = replyOf(result);
+                     RpcReply reply = toReply(result);
                      if (reply.error)
                          m_counters.add(Counter::PeerCallErrors);
                      handler(std::move(reply));
--- a/src/libbulrushio/connection/peerclient.h
+++ b/src/libbulrushio/connection/peerclient.h
@@ -17,19 +17,19 @@
 /**
  * Calls other daemons by JSON-RPC over HTTP.
  *
- * All methods are called on the client's loop, where the handlers run too.
+ * All methods must be called on the HTTP client's event loop; the handlers run on it as well.
  */
 class PeerClient
 {
 public:
     using Handler = std::function<void(RpcReply)>;
 
-    /** \pre both outlive this object and every call's end. */
+    /** \pre both outlive this object and all calls */
     PeerClient(HttpClient &http, Counters &counters);
 
     /**
-     * Calls \a method at the daemon whose peers' port is \a address ("IP:PORT") and calls \a
-     * handler once, within \a timeout. A call that ends with an error may have been carried out.
+     * Calls \a method of the daemon whose port for peers is \a address ("IP:PORT"), and calls \a
+     * handler once, within \a timeout. A call that fails may still have been executed.
      */
     void call(const std::string &address, const std::string &method, const Json::Value &parameters,
               Duration timeout, Handler handler);
--- a/src/libbulrushio/connection/rpcclientcodec.cpp
+++ b/src/libbulrushio/connection/rpcclientcodec.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 /**
- * Keeps the text of a call in place of sending it, and answers it with a given text.
+ * Stores the text of a call instead of sending it, and answers the call with a given text.
  */
 class TextConnector : public jsonrpc::IClientConnector
 {
@@ -18,7 +18,7 @@
         : m_answer(answer)
     { }
 
-    // The exception specification is the library's.
+    // The library requires this exception specification.
     void SendRPCMessage(const std::string &message,
                         std::string &result) throw(jsonrpc::JsonRpcException) override
     {
--- a/src/libbulrushio/connection/rpcclientcodec.h
+++ b/src/libbulrushio/connection/rpcclientcodec.h
@@ -8,21 +8,21 @@
 namespace io {
 
 /**
- * The two halves of a JSON-RPC 2.0 call, by libjsonrpccpp's client.
+ * Encodes JSON-RPC 2.0 calls and decodes their answers with libjsonrpccpp's client.
  *
- * That client waits for the answer within the call, which the daemon's loop can't; so a call is
- * written here, and its answer read when it comes. The library's header needs C++14: this header
- * and its source keep to that, all else of the project is C++20.
+ * That client blocks until the answer arrives, which the daemon's event loop must not do. Therefore
+ * encoding and decoding are separate steps here. The library's header requires C++14, so this
+ * header and its source are limited to C++14; the rest of the project is C++20.
  *
  * Thread safe.
  */
 class RpcClientCodec
 {
 public:
-    /** What an answer turned out to be. */
+    /** The kind of an answer. */
     enum class Kind { Result, Error, Malformed };
 
-    /** An answer, read. */
+    /** A decoded answer. */
     struct Reply
     {
         Kind kind;
@@ -33,7 +33,7 @@
     /** \returns the text of a call with named parameters. */
     static std::string encodeCall(const std::string &method, const Json::Value &parameters);
 
-    /** \returns what \a text says. */
+    /** \returns the answer in \a text. */
     static Reply decodeReply(const std::string &text);
 };
 
--- a/src/libbulrushio/connection/rpcdispatcher.cpp
+++ b/src/libbulrushio/connection/rpcdispatcher.cpp
@@ -38,12 +38,12 @@
     {
         try {
             output = m_procedures.at(procedure.GetProcedureName())(input);
-        } catch (const std::invalid_argument &problem) {
+        } catch (const std::invalid_argument &error) {
             throw jsonrpc::JsonRpcException(jsonrpc::Errors::ERROR_RPC_INVALID_PARAMS,
-                                            problem.what());
-        } catch (const Json::Exception &problem) {
+                                            error.what());
+        } catch (const Json::Exception &error) {
             throw jsonrpc::JsonRpcException(jsonrpc::Errors::ERROR_RPC_INVALID_PARAMS,
-                                            problem.what());
+                                            error.what());
         }
     }
 
--- a/src/libbulrushio/connection/rpcdispatcher.h
+++ b/src/libbulrushio/connection/rpcdispatcher.h
@@ -9,15 +9,15 @@
 namespace bulrush::io {
 
 /**
- * Answers JSON-RPC 2.0 calls by libjsonrpccpp's server, without its HTTP server: the daemon's own
- * ports carry the texts, which saves a second server and its threads.
+ * Answers JSON-RPC 2.0 calls with libjsonrpccpp's server, but without its HTTP server: the daemon's
+ * own HTTP server carries the messages, which avoids a second server and its threads.
  *
- * All methods are called on one thread, where the procedures run too.
+ * All methods must be called on one thread; the procedures run on the same thread.
  */
 class RpcDispatcher
 {
 public:
-    /** \returns the result; throws std::invalid_argument for parameters that it can't take. */
+    /** \returns the result of a call; throws std::invalid_argument for invalid parameters. */
     using Procedure = std::function<Json::Value(const Json::Value &parameters)>;
 
     RpcDispatcher();
@@ -27,13 +27,13 @@
     RpcDispatcher &operator=(const RpcDispatcher &) = delete;
 
     /**
-     * Calls of \a method, with named parameters, go to \a procedure.
-     * \pre no procedure of that name was added before.
+     * Registers \a procedure for calls of \a method with named parameters.
+     * \pre no procedure is registered for \a method
      */
     void add(const std::string &method, Procedure procedure);
 
     /**
-     * \returns the text of the answer to the call in \a text, an error answer included.
+     * \returns the text of the answer to the call in \a text, which may be an error answer.
      */
     std::string dispatch(const std::string &text);
 
--- a/src/libbulrushio/connection/rpcmessage.h
+++ b/src/libbulrushio/connection/rpcmessage.h
@@ -10,7 +10,7 @@
 
 /** Errors of calls between daemons. */
 enum class RpcError {
-    Unreachable = 1, ///< no whole answer came
+    Unreachable = 1, ///< no complete answer was received
     Malformed,       ///< the answer is not JSON-RPC 2.0
     Refused,         ///< the other daemon answered with an error
 };
@@ -18,7 +18,7 @@
 const std::error_category &rpcCategory();
 std::error_code make_error_code(RpcError error);
 
-/** The end of a call. \a result counts only if \a error is clear. */
+/** The answer to a call. \a result is valid only if \a error is clear. */
 struct RpcReply
 {
     std::error_code error;
@@ -27,12 +27,12 @@
 };
 
 /**
- * \returns the text of a JSON-RPC 2.0 call, as libjsonrpccpp writes it. Thread safe.
+ * \returns the text of a JSON-RPC 2.0 call, encoded by libjsonrpccpp. Thread safe.
  */
 std::string encodeRpcCall(const std::string &method, const Json::Value &parameters);
 
 /**
- * \returns what the text of an answer says, as libjsonrpccpp reads it. Thread safe.
+ * \returns the answer in \a text, decoded by libjsonrpccpp. Thread safe.
  */
 RpcReply decodeRpcReply(std::string_view text);
 
--- a/src/libbulrushio/connection/transporterror.cpp
+++ b/src/libbulrushio/connection/transporterror.cpp
@@ -10,31 +10,31 @@
 {
     switch (error) {
     case TransportError::InvalidRequest:
-        return "unusable URL, method or header";
+        return "invalid URL, method or header";
     case TransportError::ConnectionFailed:
-        return "no connection came about";
+        return "the connection could not be established";
     case TransportError::ConnectionLost:
-        return "the connection ended before the answer began";
+        return "the connection was closed before the answer began";
     case TransportError::TimedOut:
-        return "the time for the exchange ran out";
+        return "the exchange timed out";
     case TransportError::AnswerTruncated:
-        return "the answer did not come whole";
+        return "the answer is truncated";
     case TransportError::AnswerUnframed:
-        return "nothing but the close marks the end of the answer";
+        return "the answer has neither a length nor chunked encoding";
     case TransportError::AnswerMalformed:
-        return "the answer is not HTTP/1.1";
+        return "the answer is not valid HTTP/1.1";
     case TransportError::AnswerTooLarge:
-        return "the answer exceeds what is held whole";
+        return "the answer exceeds the buffer limit";
     case TransportError::AnswerMismatched:
-        return "the answer does not belong to the request";
+        return "the answer belongs to another request";
     case TransportError::ServerRefused:
-        return "the server refused the work before it started";
+        return "the server refused the request before it ran";
     case TransportError::CallerGone:
         return "the caller closed its connection";
     case TransportError::RequestTruncated:
-        return "the caller's request did not come whole";
+        return "the caller's request is incomplete";
     case TransportError::ListenFailed:
-        return "the listening address can't be used";
+        return "the listening address is not usable";
     case TransportError::InternalFailure:
         return "the transport library failed";
     }
--- a/src/libbulrushio/connection/transporterror.h
+++ b/src/libbulrushio/connection/transporterror.h
@@ -4,22 +4,22 @@
 
 namespace bulrush::io {
 
-/** Why an exchange over HTTP ended without a whole answer. */
+/** Why an HTTP exchange failed to yield a complete answer. */
 enum class TransportError {
-    InvalidRequest = 1, ///< refused here: unusable URL, method or header
-    ConnectionFailed,   ///< no connection came about
-    ConnectionLost,     ///< the connection ended or was reset before the answer began
-    TimedOut,           ///< the time for the exchange ran out
-    AnswerTruncated,    ///< the answer began and did not come whole
-    AnswerUnframed,     ///< only the close marks the end of the answer, so it can't be known whole
-    AnswerMalformed,    ///< what came is no answer in HTTP/1.1
-    AnswerTooLarge,     ///< the answer exceeds what is held whole
-    AnswerMismatched,   ///< the answer carries the id of another request, or none
-    ServerRefused,      ///< the server refused the work before it started it
-    CallerGone,         ///< the caller closed its connection before the end
-    RequestTruncated,   ///< the caller's request did not come whole
-    ListenFailed,       ///< the listening address can't be used
-    InternalFailure,    ///< the library below failed for another reason
+    InvalidRequest = 1, ///< not sent: invalid URL, method or header
+    ConnectionFailed,   ///< the connection could not be established
+    ConnectionLost,     ///< the connection was closed or reset before the answer began
+    TimedOut,           ///< the exchange exceeded its time-out
+    AnswerTruncated,    ///< the answer began but is incomplete
+    AnswerUnframed,   ///< only the close marks the end of the answer, so truncation is undetectable
+    AnswerMalformed,  ///< the received bytes are not an HTTP/1.1 answer
+    AnswerTooLarge,   ///< the answer exceeds the buffer limit
+    AnswerMismatched, ///< the answer carries no request id, or that of another request
+    ServerRefused,    ///< the server refused the request before it ran
+    CallerGone,       ///< the caller closed its connection before the end
+    RequestTruncated, ///< the caller's request is incomplete
+    ListenFailed,     ///< the listening address is not usable
+    InternalFailure,  ///< the underlying library failed for another reason
 };
 
 /** \returns the category of TransportError. Thread safe. */
--- a/src/libbulrushio/connection/wholebody.cpp
+++ b/src/libbulrushio/connection/wholebody.cpp
@@ -7,47 +7,47 @@
 namespace {
 
 /**
- * The reading of one body, which keeps itself until its end.
+ * Reads one body. Its pending read keeps the object alive until the body is complete.
  */
-class BodyReading : public std::enable_shared_from_this<BodyReading>
+class BodyReader : public std::enable_shared_from_this<BodyReader>
 {
 public:
-    BodyReading(std::shared_ptr<IncomingRequest> request, WholeBodyHandler handler)
+    BodyReader(std::shared_ptr<IncomingRequest> request, CompleteBodyHandler handler)
         : m_request(std::move(request))
         , m_handler(std::move(handler))
     { }
 
-    void readOn()
+    void readNext()
     {
         m_request->readBody(
             [self = shared_from_this()](std::error_code error, const std::string &bytes) {
-                self->take(error, bytes);
+                self->handleBytes(error, bytes);
             });
     }
 
 private:
-    void take(std::error_code error, const std::string &bytes)
+    void handleBytes(std::error_code error, const std::string &bytes)
     {
         m_body += bytes;
         if (error || bytes.empty())
             m_handler(error, m_body);
         else
-            readOn();
+            readNext();
     }
 
     std::shared_ptr<IncomingRequest> m_request;
-    WholeBodyHandler m_handler;
+    CompleteBodyHandler m_handler;
     std::string m_body;
 };
 
 } // namespace
 
-void readWholeBody(const std::shared_ptr<IncomingRequest> &request, WholeBodyHandler handler)
+void readWholeBody(const std::shared_ptr<IncomingRequest> &request, CompleteBodyHandler handler)
 {
     if (request->isBodyWhole())
         handler({}, request->body());
     else
-        std::make_shared<BodyReading>(request, std::move(handler))->readOn();
+        std::make_shared<BodyReader>(request, std::move(handler))->readNext();
 }
 
 } // namespace bulrush::io
--- a/src/libbulrushio/connection/wholebody.h
+++ b/src/libbulrushio/connection/wholebody.h
@@ -10,14 +10,14 @@
 
 namespace bulrush::io {
 
-/** Takes a whole body, which counts only if the error is clear. */
-using WholeBodyHandler = std::function<void(std::error_code, const std::string &)>;
+/** Receives a complete body, which is valid only if the error is clear. */
+using CompleteBodyHandler = std::function<void(std::error_code, const std::string &)>;
 
 /**
- * Reads the body of \a request to its end and hands it to \a handler, once: at once if it is held
- * whole already. For messages between daemons, whose length is known to be bounded.
- * To be called on the server's loop.
+ * Reads the complete body of \a request and passes it to \a handler, exactly once. If the body is
+ * already buffered, the handler is called from within this function. For messages between daemons,
+ * whose length is bounded. Must be called on the server's event loop.
  */
-void readWholeBody(const std::shared_ptr<IncomingRequest> &request, WholeBodyHandler handler);
+void readWholeBody(const std::shared_ptr<IncomingRequest> &request, CompleteBodyHandler handler);
 
 } // namespace bulrush::io
