--- a/src/libbulrushio/connection/answerparser.cpp
+++ b/src/libbulrushio/connection/answerparser.cpp
@@ -156,14 +156,14 @@
 const http_parser_settings &AnswerParser::callbacks()
 {
     static const http_parser_settings settings = [] {
-        http_parser_settings initialized;
-        http_parser_settings_init(&initialized);
-        initialized.on_header_field = &AnswerParser::onFieldName;
-        initialized.on_header_value = &AnswerParser::onFieldValue;
-        initialized.on_headers_complete = &AnswerParser::onHeadersComplete;
-        initialized.on_body = &AnswerParser::onBody;
-        initialized.on_message_complete = &AnswerParser::onMessageComplete;
-        return initialized;
+        http_parser_settings parserSettings;
+        http_parser_settings_init(&parserSettings);
+        parserSettings.on_header_field = &AnswerParser::onFieldName;
+        parserSettings.on_header_value = &AnswerParser::onFieldValue;
+        parserSettings.on_headers_complete = &AnswerParser::onHeadersComplete;
+        parserSettings.on_body = &AnswerParser::onBody;
+        parserSettings.on_message_complete = &AnswerParser::onMessageComplete;
+        return parserSettings;
     }();
     return settings;
 }
--- a/src/libbulrushio/connection/callerserver.cpp
+++ b/src/libbulrushio/connection/callerserver.cpp
@@ -419,9 +419,9 @@
     CallerConnection *connection = CallerConnection::current();
     if (!connection)
         return restinio::request_rejected();
+    // Requests after the last one stay unanswered; the connection closes after the last answer.
     if (!connection->acceptsRequests())
-        return restinio::request_accepted(); // stays unanswered: the connection closes after the
-                                             // previous answer
+        return restinio::request_accepted();
     const std::optional<std::uint64_t> upload = connection->takeUpload();
     RequestHead head = toRequestHead(*request);
     const std::shared_ptr<CallerLink> link = upload ? createUploadLink(core, *request, *upload)
--- a/src/libbulrushio/connection/serverclient.cpp
+++ b/src/libbulrushio/connection/serverclient.cpp
@@ -138,11 +138,11 @@
 ConnectionPtr ServerClient::connectionTo(const Endpoint &server, const std::string &run)
 {
     const Instant now = hostNow();
-    const auto idleConnections = m_pool->idle.find({server, run});
-    while (idleConnections != m_pool->idle.end() && !idleConnections->second.empty()) {
+    const auto idleEntry = m_pool->idle.find({server, run});
+    while (idleEntry != m_pool->idle.end() && !idleEntry->second.empty()) {
         // Takes the most recently used one, so that surplus connections time out.
-        ConnectionPtr connection = idleConnections->second.back();
-        idleConnections->second.pop_back();
+        ConnectionPtr connection = idleEntry->second.back();
+        idleEntry->second.pop_back();
         if (connection->isFree() && now < connection->idleUntil())
             return connection;
         connection->close();
