--- a/tests/platformadapter/test_mutations.cpp
+++ b/tests/platformadapter/test_mutations.cpp
@@ -24,15 +24,15 @@
 
 namespace {
 
-/** For each decoder; there are ten. */
-constexpr int mutationsEach = 2000;
+/** Number of random mutations for each decoder. */
+constexpr int mutationsPerDecoder = 2000;
 
 struct Decoder
 {
     std::string name;
-    /** That it reads. */
-    std::string good;
-    /** Must neither throw nor do what the sanitizers find. \returns whether it was read. */
+    /** A text that it accepts. */
+    std::string validText;
+    /** Must not throw or trigger a sanitizer. \returns whether the text was accepted. */
     std::function<bool(const std::string &)> decode;
 };
 
@@ -90,7 +90,7 @@
         {"assignment", io::encodeAssignment(assignment),
          [](const std::string &text) {
              const auto read = io::decodeAssignment(text);
-             // What is read says the same when it is written and read again.
+             // An accepted assignment survives a round trip through the encoder.
              BOOST_TEST((!read || io::decodeAssignment(io::encodeAssignment(*read)) == read));
              return read.has_value();
          }},
@@ -122,9 +122,9 @@
     return all;
 }
 
-std::string mutated(std::string text, std::mt19937_64 &random)
+std::string mutate(std::string text, std::mt19937_64 &random)
 {
-    static const std::array<std::string, 14> pieces = {
+    static const std::array<std::string, 14> fragments = {
         "1e300",   "-1",   "null", "true", "\"\"",       "[]",
         "{}",      "\xff", "0",    "[[[[", "4294967296", "18446744073709551616",
         "\\ud800", ","};
@@ -132,20 +132,20 @@
         return std::uniform_int_distribution<std::size_t>{0, count - 1}(random);
     };
     for (std::size_t i = 0, count = 1 + below(4); i < count; ++i) {
-        const std::size_t at = below(text.size() + 1);
-        const std::size_t length = std::min(below(8), text.size() - at);
+        const std::size_t position = below(text.size() + 1);
+        const std::size_t length = std::min(below(8), text.size() - position);
         switch (below(4)) {
         case 0:
-            text.replace(at, length, pieces.at(below(pieces.size())));
+            text.replace(position, length, fragments.at(below(fragments.size())));
             break;
         case 1:
-            text.erase(at, length);
+            text.erase(position, length);
             break;
         case 2:
-            text.insert(at, text.substr(below(text.size() + 1), below(12)));
+            text.insert(position, text.substr(below(text.size() + 1), below(12)));
             break;
         default:
-            text.insert(at, 1, static_cast<char>(below(256)));
+            text.insert(position, 1, static_cast<char>(below(256)));
         }
     }
     return text;
@@ -153,13 +153,14 @@
 
 } // namespace
 
-BOOST_DATA_TEST_CASE(whateverIsWrittenIsReadOrRefused, boost::unit_test::data::make(decoders()),
+BOOST_DATA_TEST_CASE(decodersAcceptOrRejectMutatedInput, boost::unit_test::data::make(decoders()),
                      decoder)
 {
-    BOOST_TEST(decoder.decode(decoder.good));
+    BOOST_TEST(decoder.decode(decoder.validText));
     std::mt19937_64 random{20'000};
     int refused = 0;
-    for (int i = 0; i < mutationsEach; ++i)
-        BOOST_REQUIRE_NO_THROW(refused += decoder.decode(mutated(decoder.good, random)) ? 0 : 1);
+    for (int i = 0; i < mutationsPerDecoder; ++i)
+        BOOST_REQUIRE_NO_THROW(refused +=
+                               decoder.decode(mutate(decoder.validText, random)) ? 0 : 1);
     BOOST_TEST_MESSAGE(decoder.name << ": " << refused << " refused");
 }
--- a/tests/platformadapter/test_platformformats.cpp
+++ b/tests/platformadapter/test_platformformats.cpp
@@ -32,21 +32,21 @@
     {"name":"r3","prefix":"/c/","kind":"upload","service":"pay"},
     {"name":"r4","prefix":"/d/","kind":"novel","service":"pay"}]}]})";
 
-std::string problemOf(const std::string &text)
+std::string decodeError(const std::string &text)
 {
     const auto decoded = decodeConfig(text);
     const auto *problem = std::get_if<std::string>(&decoded);
     return problem ? *problem : "";
 }
 
-std::string replaced(std::string text, const std::string &from, const std::string &to)
+std::string replaceFirst(std::string text, const std::string &from, const std::string &to)
 {
     return text.replace(text.find(from), from.size(), to);
 }
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(base64GoesBothWays)
+BOOST_AUTO_TEST_CASE(base64RoundTrip)
 {
     for (std::size_t length = 0; length < 20; ++length) {
         std::string bytes;
@@ -58,7 +58,7 @@
     BOOST_TEST(!fromBase64("a*b").has_value());
 }
 
-BOOST_AUTO_TEST_CASE(aConfigurationIsReadWhole)
+BOOST_AUTO_TEST_CASE(decodesCompleteConfiguration)
 {
     const auto decoded = decodeConfig(configText);
     BOOST_REQUIRE(std::holds_alternative<RoutingConfig>(decoded));
@@ -75,24 +75,24 @@
     BOOST_TEST((routes[1].kind == RequestKind::RunOnce));
     BOOST_TEST(!routes[1].timeout.has_value());
     BOOST_TEST((routes[2].kind == RequestKind::Upload));
-    // What may be repeated has to be known: of a novel kind it is not.
+    // An unknown kind is not assumed to be repeatable.
     BOOST_TEST((routes[3].kind == RequestKind::RunOnce));
 }
 
-BOOST_AUTO_TEST_CASE(aConfigurationThatCantBeUsedIsRefusedByItsField)
+BOOST_AUTO_TEST_CASE(reportsInvalidConfigurationField)
 {
-    BOOST_TEST(problemOf("[]") == "the value is not a JSON object");
-    BOOST_TEST(problemOf(replaced(configText, "0000000c", "xyz"))
+    BOOST_TEST(decodeError("[]") == "the value is not a JSON object");
+    BOOST_TEST(decodeError(replaceFirst(configText, "0000000c", "xyz"))
                == "version: must be hexadecimal digits");
-    BOOST_TEST(problemOf(replaced(configText, "\"timeoutS\":2", "\"timeoutS\":-1"))
+    BOOST_TEST(decodeError(replaceFirst(configText, "\"timeoutS\":2", "\"timeoutS\":-1"))
                == "timeoutS: must be seconds above 0 and at most a day");
-    BOOST_TEST(problemOf(replaced(configText, "\"weight\":90", "\"weight\":\"much\""))
+    BOOST_TEST(decodeError(replaceFirst(configText, "\"weight\":90", "\"weight\":\"much\""))
                == "weight: must be a number");
-    BOOST_TEST(problemOf(replaced(configText, "\"hosts\":[", "\"hosts\":5,\"x\":["))
+    BOOST_TEST(decodeError(replaceFirst(configText, "\"hosts\":[", "\"hosts\":5,\"x\":["))
                == "hosts: must be a list");
 }
 
-BOOST_AUTO_TEST_CASE(aServersRecordIsRead)
+BOOST_AUTO_TEST_CASE(decodesServerRecord)
 {
     const auto record = decodeServer(
         "i-1", R"({"service":"cat","address":"10.0.0.9:8080","zone":"a","version":"v1","slots":3,
@@ -106,36 +106,36 @@
     BOOST_TEST(!decodeServer("i-1", "").has_value());
 }
 
-BOOST_AUTO_TEST_CASE(runsOfAServerAreToldApartByTheirStart)
+BOOST_AUTO_TEST_CASE(distinguishesRunsByStartTime)
 {
     const std::string text = R"({"service":"cat","address":"10.0.0.9:8080","zone":"a",
         "version":"v1","slots":3,"state":"ready","coldRemainingS":0,"seq":4,"born":1764720000123})";
     const auto record = decodeServer("i-1", text);
     BOOST_REQUIRE(record.has_value());
-    const auto later = decodeServer("i-1", replaced(text, "0123}", "0124}"));
+    const auto later = decodeServer("i-1", replaceFirst(text, "0123}", "0124}"));
     BOOST_REQUIRE(later.has_value());
     BOOST_TEST((record->id != later->id));
     BOOST_TEST(later->isOtherRunOf(*record));
     BOOST_TEST(!later->isOtherRunOf(*later));
     BOOST_TEST(wireName(record->id) == "i-1");
-    const io::ServerCall order = releaseCall({"10.0.0.9", 80}, record->id, {1, 2}, 13);
-    BOOST_TEST(io::findField(order.headers, targetServerField)->value == "i-1");
-    BOOST_TEST(order.run == record->id.value());
+    const io::ServerCall releaseOfRun = releaseCall({"10.0.0.9", 80}, record->id, {1, 2}, 13);
+    BOOST_TEST(io::findField(releaseOfRun.headers, targetServerField)->value == "i-1");
+    BOOST_TEST(releaseOfRun.run == record->id.value());
     const std::vector<io::HttpHeader> answer = {{"X-Bulrushswitch-Instance-Id", "i-1"}};
     BOOST_TEST(!answerTerms(421, answer, record->id).isReplaced);
-    // Names that look like a run of another server stay names of their own.
+    // Names that contain the separator are not mistaken for runs of another server.
     for (const std::string name : {"i-1@5", "i-1@", "@", "i@1@2"}) {
         BOOST_TEST(wireName(runName(name, std::nullopt)) == name);
         BOOST_TEST(wireName(runName(name, 7)) == name);
     }
 }
 
-BOOST_AUTO_TEST_CASE(whatIsNoRecordOfAServerNamesNone)
+BOOST_AUTO_TEST_CASE(rejectsInvalidServerRecords)
 {
-    const std::string good = R"({"service":"cat","address":"10.0.0.9:8080","zone":"a",
+    const std::string validRecord = R"({"service":"cat","address":"10.0.0.9:8080","zone":"a",
         "version":"v1","slots":3,"state":"ready","coldRemainingS":0.5,"seq":4,"born":1764720000})";
-    BOOST_REQUIRE(decodeServer("i-1", good).has_value());
-    const std::vector<std::pair<std::string, std::string>> wrongs = {
+    BOOST_REQUIRE(decodeServer("i-1", validRecord).has_value());
+    const std::vector<std::pair<std::string, std::string>> invalidReplacements = {
         {R"("service":"cat",)", ""},
         {R"("cat")", "7"},
         {R"("cat")", R"("")"},
@@ -168,15 +168,15 @@
         {"}", ""},
         {"{", "["},
     };
-    for (const auto &[from, to] : wrongs)
-        BOOST_TEST(!decodeServer("i-1", replaced(good, from, to)).has_value(),
+    for (const auto &[from, to] : invalidReplacements)
+        BOOST_TEST(!decodeServer("i-1", replaceFirst(validRecord, from, to)).has_value(),
                    from << " -> " << to);
-    // What is not known besides is left alone.
-    BOOST_TEST(
-        decodeServer("i-1", replaced(good, R"("seq":4)", R"("seq":4,"new":{})")).has_value());
+    // Unknown fields are ignored.
+    BOOST_TEST(decodeServer("i-1", replaceFirst(validRecord, R"("seq":4)", R"("seq":4,"new":{})"))
+                   .has_value());
 }
 
-BOOST_AUTO_TEST_CASE(aRowThatCantBeReadLeavesTheOthers)
+BOOST_AUTO_TEST_CASE(unreadableRowDoesNotAffectOthers)
 {
     const RowsPage page = decodeRowsPage(
         R"({"rows":[{"key":"a","value":"bm9kZS0x","rowVersion":4},{"key":"b","value":"*","rowVersion":5},
@@ -195,7 +195,7 @@
     BOOST_TEST(decodeRowsPage("[]").outcome.error == StoreError::BadAnswer);
 }
 
-BOOST_AUTO_TEST_CASE(ordersNameTheServerAndTheLastKey)
+BOOST_AUTO_TEST_CASE(keyCallsNameServerAndLastKey)
 {
     const OwnedRange owned{{4096, 8191}, ServerName{"i-1"}, 12, "warm", {}, 0};
     const io::ServerCall grant = grantCall({"10.0.0.9", 80}, owned, 4s);
@@ -208,7 +208,7 @@
     BOOST_TEST(io::findField(release.headers, targetServerField)->value == "i-0");
 }
 
-BOOST_AUTO_TEST_CASE(answersToOrdersAreTold)
+BOOST_AUTO_TEST_CASE(decodesGrantAndReleaseAnswers)
 {
     const auto answered = [](int status) {
         return io::HttpResult{{}, io::TransferStage::Answered, {status, {}, {}}};
@@ -222,13 +222,13 @@
     BOOST_TEST((grantAnswerOf(lost) == GrantAnswer::NoAnswer));
     BOOST_TEST(!releaseAnswerOf(lost).isReleased);
     BOOST_TEST(!releaseAnswerOf(answered(400)).isReleased);
-    // Another server has the address: the one that is meant has ended, and with it what it held.
+    // Another server has the address, so the intended server has stopped and holds no keys.
     BOOST_TEST(releaseAnswerOf(answered(421)).isReleased);
     BOOST_TEST(releaseAnswerOf(answered(421)).handover == "");
     BOOST_TEST(releaseAnswerOf(answered(200)).isReleased);
 }
 
-BOOST_AUTO_TEST_CASE(fieldsOfAConnectionStayThere)
+BOOST_AUTO_TEST_CASE(dropsHopByHopFields)
 {
     const std::vector<io::HttpHeader> headers = {
         {"Host", "shop.example"},
@@ -256,7 +256,7 @@
     BOOST_TEST(io::findField(forwarded, targetServerField)->value == "i-1");
 }
 
-BOOST_AUTO_TEST_CASE(keysAndDeadlinesThatAreNoneAreNotTaken)
+BOOST_AUTO_TEST_CASE(ignoresInvalidKeysAndDeadlines)
 {
     for (const std::string key : {"65536", "-1", "1x", ""}) {
         const std::vector<io::HttpHeader> headers = {{"X-Bulrushswitch-Shard-Key", key},
@@ -265,7 +265,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(onlySomeAnswersSayThatNothingRan)
+BOOST_AUTO_TEST_CASE(detectsAnswersToRequestsThatDidNotRun)
 {
     const ServerName target{"i-1"};
     BOOST_TEST(answerTerms(421, {}, target).isNotRun);
--- a/tests/platformadapter/test_storeclient.cpp
+++ b/tests/platformadapter/test_storeclient.cpp
@@ -32,7 +32,7 @@
     Outcome await(const std::function<void(std::function<void(Outcome)>)> &start)
     {
         std::optional<Outcome> outcome;
-        start([&](Outcome end) { outcome = std::move(end); });
+        start([&](Outcome received) { outcome = std::move(received); });
         loop.restart();
         while (!outcome && loop.run_one() > 0) { }
         BOOST_REQUIRE(outcome.has_value());
@@ -41,17 +41,17 @@
 
     RowsOutcome read(const std::string &table)
     {
-        return await<RowsOutcome>([&](auto end) { store.read(table, end); });
+        return await<RowsOutcome>([&](auto handler) { store.read(table, handler); });
     }
 
     RowsOutcome follow(std::uint64_t version, Duration wait)
     {
-        return await<RowsOutcome>([&](auto end) { store.follow("t", version, wait, end); });
+        return await<RowsOutcome>([&](auto handler) { store.follow("t", version, wait, handler); });
     }
 
     CommitOutcome commit(std::vector<ConditionalWrite> writes)
     {
-        return await<CommitOutcome>([&](auto end) { store.commit({"t", writes}, end); });
+        return await<CommitOutcome>([&](auto handler) { store.commit({"t", writes}, handler); });
     }
 
     void control(const std::string &json)
@@ -62,15 +62,15 @@
 
 } // namespace
 
-BOOST_FIXTURE_TEST_CASE(rowsAreWrittenUnderConditionsAndRead, Fixture)
+BOOST_FIXTURE_TEST_CASE(commitsConditionallyAndReads, Fixture)
 {
-    const CommitOutcome made = commit({{"a", 0, "one\n\x01"}, {"b", 0, "two"}});
-    BOOST_TEST(!made.error);
+    const CommitOutcome firstCommit = commit({{"a", 0, "one\n\x01"}, {"b", 0, "two"}});
+    BOOST_TEST(!firstCommit.error);
     BOOST_TEST(commit({{"a", 0, "again"}}).error == StoreError::ConditionFailed);
-    BOOST_TEST(commit({{"a", made.version, "", RowChange::None}, {"c", 7, "no"}}).error
+    BOOST_TEST(commit({{"a", firstCommit.version, "", RowChange::None}, {"c", 7, "no"}}).error
                == StoreError::ConditionFailed);
-    BOOST_TEST(!commit({{"a", made.version, "", RowChange::None}, {"c", 0, "yes"}}).error);
-    BOOST_TEST(!commit({{"b", made.version, "", RowChange::Remove}}).error);
+    BOOST_TEST(!commit({{"a", firstCommit.version, "", RowChange::None}, {"c", 0, "yes"}}).error);
+    BOOST_TEST(!commit({{"b", firstCommit.version, "", RowChange::Remove}}).error);
     const RowsOutcome rows = read("t");
     BOOST_TEST(!rows.error);
     BOOST_REQUIRE(rows.rows.size() == 2U);
@@ -79,7 +79,7 @@
     BOOST_TEST(read("another").rows.empty());
 }
 
-BOOST_FIXTURE_TEST_CASE(aTableOfManyPagesIsReadWhole, Fixture)
+BOOST_FIXTURE_TEST_CASE(readsTableOfManyPages, Fixture)
 {
     for (int page = 0; page < 12; ++page) {
         std::vector<ConditionalWrite> writes;
@@ -90,22 +90,22 @@
     BOOST_TEST(read("t").rows.size() == 1200U);
 }
 
-BOOST_FIXTURE_TEST_CASE(changesAreFollowed, Fixture)
+BOOST_FIXTURE_TEST_CASE(followsChanges, Fixture)
 {
-    const CommitOutcome first = commit({{"a", 0, "1"}});
-    const RowsOutcome quiet = follow(first.version, 100ms);
-    BOOST_TEST(!quiet.error);
-    BOOST_TEST(quiet.rows.empty());
-    commit({{"a", first.version, "", RowChange::Remove}});
-    const RowsOutcome changed = follow(first.version, 5s);
+    const CommitOutcome initialCommit = commit({{"a", 0, "1"}});
+    const RowsOutcome unchanged = follow(initialCommit.version, 100ms);
+    BOOST_TEST(!unchanged.error);
+    BOOST_TEST(unchanged.rows.empty());
+    commit({{"a", initialCommit.version, "", RowChange::Remove}});
+    const RowsOutcome changed = follow(initialCommit.version, 5s);
     BOOST_REQUIRE(changed.rows.size() == 1U);
     BOOST_TEST(changed.rows[0].isRemoved);
-    BOOST_TEST(changed.version > first.version);
+    BOOST_TEST(changed.version > initialCommit.version);
     control(R"({"dropHistory":true})");
-    BOOST_TEST(follow(first.version, 1s).error == StoreError::HistoryGone);
+    BOOST_TEST(follow(initialCommit.version, 1s).error == StoreError::HistoryGone);
 }
 
-BOOST_FIXTURE_TEST_CASE(whatWasCertainlyNotDoneIsToldFromWhatIsUnknown, Fixture)
+BOOST_FIXTURE_TEST_CASE(distinguishesNotExecutedFromUnknown, Fixture)
 {
     const auto commitWith = [&](const std::string &faults) {
         control(R"({"faults":{"entrance":"one",)" + faults + "}}");
@@ -117,9 +117,10 @@
     BOOST_TEST(commitWith(R"("mode":"silent")") == StoreError::Unknown);
     BOOST_TEST(commitWith(R"("mode":"ok","loseAnswers":1)") == StoreError::Unknown);
     control(R"({"faults":{"entrance":"one","mode":"ok"}})");
-    BOOST_TEST(read("t").rows.size() == 1U); // the last of them was done
+    // The last commit was executed, although its answer was lost.
+    BOOST_TEST(read("t").rows.size() == 1U);
     process.kill();
-    // The kept connections show their end.
+    // Lets the client detect that its idle connections were closed.
     loop.restart();
     loop.run_for(100ms);
     BOOST_TEST(commit({{"y", 0, "1"}}).error == StoreError::NotDone);
--- a/tests/rpcmessage/test_rpcmessage.cpp
+++ b/tests/rpcmessage/test_rpcmessage.cpp
@@ -20,7 +20,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(callComesBackWithItsResult)
+BOOST_AUTO_TEST_CASE(returnsResultOfCall)
 {
     RpcDispatcher dispatcher;
     dispatcher.add("double", [](const Json::Value &parameters) {
@@ -32,7 +32,7 @@
     BOOST_TEST(reply.result.asInt() == 40);
 }
 
-BOOST_AUTO_TEST_CASE(badParametersAndUnknownMethodsAreRefused)
+BOOST_AUTO_TEST_CASE(refusesInvalidParametersAndUnknownMethods)
 {
     RpcDispatcher dispatcher;
     dispatcher.add("strict", [](const Json::Value &) -> Json::Value {
@@ -45,7 +45,7 @@
     BOOST_TEST(callThrough(dispatcher, "unknown").error == RpcError::Refused);
 }
 
-BOOST_AUTO_TEST_CASE(otherTextsAreMalformed)
+BOOST_AUTO_TEST_CASE(reportsMalformedAnswers)
 {
     BOOST_TEST(decodeRpcReply("<html>").error == RpcError::Malformed);
     BOOST_TEST(decodeRpcReply("{}").error == RpcError::Malformed);
--- a/tests/serverclient/test_answerparser.cpp
+++ b/tests/serverclient/test_answerparser.cpp
@@ -15,18 +15,18 @@
 
 constexpr std::size_t bodyLimit = 100;
 
-const std::string whole =
+const std::string completeAnswer =
     "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nKeep-Alive: timeout=7\r\n\r\nhello";
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(anAnswerIsReadWhereverItIsCut)
+BOOST_AUTO_TEST_CASE(parsesAnswerSplitAtAnyByte)
 {
-    for (std::size_t cut = 0; cut <= whole.size(); ++cut) {
+    for (std::size_t splitAt = 0; splitAt <= completeAnswer.size(); ++splitAt) {
         AnswerParser parser{bodyLimit};
-        BOOST_TEST(parser.feed(std::string_view{whole}.substr(0, cut)) == cut);
-        if (cut < whole.size())
-            parser.feed(std::string_view{whole}.substr(cut));
+        BOOST_TEST(parser.feed(std::string_view{completeAnswer}.substr(0, splitAt)) == splitAt);
+        if (splitAt < completeAnswer.size())
+            parser.feed(std::string_view{completeAnswer}.substr(splitAt));
         BOOST_REQUIRE(parser.isComplete());
         BOOST_TEST(parser.keepsConnection());
         BOOST_TEST((parser.keepAlive() == 7s));
@@ -34,25 +34,25 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(whatFollowsAnAnswerIsNotTaken)
+BOOST_AUTO_TEST_CASE(leavesBytesAfterAnswerUnconsumed)
 {
     AnswerParser parser{bodyLimit};
-    BOOST_TEST(parser.feed(whole + whole) == whole.size());
+    BOOST_TEST(parser.feed(completeAnswer + completeAnswer) == completeAnswer.size());
     parser.begin(false);
     BOOST_TEST(!parser.isComplete());
-    BOOST_TEST(parser.feed(whole) == whole.size());
+    BOOST_TEST(parser.feed(completeAnswer) == completeAnswer.size());
     BOOST_TEST(parser.isComplete());
 }
 
-BOOST_AUTO_TEST_CASE(interimAnswersArePassedOver)
+BOOST_AUTO_TEST_CASE(skipsInterimAnswers)
 {
     AnswerParser parser{bodyLimit};
-    parser.feed("HTTP/1.1 100 Continue\r\n\r\n" + whole);
+    parser.feed("HTTP/1.1 100 Continue\r\n\r\n" + completeAnswer);
     BOOST_REQUIRE(parser.isComplete());
     BOOST_TEST(parser.takeResponse().status == 200);
 }
 
-BOOST_AUTO_TEST_CASE(anAnswerWithoutALengthEndsWithItsConnection)
+BOOST_AUTO_TEST_CASE(connectionCloseEndsAnswerWithoutLength)
 {
     AnswerParser parser{bodyLimit};
     parser.feed("HTTP/1.1 200 OK\r\n\r\nhel");
@@ -64,7 +64,7 @@
     BOOST_TEST(parser.takeResponse().body == "hello");
 }
 
-BOOST_AUTO_TEST_CASE(anAnswerThatEndsEarlyIsNone)
+BOOST_AUTO_TEST_CASE(reportsTruncatedAnswer)
 {
     AnswerParser parser{bodyLimit};
     parser.feed("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhel");
@@ -73,14 +73,14 @@
     BOOST_TEST(parser.error() == TransportError::AnswerTruncated);
 }
 
-BOOST_AUTO_TEST_CASE(aConnectionThatEndsBeforeAnAnswerIsLost)
+BOOST_AUTO_TEST_CASE(reportsConnectionLostBeforeAnswer)
 {
     AnswerParser parser{bodyLimit};
     parser.finish();
     BOOST_TEST(parser.error() == TransportError::ConnectionLost);
 }
 
-BOOST_AUTO_TEST_CASE(bytesThatAreNoAnswerAndAnswersThatAreTooLongAreErrors)
+BOOST_AUTO_TEST_CASE(rejectsMalformedAndTooLargeAnswers)
 {
     AnswerParser garbage{bodyLimit};
     garbage.feed("\x01\x02 no answer at all\r\n\r\n");
@@ -90,7 +90,7 @@
     BOOST_TEST(tooLong.error() == TransportError::AnswerTooLarge);
 }
 
-BOOST_AUTO_TEST_CASE(anAnswerToHeadHasNoBody)
+BOOST_AUTO_TEST_CASE(answerToHeadHasNoBody)
 {
     AnswerParser parser{bodyLimit};
     parser.begin(true);
--- a/tests/serverclient/test_serverclient.cpp
+++ b/tests/serverclient/test_serverclient.cpp
@@ -23,9 +23,9 @@
 
 namespace {
 
-/** Longer than any test takes: a call that meets it fails the test. */
-constexpr Duration ample = 20s;
-const std::string echo = "Request-Id";
+/** Longer than any test takes, so that a time-out of this length fails the test. */
+constexpr Duration testTimeout = 20s;
+const std::string echoedFieldName = "Request-Id";
 
 std::string answerTo(const std::string &id, const std::string &body = "ok")
 {
@@ -41,34 +41,35 @@
     ServerCall call(const ScriptedServer &server, const std::string &id, std::string body = {})
     {
         const std::string url = server.url("");
-        ServerCall made;
-        made.server = {"127.0.0.1",
-                       static_cast<std::uint16_t>(std::stoi(url.substr(url.rfind(':') + 1)))};
-        made.method = body.empty() ? "GET" : "POST";
-        made.headers = {{"Host", "x"}, {echo, id}};
-        made.body = std::make_shared<const std::string>(std::move(body));
-        made.timeout = ample;
-        made.echoedField = echo;
-        return made;
+        ServerCall serverCall;
+        serverCall.server = {"127.0.0.1",
+                             static_cast<std::uint16_t>(std::stoi(url.substr(url.rfind(':') + 1)))};
+        serverCall.method = body.empty() ? "GET" : "POST";
+        serverCall.headers = {{"Host", "x"}, {echoedFieldName, id}};
+        serverCall.body = std::make_shared<const std::string>(std::move(body));
+        serverCall.timeout = testTimeout;
+        serverCall.echoedField = echoedFieldName;
+        return serverCall;
     }
 
-    HttpResult send(ServerCall made)
+    HttpResult send(ServerCall serverCall)
     {
         std::optional<HttpResult> result;
-        client.send(std::move(made), [&](HttpResult end) { result = std::move(end); });
+        client.send(std::move(serverCall),
+                    [&](HttpResult httpResult) { result = std::move(httpResult); });
         BOOST_TEST(!result.has_value());
         run([&] { return result.has_value(); });
         return std::move(*result);
     }
 
-    void run(const std::function<bool()> &isOver)
+    void run(const std::function<bool()> &isFinished)
     {
         loop.restart();
-        while (!isOver() && loop.run_one() > 0) { }
-        BOOST_REQUIRE(isOver());
+        while (!isFinished() && loop.run_one() > 0) { }
+        BOOST_REQUIRE(isFinished());
     }
 
-    /** Lets what is under way on the connections come in. */
+    /** Handles pending events of the connections. */
     void settle()
     {
         loop.restart();
@@ -78,7 +79,7 @@
 
 } // namespace
 
-BOOST_FIXTURE_TEST_CASE(connectionsAreKept, Fixture)
+BOOST_FIXTURE_TEST_CASE(reusesIdleConnection, Fixture)
 {
     ScriptedServer server{loop, [](Socket &socket, int) -> asio::awaitable<void> {
                               std::string buffer;
@@ -94,7 +95,7 @@
     BOOST_TEST(client.openedCount() == 1U);
 }
 
-BOOST_FIXTURE_TEST_CASE(aRequestIsNeverSentAgain, Fixture)
+BOOST_FIXTURE_TEST_CASE(neverResendsRequest, Fixture)
 {
     int heads = 0;
     ScriptedServer server{loop, [&](Socket &socket, int) -> asio::awaitable<void> {
@@ -115,7 +116,7 @@
     BOOST_TEST(server.connections() == 1);
 }
 
-BOOST_FIXTURE_TEST_CASE(aKeptConnectionThatTheServerClosedIsNotUsed, Fixture)
+BOOST_FIXTURE_TEST_CASE(doesNotReuseConnectionClosedByServer, Fixture)
 {
     ScriptedServer server{loop, [](Socket &socket, int) -> asio::awaitable<void> {
                               std::string buffer;
@@ -128,7 +129,7 @@
     BOOST_TEST(server.connections() == 2);
 }
 
-BOOST_FIXTURE_TEST_CASE(anAnswerToAnotherRequestIsPassedOver, Fixture)
+BOOST_FIXTURE_TEST_CASE(dropsAnswerToAnotherRequest, Fixture)
 {
     ScriptedServer server{loop, [](Socket &socket, int) -> asio::awaitable<void> {
                               std::string buffer;
@@ -141,15 +142,17 @@
     BOOST_TEST(send(call(server, "mine")).response.body == "yours");
 }
 
-BOOST_FIXTURE_TEST_CASE(anAnswerWithoutAnIdCountsOnAConnectionThatCarriedNoOther, Fixture)
+BOOST_FIXTURE_TEST_CASE(acceptsAnswerWithoutIdOnlyForFirstCall, Fixture)
 {
-    const std::string nameless = "HTTP/1.1 421 Misdirected Request\r\nContent-Length: 0\r\n\r\n";
+    const std::string answerWithoutId =
+        "HTTP/1.1 421 Misdirected Request\r\nContent-Length: 0\r\n\r\n";
     ScriptedServer server{loop, [&](Socket &socket, int) -> asio::awaitable<void> {
                               std::string buffer;
                               co_await ScriptedServer::readHead(socket, buffer);
-                              co_await ScriptedServer::write(socket, nameless);
+                              co_await ScriptedServer::write(socket, answerWithoutId);
                               co_await ScriptedServer::readHead(socket, buffer);
-                              co_await ScriptedServer::write(socket, nameless + answerTo("two"));
+                              co_await ScriptedServer::write(socket,
+                                                             answerWithoutId + answerTo("two"));
                               co_await ScriptedServer::drain(socket);
                           }};
     BOOST_TEST(send(call(server, "one")).response.status == 421);
@@ -157,7 +160,7 @@
     BOOST_TEST(server.connections() == 1);
 }
 
-BOOST_FIXTURE_TEST_CASE(bytesAfterAnAnswerEndTheConnection, Fixture)
+BOOST_FIXTURE_TEST_CASE(closesConnectionOnBytesAfterAnswer, Fixture)
 {
     ScriptedServer server{loop, [](Socket &socket, int) -> asio::awaitable<void> {
                               std::string buffer;
@@ -171,7 +174,7 @@
     BOOST_TEST(server.connections() == 2);
 }
 
-BOOST_FIXTURE_TEST_CASE(anAnswerThatIsResetOnTheWayIsNotWhole, Fixture)
+BOOST_FIXTURE_TEST_CASE(resetDuringAnswerMeansTruncated, Fixture)
 {
     ScriptedServer server{loop, [](Socket &socket, int) -> asio::awaitable<void> {
                               std::string buffer;
@@ -185,7 +188,7 @@
     BOOST_TEST(send(call(server, "one")).error == TransportError::AnswerTruncated);
 }
 
-BOOST_FIXTURE_TEST_CASE(anAnswerWithoutALengthEndsWithAProperClose, Fixture)
+BOOST_FIXTURE_TEST_CASE(orderlyCloseEndsAnswerWithoutLength, Fixture)
 {
     ScriptedServer server{loop, [](Socket &socket, int) -> asio::awaitable<void> {
                               std::string buffer;
@@ -198,7 +201,7 @@
     BOOST_TEST(result.response.body == "no length");
 }
 
-BOOST_FIXTURE_TEST_CASE(anAnswerBeforeTheEndOfTheRequestEndsTheConnection, Fixture)
+BOOST_FIXTURE_TEST_CASE(doesNotReuseConnectionAfterEarlyAnswer, Fixture)
 {
     ScriptedServer server{loop, [](Socket &socket, int) -> asio::awaitable<void> {
                               std::string buffer;
@@ -211,31 +214,31 @@
     BOOST_TEST(server.connections() == 2);
 }
 
-BOOST_FIXTURE_TEST_CASE(withoutAListenerNothingIsSent, Fixture)
+BOOST_FIXTURE_TEST_CASE(failsUnsentIfNobodyListens, Fixture)
 {
     ScriptedServer server{loop, [](Socket &, int) -> asio::awaitable<void> {
                               co_return;
                           }};
-    const ServerCall made = call(server, "one");
+    const ServerCall serverCall = call(server, "one");
     server.close();
-    const HttpResult result = send(made);
+    const HttpResult result = send(serverCall);
     BOOST_TEST(result.error == TransportError::ConnectionFailed);
     BOOST_TEST((result.stage == TransferStage::NotConnected));
 }
 
-BOOST_FIXTURE_TEST_CASE(aSilentServerEndsTheCallByItsTimeout, Fixture)
+BOOST_FIXTURE_TEST_CASE(timesOutOnSilentServer, Fixture)
 {
     ScriptedServer server{loop, [](Socket &socket, int) -> asio::awaitable<void> {
                               co_await ScriptedServer::drain(socket);
                           }};
-    ServerCall made = call(server, "one");
-    made.timeout = 100ms;
-    const HttpResult result = send(made);
+    ServerCall serverCall = call(server, "one");
+    serverCall.timeout = 100ms;
+    const HttpResult result = send(serverCall);
     BOOST_TEST(result.error == TransportError::TimedOut);
     BOOST_TEST((result.stage == TransferStage::Sent));
 }
 
-BOOST_FIXTURE_TEST_CASE(anAnswerThatHasBegunIsNotGivenUpByTheTimeoutForItsBegin, Fixture)
+BOOST_FIXTURE_TEST_CASE(startedAnswerExtendsDeadline, Fixture)
 {
     ScriptedServer server{loop, [this](Socket &socket, int) -> asio::awaitable<void> {
                               std::string buffer;
@@ -246,11 +249,11 @@
                               co_await timer.async_wait(asio::use_awaitable);
                               co_await ScriptedServer::write(socket, answer.substr(20));
                           }};
-    for (const Duration answerWithin : {Duration{0ms}, Duration{ample}}) {
-        ServerCall made = call(server, "one");
-        made.timeout = 200ms;
-        made.answerWithin = answerWithin;
-        const HttpResult result = send(std::move(made));
+    for (const Duration answerWithin : {Duration{0ms}, Duration{testTimeout}}) {
+        ServerCall serverCall = call(server, "one");
+        serverCall.timeout = 200ms;
+        serverCall.answerWithin = answerWithin;
+        const HttpResult result = send(std::move(serverCall));
         if (answerWithin == Duration::zero())
             BOOST_TEST(result.error == TransportError::TimedOut);
         else
@@ -258,21 +261,22 @@
     }
 }
 
-BOOST_FIXTURE_TEST_CASE(aCancelledCallClosesItsConnection, Fixture)
+BOOST_FIXTURE_TEST_CASE(cancelClosesConnection, Fixture)
 {
     bool hasClosed = false;
     ScriptedServer server{loop, [&](Socket &socket, int) -> asio::awaitable<void> {
                               co_await ScriptedServer::drain(socket);
                               hasClosed = true;
                           }};
-    const auto id = client.send(
-        call(server, "one"), [](const HttpResult &) { BOOST_FAIL("a cancelled call has no end"); });
+    const auto id = client.send(call(server, "one"), [](const HttpResult &) {
+        BOOST_FAIL("a cancelled call must not call its handler");
+    });
     settle();
     client.cancel(id);
     run([&] { return hasClosed; });
 }
 
-BOOST_FIXTURE_TEST_CASE(aSilentConnectionTakesNoOthersWithIt, Fixture)
+BOOST_FIXTURE_TEST_CASE(silentConnectionDoesNotBlockOthers, Fixture)
 {
     ScriptedServer server{loop, [](Socket &socket, int connection) -> asio::awaitable<void> {
                               std::string buffer;
@@ -287,34 +291,34 @@
     BOOST_TEST(!send(call(server, "two")).error);
 }
 
-BOOST_FIXTURE_TEST_CASE(aCallThatIsGivenUpResetsItsConnection, Fixture)
+BOOST_FIXTURE_TEST_CASE(failedCallResetsConnection, Fixture)
 {
-    // What a cut of the network held up would otherwise come after the end of the cut.
-    std::optional<asio::error_code> seen;
+    // Without the reset, bytes that a network partition delayed would arrive after it.
+    std::optional<asio::error_code> readError;
     ScriptedServer server{loop, [&](Socket &socket, int) -> asio::awaitable<void> {
                               std::string buffer;
                               co_await ScriptedServer::readHead(socket, buffer);
-                              asio::error_code end;
+                              asio::error_code readFailure;
                               co_await asio::async_read(
                                   socket, asio::dynamic_buffer(buffer),
-                                  asio::redirect_error(asio::use_awaitable, end));
-                              seen = end;
+                                  asio::redirect_error(asio::use_awaitable, readFailure));
+                              readError = readFailure;
                           }};
     ServerCall late = call(server, "late");
     late.timeout = 30ms;
     BOOST_TEST(send(std::move(late)).error == TransportError::TimedOut);
-    run([&] { return seen.has_value(); });
-    BOOST_TEST(*seen == asio::error::connection_reset);
+    run([&] { return readError.has_value(); });
+    BOOST_TEST(*readError == asio::error::connection_reset);
 
-    seen.reset();
+    readError.reset();
     const ServerClient::CallId id = client.send(call(server, "left"), [](const HttpResult &) {});
     settle();
     client.cancel(id);
-    run([&] { return seen.has_value(); });
-    BOOST_TEST(*seen == asio::error::connection_reset);
+    run([&] { return readError.has_value(); });
+    BOOST_TEST(*readError == asio::error::connection_reset);
 }
 
-BOOST_FIXTURE_TEST_CASE(whatWaitedForItsConnectionTooLongIsNotSent, Fixture)
+BOOST_FIXTURE_TEST_CASE(doesNotSendAfterSendDeadline, Fixture)
 {
     bool hasHead = false;
     ScriptedServer server{loop, [&](Socket &socket, int) -> asio::awaitable<void> {
@@ -331,7 +335,7 @@
     BOOST_TEST(!hasHead);
 }
 
-BOOST_FIXTURE_TEST_CASE(aConnectionToAnEarlierRunCarriesNoCallToTheNext, Fixture)
+BOOST_FIXTURE_TEST_CASE(doesNotReuseConnectionOfEarlierRun, Fixture)
 {
     ScriptedServer server{loop, [](Socket &socket, int) -> asio::awaitable<void> {
                               for (;;) {
@@ -341,18 +345,18 @@
                               }
                           }};
     for (const std::string run : {"i@1", "i@1", "i@2"}) {
-        ServerCall made = call(server, "x");
-        made.run = run;
-        BOOST_TEST(!send(std::move(made)).error);
+        ServerCall serverCall = call(server, "x");
+        serverCall.run = run;
+        BOOST_TEST(!send(std::move(serverCall)).error);
     }
     BOOST_TEST(client.openedCount() == 2U);
 }
 
-BOOST_FIXTURE_TEST_CASE(linksAreToldAsTheyAreMadeAndLost, Fixture)
+BOOST_FIXTURE_TEST_CASE(reportsConnectionEvents, Fixture)
 {
-    std::vector<std::string> told;
+    std::vector<std::string> events;
     client.setLinkHandler([&](const std::string &run, ServerClient::Link link) {
-        told.push_back(run + (link == ServerClient::Link::Made ? " made" : " lost"));
+        events.push_back(run + (link == ServerClient::Link::Made ? " made" : " lost"));
     });
     ScriptedServer server{loop, [this](Socket &socket, int) -> asio::awaitable<void> {
                               asio::steady_timer timer{loop, 100ms};
@@ -363,16 +367,16 @@
     like.run = "i@1";
     client.keepConnected(like);
     client.keepConnected(like);
-    run([&] { return !told.empty(); });
+    run([&] { return !events.empty(); });
     client.keepConnected(like);
     BOOST_TEST(client.openedCount() == 1U);
-    run([&] { return told.size() == 2; });
-    BOOST_TEST(told[0] == "i@1 made");
-    BOOST_TEST(told[1] == "i@1 lost");
-    // One that can't be made is lost as well.
+    run([&] { return events.size() == 2; });
+    BOOST_TEST(events[0] == "i@1 made");
+    BOOST_TEST(events[1] == "i@1 lost");
+    // A connection that can't be established is reported as lost, too.
     like.server.port = 1;
     like.run = "i@2";
     client.keepConnected(like);
-    run([&] { return told.size() == 3; });
-    BOOST_TEST(told[2] == "i@2 lost");
+    run([&] { return events.size() == 3; });
+    BOOST_TEST(events[2] == "i@2 lost");
 }
