--- a/tests/callerserver/rawcaller.h
+++ b/tests/callerserver/rawcaller.h
@@ -15,7 +15,7 @@
 #include <string>
 #include <utility>
 
-/** A caller that sends the bytes it is given, and notes what comes back until the end. */
+/** A caller that sends given bytes and stores all bytes received until the server closes. */
 class RawCaller
 {
 public:
@@ -27,8 +27,8 @@
         asio::co_spawn(loop, receive(), asio::detached);
     }
 
-    /** Sends more. */
-    void more(std::string bytes)
+    /** Sends further bytes. */
+    void sendMore(std::string bytes)
     {
         asio::co_spawn(m_socket.get_executor(), send(std::move(bytes)), asio::detached);
     }
@@ -43,10 +43,10 @@
         return m_received;
     }
 
-    /** Whether the server has closed. */
-    bool isEnded() const
+    /** \returns whether the server has closed the connection. */
+    bool isClosed() const
     {
-        return m_isEnded;
+        return m_isClosed;
     }
 
     int status() const
@@ -71,10 +71,10 @@
                 asio::buffer(buffer), asio::redirect_error(asio::use_awaitable, error));
             m_received.append(buffer, 0, length);
         }
-        m_isEnded = true;
+        m_isClosed = true;
     }
 
     asio::ip::tcp::socket m_socket;
     std::string m_received;
-    bool m_isEnded = false;
+    bool m_isClosed = false;
 };
--- a/tests/callerserver/test_callerserver.cpp
+++ b/tests/callerserver/test_callerserver.cpp
@@ -43,20 +43,20 @@
         BOOST_REQUIRE(server->port() != 0);
     }
 
-    /** Runs the loop until \a condition holds; fails the test if that takes too long. */
+    /** Runs the event loop until \a condition holds; fails the test if that takes too long. */
     template<typename Condition>
     void runUntil(Condition condition)
     {
-        // The server's own timers keep the loop busy, so a bound has to end a test that hangs.
-        const auto bound = std::chrono::steady_clock::now() + 10s;
+        // The server's timers keep the event loop running, so a hanging test needs a time limit.
+        const auto giveUpAt = std::chrono::steady_clock::now() + 10s;
         loop.restart();
         while (!condition()) {
-            if (loop.run_one_until(bound) == 0)
-                BOOST_FAIL("what the test waits for did not come");
+            if (loop.run_one_until(giveUpAt) == 0)
+                BOOST_FAIL("the condition did not hold within 10 s");
         }
     }
 
-    /** \returns all that the server sends for \a bytes until it closes. */
+    /** \returns all bytes that the server sends in answer to \a bytes until it closes. */
     std::string answerTo(std::string bytes)
     {
         return answerTo(server->port(), std::move(bytes));
@@ -65,7 +65,7 @@
     std::string answerTo(std::uint16_t port, std::string bytes)
     {
         RawCaller caller{loop, port, std::move(bytes)};
-        runUntil([&] { return caller.isEnded(); });
+        runUntil([&] { return caller.isClosed(); });
         return caller.received();
     }
 };
@@ -73,13 +73,13 @@
 const std::string get = "GET /a?b=c HTTP/1.1\r\nHost: x\r\n\r\n";
 const std::string lastGet = "GET /a?b=c HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
 
-std::string postHead(std::uint64_t length, const std::string &more = {})
+std::string postHead(std::uint64_t length, const std::string &extraFields = {})
 {
     return "POST /up HTTP/1.1\r\nHost: x\r\nContent-Length: " + std::to_string(length) + "\r\n"
-        + more + "\r\n";
+        + extraFields + "\r\n";
 }
 
-/** Reads all of an upload, noting its bytes, and answers at its end. */
+/** Reads a complete upload into \a body and answers at its end. */
 void readAll(const Exchange &exchange, std::string &body, std::error_code &failure)
 {
     exchange.request->readBody(
@@ -97,7 +97,7 @@
 
 } // namespace
 
-BOOST_FIXTURE_TEST_CASE(handsOnWhatCame, Fixture)
+BOOST_FIXTURE_TEST_CASE(passesRequestToHandler, Fixture)
 {
     serve();
     const std::string answer =
@@ -115,7 +115,7 @@
     BOOST_TEST(exchanges[0].request->remoteAddress().starts_with("127.0.0.1:"));
 }
 
-BOOST_FIXTURE_TEST_CASE(keepsConnectionsAndOrder, Fixture)
+BOOST_FIXTURE_TEST_CASE(keepsOrderOfPipelinedAnswers, Fixture)
 {
     // The second answer is ready first.
     handle = [this](Exchange &) {
@@ -130,7 +130,7 @@
     BOOST_TEST(answer.ends_with("second"));
 }
 
-BOOST_FIXTURE_TEST_CASE(takesSmallChunkedBodies, Fixture)
+BOOST_FIXTURE_TEST_CASE(acceptsSmallChunkedBodies, Fixture)
 {
     serve();
     const std::string answer =
@@ -139,7 +139,7 @@
     BOOST_TEST(answer.find("X-Body: abcde\r\n") != std::string::npos);
 }
 
-BOOST_FIXTURE_TEST_CASE(refusesWhatIsMalformedOrOversized, Fixture)
+BOOST_FIXTURE_TEST_CASE(refusesMalformedAndOversizedRequests, Fixture)
 {
     serve();
     struct Case
@@ -175,11 +175,11 @@
              + "\r\n0\r\n\r\n",
          411},
     };
-    for (const Case &one : cases) {
-        BOOST_TEST_CONTEXT(one.request.substr(0, 100))
+    for (const Case &testCase : cases) {
+        BOOST_TEST_CONTEXT(testCase.request.substr(0, 100))
         {
-            const std::string answer = answerTo(one.request);
-            BOOST_TEST(answer.substr(0, 12) == "HTTP/1.1 " + std::to_string(one.status));
+            const std::string answer = answerTo(testCase.request);
+            BOOST_TEST(answer.substr(0, 12) == "HTTP/1.1 " + std::to_string(testCase.status));
             BOOST_TEST(answer.find("Not run") != std::string::npos);
         }
     }
@@ -195,7 +195,7 @@
     BOOST_TEST(answerTo(request + "\r\n").starts_with("HTTP/1.1 431"));
 }
 
-BOOST_FIXTURE_TEST_CASE(tellsSlowCallers, Fixture)
+BOOST_FIXTURE_TEST_CASE(refusesSlowRequests, Fixture)
 {
     CallerServerSettings settings;
     settings.requestReadTimeout = 50ms;
@@ -204,7 +204,7 @@
     BOOST_TEST(answerTo("").empty());
 }
 
-BOOST_FIXTURE_TEST_CASE(refusalNeverMixesWithAnAnswer, Fixture)
+BOOST_FIXTURE_TEST_CASE(sendsNoRefusalDuringAnAnswer, Fixture)
 {
     handle = [](Exchange &exchange) {
         exchange.writer->begin({200, {}}, 10);
@@ -215,19 +215,19 @@
     BOOST_TEST(answer.find("400") == std::string::npos);
 }
 
-BOOST_FIXTURE_TEST_CASE(answersContinueBeforeTheBody, Fixture)
+BOOST_FIXTURE_TEST_CASE(sendsContinueBeforeTheBody, Fixture)
 {
     serve();
     for (const std::uint64_t length : {std::uint64_t{5}, 2 * smallBodyLimit}) {
         RawCaller caller{loop, server->port(), postHead(length, "Expect: 100-continue\r\n")};
         runUntil([&] { return caller.received() == "HTTP/1.1 100 Continue\r\n\r\n"; });
         caller.close();
-        runUntil([&] { return caller.isEnded(); });
+        runUntil([&] { return caller.isClosed(); });
     }
     BOOST_TEST(exchanges.empty());
 }
 
-BOOST_FIXTURE_TEST_CASE(largeBodiesComeInPieces, Fixture)
+BOOST_FIXTURE_TEST_CASE(readsLargeBodiesInParts, Fixture)
 {
     std::string body;
     std::error_code failure;
@@ -246,7 +246,7 @@
     BOOST_TEST((body == sent));
 }
 
-BOOST_FIXTURE_TEST_CASE(uploadWaitsForThoseBeforeIt, Fixture)
+BOOST_FIXTURE_TEST_CASE(uploadWaitsForEarlierRequests, Fixture)
 {
     std::string body;
     std::error_code failure;
@@ -263,7 +263,7 @@
     BOOST_TEST(body.size() == 100'000u);
 }
 
-BOOST_FIXTURE_TEST_CASE(cutUploadsAreTold, Fixture)
+BOOST_FIXTURE_TEST_CASE(reportsTruncatedUploads, Fixture)
 {
     std::string body;
     std::error_code failure;
@@ -291,7 +291,7 @@
     RawCaller caller{loop, server->port(), postHead(200'000) + std::string(100'000, 'x')};
     runUntil([&] { return static_cast<bool>(failure); });
     exchanges[0].writer->send({408, {}, "too slow"});
-    runUntil([&] { return caller.isEnded(); });
+    runUntil([&] { return caller.isClosed(); });
     BOOST_TEST(caller.status() == 408);
 }
 
@@ -321,7 +321,7 @@
                   "\r\n5\r\nhello\r\n11\r\nxxxxxxxxxxxxxxxxx\r\n0\r\n\r\n");
 }
 
-BOOST_FIXTURE_TEST_CASE(abortedAnswersNeverLookWhole, Fixture)
+BOOST_FIXTURE_TEST_CASE(abortedAnswersNeverLookComplete, Fixture)
 {
     bool isUpload = false;
     std::optional<std::uint64_t> length;
@@ -357,7 +357,7 @@
     }
 }
 
-BOOST_FIXTURE_TEST_CASE(forgottenRequestsAreClosed, Fixture)
+BOOST_FIXTURE_TEST_CASE(closesConnectionIfWriterIsDestroyed, Fixture)
 {
     handle = [this](Exchange &) {
         exchanges.clear();
@@ -366,39 +366,40 @@
     BOOST_TEST(answerTo(get).empty());
 }
 
-BOOST_FIXTURE_TEST_CASE(headHasNoBody, Fixture)
+BOOST_FIXTURE_TEST_CASE(answerToHeadHasNoBody, Fixture)
 {
     serve();
     const std::string answer = answerTo("HEAD / HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
     BOOST_TEST(answer.ends_with("Content-Length: 4\r\n\r\n"));
 }
 
-BOOST_FIXTURE_TEST_CASE(toldWhenTheCallerGoes, Fixture)
+BOOST_FIXTURE_TEST_CASE(reportsCallerDisconnect, Fixture)
 {
-    int gone = 0;
+    int disconnects = 0;
     handle = [&](Exchange &exchange) {
-        exchange.request->setGoneHandler([&gone] { ++gone; });
+        exchange.request->setGoneHandler([&disconnects] { ++disconnects; });
     };
     serve();
     RawCaller caller{loop, server->port(), get};
     runUntil([&] { return exchanges.size() == 1; });
     caller.close();
-    runUntil([&] { return gone > 0; });
-    BOOST_TEST(gone == 1);
-    // Writing then is harmless, and told.
-    std::error_code told;
+    runUntil([&] { return disconnects > 0; });
+    BOOST_TEST(disconnects == 1);
+    // A write after the disconnect is harmless and reports an error.
+    std::error_code writeError;
     exchanges[0].writer->begin({200, {}}, 5);
-    exchanges[0].writer->write("hello", [&told](std::error_code error) { told = error; });
-    runUntil([&] { return static_cast<bool>(told); });
-    BOOST_TEST(told == make_error_code(TransportError::CallerGone));
+    exchanges[0].writer->write("hello",
+                               [&writeError](std::error_code error) { writeError = error; });
+    runUntil([&] { return static_cast<bool>(writeError); });
+    BOOST_TEST(writeError == make_error_code(TransportError::CallerGone));
 }
 
-BOOST_FIXTURE_TEST_CASE(toldWhenAnUploadersCallerGoes, Fixture)
+BOOST_FIXTURE_TEST_CASE(reportsCallerDisconnectAfterUpload, Fixture)
 {
-    int gone = 0;
+    int disconnects = 0;
     std::string body;
     handle = [&](Exchange &exchange) {
-        exchange.request->setGoneHandler([&gone] { ++gone; });
+        exchange.request->setGoneHandler([&disconnects] { ++disconnects; });
         auto read = std::make_shared<std::function<void()>>();
         *read = [&body, request = exchange.request, weak = std::weak_ptr{read}, read] {
             request->readBody([&body, read](std::error_code, const std::string &bytes) {
@@ -415,11 +416,11 @@
     RawCaller caller{loop, server->port(), postHead(100'000) + std::string(100'000, 'x')};
     runUntil([&] { return body.size() == 100'000; });
     caller.close();
-    runUntil([&] { return gone > 0; });
-    BOOST_TEST(gone == 1);
+    runUntil([&] { return disconnects > 0; });
+    BOOST_TEST(disconnects == 1);
 }
 
-BOOST_FIXTURE_TEST_CASE(connectionLimitHoldsFurtherCallersBack, Fixture)
+BOOST_FIXTURE_TEST_CASE(connectionLimitDelaysFurtherCallers, Fixture)
 {
     handle = [](Exchange &) {
     };
@@ -437,7 +438,7 @@
     runUntil([&] { return exchanges.size() == 3; });
 }
 
-BOOST_FIXTURE_TEST_CASE(drainingEndsNoRequest, Fixture)
+BOOST_FIXTURE_TEST_CASE(drainingInterruptsNoRequest, Fixture)
 {
     handle = [](Exchange &) {
     };
@@ -448,18 +449,19 @@
     server->drain();
     server->stopListening();
     server->closeIdle();
-    runUntil([&] { return idle.isEnded(); });
-    BOOST_TEST(!busy.isEnded());
+    runUntil([&] { return idle.isClosed(); });
+    BOOST_TEST(!busy.isClosed());
     exchanges[0].writer->send({200, {}, "whole"});
-    runUntil([&] { return busy.isEnded(); });
+    runUntil([&] { return busy.isClosed(); });
     BOOST_TEST(busy.received().ends_with("whole"));
     BOOST_TEST(busy.received().find("Connection: close") != std::string::npos);
     BOOST_CHECK_THROW((RawCaller{loop, server->port(), get}), std::system_error);
 }
 
-BOOST_FIXTURE_TEST_CASE(aRequestThatCameBeforeIdleConnectionsAreClosedIsAnswered, Fixture)
+BOOST_FIXTURE_TEST_CASE(closeIdleKeepsConnectionWithUnreadRequest, Fixture)
 {
-    // On a slow host it waits unread in the host's buffer while the connection counts as idle.
+    // On a slow host, a request may wait unread in the socket buffer while its connection counts as
+    // idle. Such a connection must not be closed.
     serve();
     asio::io_context callerLoop;
     asio::ip::tcp::socket caller{callerLoop};
@@ -470,16 +472,16 @@
     server->stopListening();
     server->closeIdle();
     runUntil([&] { return exchanges.size() == 1; });
-    exchanges.clear(); // which hold the connection
+    exchanges.clear(); // they keep the connection open
     runUntil([&] { return server->connectionCount() == 0; });
     std::string answer;
-    asio::error_code end;
-    asio::read(caller, asio::dynamic_buffer(answer), end);
+    asio::error_code readFailure;
+    asio::read(caller, asio::dynamic_buffer(answer), readFailure);
     BOOST_TEST(answer.ends_with("done"), answer);
     BOOST_TEST(answer.find("Connection: close") != std::string::npos, answer);
 }
 
-BOOST_FIXTURE_TEST_CASE(usedAddressIsTold, Fixture)
+BOOST_FIXTURE_TEST_CASE(reportsAddressInUse, Fixture)
 {
     serve();
     CallerServerSettings settings;
@@ -489,7 +491,7 @@
     BOOST_TEST(second.listen() == make_error_code(TransportError::ListenFailed));
 }
 
-BOOST_FIXTURE_TEST_CASE(sharedPortTakesSeveralServers, Fixture)
+BOOST_FIXTURE_TEST_CASE(severalServersShareAPort, Fixture)
 {
     CallerServerSettings settings;
     settings.isPortShared = true;
@@ -504,7 +506,7 @@
     BOOST_TEST(answerTo(second.port(), lastGet).ends_with("second"));
 }
 
-BOOST_FIXTURE_TEST_CASE(mangledRequestsHarmNobody, Fixture)
+BOOST_FIXTURE_TEST_CASE(answersRandomlyModifiedRequests, Fixture)
 {
     const std::string good = "POST /p?q HTTP/1.1\r\nHost: x\r\nX-A: b\r\nContent-Length: 5\r\n"
                              "Transfer-Encoding:\r\nConnection: close\r\n\r\nhello";
@@ -515,7 +517,7 @@
         exchange.writer->send({200, {}, "done"});
     };
     CallerServerSettings settings;
-    settings.requestReadTimeout = 20ms; // ends what is mangled into an unfinished request
+    settings.requestReadTimeout = 20ms; // ends requests that the changes made incomplete
     serve(settings);
     std::mt19937 random{42};
     for (int i = 0; i < 300; ++i) {
@@ -528,7 +530,7 @@
     BOOST_TEST(!exchanges.empty());
 }
 
-BOOST_FIXTURE_TEST_CASE(serverCanEndBeforeItsConnections, Fixture)
+BOOST_FIXTURE_TEST_CASE(serverCanBeDestroyedBeforeItsConnections, Fixture)
 {
     handle = [](Exchange &) {
     };
@@ -536,7 +538,7 @@
     RawCaller caller{loop, server->port(), get};
     runUntil([&] { return exchanges.size() == 1; });
     server.reset();
-    runUntil([&] { return caller.isEnded(); });
+    runUntil([&] { return caller.isClosed(); });
     exchanges[0].writer->send({200, {}, "late"});
     loop.poll();
     BOOST_TEST(caller.received().empty());
--- a/tests/callerserver/test_proxyexchange.cpp
+++ b/tests/callerserver/test_proxyexchange.cpp
@@ -20,9 +20,9 @@
 
 namespace {
 
-const std::string marks = "X-Bulrush-Request: r1\r\nX-Bulrush-Ran: yes\r\n";
+const std::string bulrushFields = "X-Bulrush-Request: r1\r\nX-Bulrush-Ran: yes\r\n";
 
-/** A daemon in small: each request goes to one server; what fails is answered with 502. */
+/** A minimal daemon: forwards each request to one server and answers failures with 502. */
 struct Fixture
 {
     asio::io_context loop;
@@ -31,7 +31,7 @@
     std::shared_ptr<IncomingRequest> request;
     std::shared_ptr<ResponseWriter> writer;
     std::shared_ptr<ProxyExchange> exchange;
-    std::optional<ExchangeEnd> end;
+    std::optional<ExchangeEnd> exchangeResult;
     CallerServer server{loop, {}, [this](auto incoming, auto outgoing) {
                             request = std::move(incoming);
                             writer = std::move(outgoing);
@@ -49,8 +49,8 @@
     {
         exchange = std::make_shared<ProxyExchange>(client, request, writer, target,
                                                    [this](const ExchangeEnd &result) {
-                                                       end = result;
-                                                       if (!end->hasBegunAnswer)
+                                                       exchangeResult = result;
+                                                       if (!exchangeResult->hasBegunAnswer)
                                                            writer->send({502, {}, "failed"});
                                                        writer.reset();
                                                    });
@@ -60,31 +60,31 @@
     template<typename Condition>
     void runUntil(Condition condition)
     {
-        const auto bound = std::chrono::steady_clock::now() + 30s;
+        const auto giveUpAt = std::chrono::steady_clock::now() + 30s;
         loop.restart();
         while (!condition()) {
-            if (loop.run_one_until(bound) == 0)
-                BOOST_FAIL("what the test waits for did not come");
+            if (loop.run_one_until(giveUpAt) == 0)
+                BOOST_FAIL("the condition did not hold within 30 s");
         }
     }
 
-    /** \returns what a caller gets for \a bytes when the server does what \a script says. */
-    std::string pass(std::string bytes, ScriptedServer::Script script)
+    /** \returns what a caller receives for \a bytes from a server that runs \a script. */
+    std::string relay(std::string bytes, ScriptedServer::Script script)
     {
         ScriptedServer backend{loop, std::move(script)};
         target.origin = backend.url("");
-        end.reset();
+        exchangeResult.reset();
         RawCaller caller{loop, server.port(), std::move(bytes)};
-        runUntil([&] { return caller.isEnded() && end.has_value(); });
+        runUntil([&] { return caller.isClosed() && exchangeResult.has_value(); });
         return caller.received();
     }
 
-    void checkEnd(TransportError error, TransferStage stage, bool hasBegunAnswer)
+    void checkResult(TransportError error, TransferStage stage, bool hasBegunAnswer)
     {
-        BOOST_REQUIRE(end.has_value());
-        BOOST_TEST(end->error == make_error_code(error));
-        BOOST_TEST(static_cast<int>(end->stage) == static_cast<int>(stage));
-        BOOST_TEST(end->hasBegunAnswer == hasBegunAnswer);
+        BOOST_REQUIRE(exchangeResult.has_value());
+        BOOST_TEST(exchangeResult->error == make_error_code(error));
+        BOOST_TEST(static_cast<int>(exchangeResult->stage) == static_cast<int>(stage));
+        BOOST_TEST(exchangeResult->hasBegunAnswer == hasBegunAnswer);
     }
 };
 
@@ -97,7 +97,7 @@
     };
 }
 
-std::string answerText(const std::string &body, const std::string &fields = marks)
+std::string answerText(const std::string &body, const std::string &fields = bulrushFields)
 {
     return "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n" + fields
         + "\r\n" + body;
@@ -113,68 +113,70 @@
 
 } // namespace
 
-BOOST_FIXTURE_TEST_CASE(passesRequestAndAnswer, Fixture)
+BOOST_FIXTURE_TEST_CASE(relaysRequestAndAnswer, Fixture)
 {
-    std::string seen;
+    std::string receivedHead;
     target.addedHeaders = {{"X-Bulrush-Service", "catalogue"}};
-    const std::string answer =
-        pass("PUT /a/../b?c=%20 HTTP/1.1\r\nHost: x\r\nConnection: close, X-Hop\r\nX-Hop: 1\r\n"
-             "X-Bulrush-Fence: 9.9\r\nx-bulrush-request: forged\r\nTE: trailers\r\nX-Kept: 2\r\n"
-             "Content-Type: text/plain\r\nContent-Length: 3\r\n\r\nabc",
-             [&](Socket &socket, int) -> asio::awaitable<void> {
-                 std::string buffer;
-                 seen = co_await ScriptedServer::readHead(socket, buffer);
-                 co_await ScriptedServer::write(
-                     socket, answerText("hi", marks + "X-B: c\r\nKeep-Alive: timeout=5\r\n"));
-             });
-    BOOST_TEST(seen
+    const std::string answer = relay(
+        "PUT /a/../b?c=%20 HTTP/1.1\r\nHost: x\r\nConnection: close, X-Hop\r\nX-Hop: 1\r\n"
+        "X-Bulrush-Fence: 9.9\r\nx-bulrush-request: forged\r\nTE: trailers\r\nX-Kept: 2\r\n"
+        "Content-Type: text/plain\r\nContent-Length: 3\r\n\r\nabc",
+        [&](Socket &socket, int) -> asio::awaitable<void> {
+            std::string buffer;
+            receivedHead = co_await ScriptedServer::readHead(socket, buffer);
+            co_await ScriptedServer::write(
+                socket, answerText("hi", bulrushFields + "X-B: c\r\nKeep-Alive: timeout=5\r\n"));
+        });
+    BOOST_TEST(receivedHead
                == "PUT /a/../b?c=%20 HTTP/1.1\r\nHost: " + target.origin.substr(7)
                    + "\r\nX-Kept: 2\r\nContent-Type: text/plain\r\nX-Bulrush-Request: r1\r\n"
                      "X-Bulrush-Service: catalogue\r\nContent-Length: 3\r\n\r\n");
     BOOST_TEST(answer
                == "HTTP/1.1 200 OK\r\nX-B: c\r\nConnection: close\r\nContent-Length: 2\r\n\r\nhi");
-    BOOST_REQUIRE(end.has_value());
-    BOOST_TEST(!end->error);
-    BOOST_TEST((end->stage == TransferStage::Answered));
-    BOOST_TEST(end->status == 200);
-    BOOST_TEST(end->ran == "yes");
-    BOOST_TEST(end->answerBytes == 2u);
+    BOOST_REQUIRE(exchangeResult.has_value());
+    BOOST_TEST(!exchangeResult->error);
+    BOOST_TEST((exchangeResult->stage == TransferStage::Answered));
+    BOOST_TEST(exchangeResult->status == 200);
+    BOOST_TEST(exchangeResult->ran == "yes");
+    BOOST_TEST(exchangeResult->answerBytes == 2u);
 }
 
-BOOST_FIXTURE_TEST_CASE(passesMarksToOtherDaemons, Fixture)
+BOOST_FIXTURE_TEST_CASE(relaysBulrushFieldsToOtherDaemons, Fixture)
 {
     target.passesOwnFields = true;
-    const std::string answer = pass(get, answering(answerText("hi")));
-    BOOST_TEST(answer.find(marks) != std::string::npos);
+    const std::string answer = relay(get, answering(answerText("hi")));
+    BOOST_TEST(answer.find(bulrushFields) != std::string::npos);
 }
 
-BOOST_FIXTURE_TEST_CASE(passesBodylessAnswers, Fixture)
+BOOST_FIXTURE_TEST_CASE(relaysBodylessAnswers, Fixture)
 {
     const std::string head = "HEAD / HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
-    BOOST_TEST(pass(head, answering("HTTP/1.1 200 OK\r\nContent-Length: 7\r\n" + marks + "\r\n"))
-               == "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 7\r\n\r\n");
-    BOOST_TEST(pass(get, answering("HTTP/1.1 204 No Content\r\n" + marks + "\r\n"))
+    BOOST_TEST(
+        relay(head, answering("HTTP/1.1 200 OK\r\nContent-Length: 7\r\n" + bulrushFields + "\r\n"))
+        == "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 7\r\n\r\n");
+    BOOST_TEST(relay(get, answering("HTTP/1.1 204 No Content\r\n" + bulrushFields + "\r\n"))
                == "HTTP/1.1 204 No Content\r\nConnection: close\r\n\r\n");
-    BOOST_TEST(pass(get, answering("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n" + marks + "\r\n"))
-               == "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
+    BOOST_TEST(
+        relay(get, answering("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n" + bulrushFields + "\r\n"))
+        == "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
 }
 
-BOOST_FIXTURE_TEST_CASE(dropsAnswersOfOthers, Fixture)
+BOOST_FIXTURE_TEST_CASE(dropsAnswersToOtherRequests, Fixture)
 {
     for (const std::string &fields :
          {std::string{}, std::string{"X-Bulrush-Request: r2\r\n"},
           std::string{"X-Bulrush-Request: r1\r\nX-Bulrush-Request: r1\r\n"}}) {
-        const std::string answer = pass(get, answering(answerText("secret", fields)));
+        const std::string answer = relay(get, answering(answerText("secret", fields)));
         BOOST_TEST(answer.starts_with("HTTP/1.1 502"));
         BOOST_TEST(answer.find("secret") == std::string::npos);
-        checkEnd(TransportError::AnswerMismatched, TransferStage::Sent, false);
+        checkResult(TransportError::AnswerMismatched, TransferStage::Sent, false);
     }
 }
 
 BOOST_FIXTURE_TEST_CASE(mismatchClosesTheConnection, Fixture)
 {
     bool hasClosed = false;
-    pass(get, [&](Socket &socket, int) -> asio::awaitable<void> {
+    relay(get, [&](Socket &socket, int) -> asio::awaitable<void> {
         std::string buffer;
         co_await ScriptedServer::readHead(socket, buffer);
         co_await ScriptedServer::write(socket, answerText("secret", ""));
@@ -185,73 +187,74 @@
     BOOST_TEST(hasClosed);
 }
 
-BOOST_FIXTURE_TEST_CASE(refusalsAreLeftToTheOwner, Fixture)
+BOOST_FIXTURE_TEST_CASE(doesNotRelayRefusals, Fixture)
 {
     const std::string answer =
-        pass(get,
-             answering("HTTP/1.1 503 No\r\nContent-Length: 0\r\nX-Bulrush-Request: r1\r\n"
-                       "X-Bulrush-Ran: no\r\nX-Bulrush-Reason: shed\r\n\r\n"));
+        relay(get,
+              answering("HTTP/1.1 503 No\r\nContent-Length: 0\r\nX-Bulrush-Request: r1\r\n"
+                        "X-Bulrush-Ran: no\r\nX-Bulrush-Reason: shed\r\n\r\n"));
     BOOST_TEST(answer.starts_with("HTTP/1.1 502"));
-    checkEnd(TransportError::ServerRefused, TransferStage::Answered, false);
-    BOOST_TEST(end->ran == "no");
-    BOOST_TEST(end->reason == "shed");
+    checkResult(TransportError::ServerRefused, TransferStage::Answered, false);
+    BOOST_TEST(exchangeResult->ran == "no");
+    BOOST_TEST(exchangeResult->reason == "shed");
 }
 
-BOOST_FIXTURE_TEST_CASE(cutAnswersAreNeverPassedAsWhole, Fixture)
+BOOST_FIXTURE_TEST_CASE(truncatedAnswersNeverLookComplete, Fixture)
 {
-    const auto cut = [](std::size_t sent) {
+    const auto truncatedAfter = [](std::size_t sent) {
         return [sent](Socket &socket, int) -> asio::awaitable<void> {
             std::string buffer;
             co_await ScriptedServer::readHead(socket, buffer);
-            const std::string whole = answerText(std::string(300'000, 'x'));
-            co_await ScriptedServer::write(socket, whole.substr(0, sent));
+            const std::string completeAnswer = answerText(std::string(300'000, 'x'));
+            co_await ScriptedServer::write(socket, completeAnswer.substr(0, sent));
         };
     };
-    // A short piece is held back, so that the owner's own answer can take its place.
-    BOOST_TEST(pass(get, cut(1000)).starts_with("HTTP/1.1 502"));
-    checkEnd(TransportError::AnswerTruncated, TransferStage::Sent, false);
+    // A short part is buffered, so that the owner's answer can replace it.
+    BOOST_TEST(relay(get, truncatedAfter(1000)).starts_with("HTTP/1.1 502"));
+    checkResult(TransportError::AnswerTruncated, TransferStage::Sent, false);
 
-    const std::string answer = pass(get, cut(250'000));
+    const std::string answer = relay(get, truncatedAfter(250'000));
     BOOST_TEST(answer.find("Content-Length: 300000\r\n") != std::string::npos);
     BOOST_TEST(answer.size() < 300'000u);
-    checkEnd(TransportError::AnswerTruncated, TransferStage::Sent, true);
+    checkResult(TransportError::AnswerTruncated, TransferStage::Sent, true);
 
-    const std::string chunked = pass(get, [](Socket &socket, int) -> asio::awaitable<void> {
+    const std::string chunked = relay(get, [](Socket &socket, int) -> asio::awaitable<void> {
         std::string buffer;
         co_await ScriptedServer::readHead(socket, buffer);
         co_await ScriptedServer::write(socket,
-                                       "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n" + marks
-                                           + "\r\n30d40\r\n" + std::string(200'000, 'x') + "\r\n");
+                                       "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n"
+                                           + bulrushFields + "\r\n30d40\r\n"
+                                           + std::string(200'000, 'x') + "\r\n");
     });
     BOOST_TEST(chunked.find("Transfer-Encoding: chunked") != std::string::npos);
     BOOST_TEST(!chunked.ends_with("0\r\n\r\n"));
-    checkEnd(TransportError::AnswerTruncated, TransferStage::Sent, true);
+    checkResult(TransportError::AnswerTruncated, TransferStage::Sent, true);
 }
 
-BOOST_FIXTURE_TEST_CASE(refusedConnectionLeavesUploadIntact, Fixture)
+BOOST_FIXTURE_TEST_CASE(refusedConnectionKeepsUploadResendable, Fixture)
 {
     std::optional<ScriptedServer> closed;
     closed.emplace(loop, answering(""));
     target.origin = closed->url("");
     closed->close();
     RawCaller caller{loop, server.port(), post(200'000) + std::string(200'000, 'x')};
-    runUntil([&] { return caller.isEnded() && end.has_value(); });
-    checkEnd(TransportError::ConnectionFailed, TransferStage::NotConnected, false);
-    BOOST_TEST(end->isBodyIntact);
+    runUntil([&] { return caller.isClosed() && exchangeResult.has_value(); });
+    checkResult(TransportError::ConnectionFailed, TransferStage::NotConnected, false);
+    BOOST_TEST(exchangeResult->isBodyIntact);
     BOOST_TEST(caller.status() == 502);
 }
 
-BOOST_FIXTURE_TEST_CASE(deadlineEndsAnExchange, Fixture)
+BOOST_FIXTURE_TEST_CASE(failsExchangeAtDeadline, Fixture)
 {
     target.timeout = 50ms;
-    const std::string answer = pass(get, [](Socket &socket, int) -> asio::awaitable<void> {
+    const std::string answer = relay(get, [](Socket &socket, int) -> asio::awaitable<void> {
         co_await ScriptedServer::drain(socket);
     });
     BOOST_TEST(answer.starts_with("HTTP/1.1 502"));
-    checkEnd(TransportError::TimedOut, TransferStage::Sent, false);
+    checkResult(TransportError::TimedOut, TransferStage::Sent, false);
 }
 
-BOOST_FIXTURE_TEST_CASE(callersLeaveCancelsTheWork, Fixture)
+BOOST_FIXTURE_TEST_CASE(callerDisconnectCancelsExchange, Fixture)
 {
     bool hasClosed = false;
     bool hasBegun = false;
@@ -266,11 +269,11 @@
     RawCaller caller{loop, server.port(), get};
     runUntil([&] { return hasBegun; });
     caller.close();
-    runUntil([&] { return hasClosed && end.has_value(); });
-    checkEnd(TransportError::CallerGone, TransferStage::Sent, false);
+    runUntil([&] { return hasClosed && exchangeResult.has_value(); });
+    checkResult(TransportError::CallerGone, TransferStage::Sent, false);
 }
 
-BOOST_FIXTURE_TEST_CASE(cutUploadIsNeverWhole, Fixture)
+BOOST_FIXTURE_TEST_CASE(truncatedUploadNeverLooksComplete, Fixture)
 {
     std::size_t received = 0;
     bool hasClosed = false;
@@ -287,13 +290,13 @@
     RawCaller caller{loop, server.port(), post(200'000) + std::string(100'000, 'x')};
     runUntil([&] { return received >= 100'000; });
     caller.close();
-    runUntil([&] { return hasClosed && end.has_value(); });
-    checkEnd(TransportError::RequestTruncated, TransferStage::Sending, false);
+    runUntil([&] { return hasClosed && exchangeResult.has_value(); });
+    checkResult(TransportError::RequestTruncated, TransferStage::Sending, false);
     BOOST_TEST(received < 200'000u);
-    BOOST_TEST(!end->isBodyIntact);
+    BOOST_TEST(!exchangeResult->isBodyIntact);
 }
 
-BOOST_FIXTURE_TEST_CASE(largeUploadAndDownloadAreBounded, Fixture)
+BOOST_FIXTURE_TEST_CASE(buffersOfLargeTransfersAreBounded, Fixture)
 {
     constexpr std::size_t size = std::size_t{64} * 1024 * 1024;
     std::size_t received = 0;
@@ -323,21 +326,21 @@
         expected += static_cast<unsigned char>(body[i]);
     }
     RawCaller caller{loop, server.port(), post(size) + body};
-    runUntil([&] { return caller.isEnded() && end.has_value(); });
-    BOOST_TEST(!end->error);
+    runUntil([&] { return caller.isClosed() && exchangeResult.has_value(); });
+    BOOST_TEST(!exchangeResult->error);
     BOOST_TEST(received == size);
     BOOST_TEST(sum == expected);
-    BOOST_TEST(end->answerBytes == size);
+    BOOST_TEST(exchangeResult->answerBytes == size);
     BOOST_TEST(caller.received().size() > size);
     BOOST_TEST(caller.received().ends_with("yyyy"));
-    // Full buffers of both directions, and a piece on its way from or to the caller.
+    // The buffers of both directions are full, and one part is in transit from or to the caller.
     BOOST_TEST(exchange->peakBufferedBytes() <= 3 * transferBufferLimit);
     BOOST_TEST_MESSAGE("peak of buffered bytes: " << exchange->peakBufferedBytes());
 }
 
-BOOST_FIXTURE_TEST_CASE(slowCallerHoldsTheServerBack, Fixture)
+BOOST_FIXTURE_TEST_CASE(slowCallerThrottlesServer, Fixture)
 {
-    // The caller reads nothing at first: the server can't send more than the buffers hold.
+    // While the caller reads nothing, the server can't send more than the buffers hold.
     constexpr std::size_t size = std::size_t{64} * 1024 * 1024;
     std::size_t written = 0;
     ScriptedServer backend{loop, [&](Socket &socket, int) -> asio::awaitable<void> {
@@ -346,7 +349,7 @@
                                co_await ScriptedServer::write(socket,
                                                               "HTTP/1.1 200 OK\r\nContent-Length: "
                                                                   + std::to_string(size) + "\r\n"
-                                                                  + marks + "\r\n");
+                                                                  + bulrushFields + "\r\n");
                                const std::string piece(64 * 1024, 'x');
                                while (written < size) {
                                    co_await ScriptedServer::write(socket, piece);
@@ -361,22 +364,22 @@
     while (loop.poll() > 0) { }
     BOOST_TEST(written < size);
     BOOST_TEST(exchange->peakBufferedBytes() <= 3 * transferBufferLimit);
-    BOOST_TEST(!end.has_value());
+    BOOST_TEST(!exchangeResult.has_value());
     caller.close();
-    runUntil([&] { return end.has_value(); });
-    checkEnd(TransportError::CallerGone, TransferStage::Sent, true);
+    runUntil([&] { return exchangeResult.has_value(); });
+    checkResult(TransportError::CallerGone, TransferStage::Sent, true);
 }
 
-BOOST_FIXTURE_TEST_CASE(slowServerHoldsTheCallerBack, Fixture)
+BOOST_FIXTURE_TEST_CASE(slowServerThrottlesCaller, Fixture)
 {
-    // The server reads the head only: the caller can't send more than the buffers hold.
+    // As the server reads only the head, the caller can't send more than the buffers hold.
     constexpr std::size_t size = std::size_t{64} * 1024 * 1024;
     bool hasBegun = false;
-    std::optional<Socket> kept;
+    std::optional<Socket> openSocket;
     ScriptedServer backend{loop, [&](Socket &socket, int) -> asio::awaitable<void> {
                                std::string buffer;
                                co_await ScriptedServer::readHead(socket, buffer);
-                               kept = std::move(socket);
+                               openSocket = std::move(socket);
                                hasBegun = true;
                            }};
     target.origin = backend.url("");
@@ -384,9 +387,9 @@
     runUntil([&] { return hasBegun; });
     while (loop.poll() > 0) { }
     BOOST_TEST(exchange->peakBufferedBytes() <= 3 * transferBufferLimit);
-    BOOST_TEST(!end.has_value());
-    kept->close();
-    runUntil([&] { return end.has_value(); });
-    checkEnd(TransportError::ConnectionLost, TransferStage::Sending, false);
-    BOOST_TEST(!end->isBodyIntact);
+    BOOST_TEST(!exchangeResult.has_value());
+    openSocket->close();
+    runUntil([&] { return exchangeResult.has_value(); });
+    checkResult(TransportError::ConnectionLost, TransferStage::Sending, false);
+    BOOST_TEST(!exchangeResult->isBodyIntact);
 }
--- a/tests/httpclient/scriptedserver.h
+++ b/tests/httpclient/scriptedserver.h
@@ -16,7 +16,7 @@
 #include <utility>
 
 /**
- * A server on a loopback port of its own that does with each connection what a test scripts.
+ * A server on its own loopback port that runs a test's script on each connection.
  */
 class ScriptedServer
 {
@@ -46,7 +46,7 @@
         m_acceptor.close();
     }
 
-    /** Reads one request's head and leaves the rest in \a buffer. */
+    /** Reads the head of one request and leaves the remaining bytes in \a buffer. */
     static asio::awaitable<std::string> readHead(Socket &socket, std::string &buffer)
     {
         const std::size_t length = co_await asio::async_read_until(
@@ -96,7 +96,7 @@
         try {
             co_await m_script(socket, connection);
         } catch (const std::system_error &) {
-            // the client closed: the script is over
+            // The client closed the connection, which ends the script.
         }
     }
 
--- a/tests/httpclient/test_httpclient.cpp
+++ b/tests/httpclient/test_httpclient.cpp
@@ -19,8 +19,8 @@
 
 namespace {
 
-/** Longer than any test takes: a transfer that meets it fails the test. */
-constexpr Duration ample = 20s;
+/** Longer than any test takes, so that a time-out of this length fails the test. */
+constexpr Duration testTimeout = 20s;
 
 struct Fixture
 {
@@ -30,7 +30,8 @@
     HttpResult fetch(HttpRequest request)
     {
         std::optional<HttpResult> result;
-        client.fetch(std::move(request), [&](HttpResult end) { result = std::move(end); });
+        client.fetch(std::move(request),
+                     [&](HttpResult httpResult) { result = std::move(httpResult); });
         BOOST_TEST(!result.has_value());
         loop.restart();
         while (!result && loop.run_one() > 0) { }
@@ -41,12 +42,12 @@
 
 HttpRequest post(const std::string &url, std::string body, bool isFreshConnection)
 {
-    return {"POST", url, {}, std::move(body), ample, isFreshConnection};
+    return {"POST", url, {}, std::move(body), testTimeout, isFreshConnection};
 }
 
 HttpRequest get(const std::string &url)
 {
-    return {"GET", url, {}, {}, ample, false};
+    return {"GET", url, {}, {}, testTimeout, false};
 }
 
 ScriptedServer::Script answering(std::string answer)
@@ -62,7 +63,7 @@
 
 const std::string okAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nX-A: b\r\n\r\nhi";
 
-void checkEnd(const HttpResult &result, TransportError error, TransferStage stage)
+void checkResult(const HttpResult &result, TransportError error, TransferStage stage)
 {
     BOOST_TEST(result.error == make_error_code(error));
     BOOST_TEST(static_cast<int>(result.stage) == static_cast<int>(stage));
@@ -71,7 +72,7 @@
 
 } // namespace
 
-BOOST_FIXTURE_TEST_CASE(answersWhole, Fixture)
+BOOST_FIXTURE_TEST_CASE(returnsCompleteAnswer, Fixture)
 {
     ScriptedServer server{loop, answering(okAnswer)};
     const HttpResult result = fetch(get(server.url()));
@@ -84,9 +85,10 @@
     BOOST_TEST(result.response.headers[1].value == "b");
 }
 
-BOOST_FIXTURE_TEST_CASE(sendsWhatItWasGivenAndNothingElse, Fixture)
+BOOST_FIXTURE_TEST_CASE(sendsOnlyTheGivenFields, Fixture)
 {
-    constexpr std::size_t bodySize = 2'000'000; // libcurl would ask for 100 Continue
+    // By default, libcurl sends Expect: 100-continue for a body of this size.
+    constexpr std::size_t bodySize = 2'000'000;
     std::string head;
     std::string buffer;
     ScriptedServer server{loop, [&](Socket &socket, int) -> asio::awaitable<void> {
@@ -112,57 +114,57 @@
     ScriptedServer server{loop, answering(okAnswer)};
     const std::string url = server.url();
     server.close();
-    checkEnd(fetch(post(url, "x", true)), TransportError::ConnectionFailed,
-             TransferStage::NotConnected);
+    checkResult(fetch(post(url, "x", true)), TransportError::ConnectionFailed,
+                TransferStage::NotConnected);
 }
 
-BOOST_FIXTURE_TEST_CASE(unusableRequestsAreRefusedHere, Fixture)
+BOOST_FIXTURE_TEST_CASE(refusesInvalidRequestsUnsent, Fixture)
 {
     HttpRequest split = get("http://127.0.0.1:1/");
     split.headers = {{"X-A", "b\r\nX-C: d"}};
     for (const HttpRequest &request :
          {get("https://127.0.0.1:1/"), get("file:///etc/hostname"), get("http://127.0.0.1:1/a b"),
-          split, HttpRequest{"GE T", "http://127.0.0.1:1/", {}, {}, ample, false}}) {
-        checkEnd(fetch(request), TransportError::InvalidRequest, TransferStage::NotConnected);
+          split, HttpRequest{"GE T", "http://127.0.0.1:1/", {}, {}, testTimeout, false}}) {
+        checkResult(fetch(request), TransportError::InvalidRequest, TransferStage::NotConnected);
     }
 }
 
-BOOST_FIXTURE_TEST_CASE(resetAfterPartOfTheBodyIsSending, Fixture)
+BOOST_FIXTURE_TEST_CASE(resetDuringBodyReportsSending, Fixture)
 {
     ScriptedServer server{loop, [](Socket &socket, int) -> asio::awaitable<void> {
                               std::string buffer;
                               co_await ScriptedServer::readHead(socket, buffer);
                               ScriptedServer::reset(socket);
                           }};
-    // More than the sockets of both sides hold, so that the whole can't have been sent.
+    // Larger than the socket buffers of both sides, so that the body can't be sent completely.
     const HttpResult result = fetch(post(server.url(), std::string(32 * 1024 * 1024, 'x'), true));
-    checkEnd(result, TransportError::ConnectionLost, TransferStage::Sending);
+    checkResult(result, TransportError::ConnectionLost, TransferStage::Sending);
 }
 
-BOOST_FIXTURE_TEST_CASE(closeWithoutAnswerIsSent, Fixture)
+BOOST_FIXTURE_TEST_CASE(closeWithoutAnswerReportsSent, Fixture)
 {
     ScriptedServer server{loop, [](Socket &socket, int) -> asio::awaitable<void> {
                               std::string buffer;
                               co_await ScriptedServer::readHead(socket, buffer);
                           }};
-    checkEnd(fetch(post(server.url(), "pay", true)), TransportError::ConnectionLost,
-             TransferStage::Sent);
+    checkResult(fetch(post(server.url(), "pay", true)), TransportError::ConnectionLost,
+                TransferStage::Sent);
     HttpRequest bare = get(server.url());
     bare.isFreshConnection = true;
-    checkEnd(fetch(bare), TransportError::ConnectionLost, TransferStage::Sent);
+    checkResult(fetch(bare), TransportError::ConnectionLost, TransferStage::Sent);
 }
 
-BOOST_FIXTURE_TEST_CASE(silentServerTimesOutAsSent, Fixture)
+BOOST_FIXTURE_TEST_CASE(silentServerTimeoutReportsSent, Fixture)
 {
     ScriptedServer server{loop, [](Socket &socket, int) -> asio::awaitable<void> {
                               co_await ScriptedServer::drain(socket);
                           }};
     HttpRequest request = post(server.url(), "pay", true);
     request.timeout = 100ms;
-    checkEnd(fetch(std::move(request)), TransportError::TimedOut, TransferStage::Sent);
+    checkResult(fetch(std::move(request)), TransportError::TimedOut, TransferStage::Sent);
 }
 
-BOOST_FIXTURE_TEST_CASE(timeoutCountsWhileWaitingForAConnection, Fixture)
+BOOST_FIXTURE_TEST_CASE(timeoutRunsWhileWaitingForConnection, Fixture)
 {
     ScriptedServer server{loop, [](Socket &socket, int) -> asio::awaitable<void> {
                               co_await ScriptedServer::drain(socket);
@@ -173,12 +175,12 @@
     });
     HttpRequest waiting = post(server.url(), "b", true);
     waiting.timeout = 100ms;
-    checkEnd(fetch(std::move(waiting)), TransportError::TimedOut, TransferStage::NotConnected);
+    checkResult(fetch(std::move(waiting)), TransportError::TimedOut, TransferStage::NotConnected);
     BOOST_TEST(server.connections() == 1);
     client.cancel(holder);
 }
 
-BOOST_FIXTURE_TEST_CASE(cutAndUnframedAnswersAreNoAnswers, Fixture)
+BOOST_FIXTURE_TEST_CASE(rejectsTruncatedAndUnframedAnswers, Fixture)
 {
     struct Case
     {
@@ -197,22 +199,22 @@
         {"what is this\r\n\r\n", TransportError::AnswerMalformed},
         {"HTTP/1.1 200 OK\r\nContent-Le", TransportError::AnswerTruncated},
     };
-    for (const Case &one : cases) {
-        BOOST_TEST_CONTEXT(one.answer)
+    for (const Case &testCase : cases) {
+        BOOST_TEST_CONTEXT(testCase.answer)
         {
             ScriptedServer server{loop, [&](Socket &socket, int) -> asio::awaitable<void> {
                                       std::string buffer;
                                       co_await ScriptedServer::readHead(socket, buffer);
-                                      co_await ScriptedServer::write(socket, one.answer);
+                                      co_await ScriptedServer::write(socket, testCase.answer);
                                   }};
-            checkEnd(fetch(post(server.url(), "x", true)), one.error, TransferStage::Sent);
+            checkResult(fetch(post(server.url(), "x", true)), testCase.error, TransferStage::Sent);
         }
     }
 }
 
 namespace {
 
-/** Answers the first request of a connection, closes it after reading the second, counts all. */
+/** Answers the first request of a connection, closes it after the second, and counts requests. */
 ScriptedServer::Script closingAfterSecond(int &requests)
 {
     return [&requests](Socket &socket, int) -> asio::awaitable<void> {
@@ -227,7 +229,7 @@
 
 } // namespace
 
-BOOST_FIXTURE_TEST_CASE(freshConnectionIsNeverSentAgain, Fixture)
+BOOST_FIXTURE_TEST_CASE(freshConnectionNeverResends, Fixture)
 {
     int requests = 0;
     ScriptedServer server{loop, [&](Socket &socket, int) -> asio::awaitable<void> {
@@ -244,15 +246,16 @@
                           }};
     BOOST_TEST(!fetch(get(server.url())).error);
     BOOST_TEST(requests == 1);
-    checkEnd(fetch(post(server.url(), "pay", true)), TransportError::ConnectionLost,
-             TransferStage::Sent);
+    checkResult(fetch(post(server.url(), "pay", true)), TransportError::ConnectionLost,
+                TransferStage::Sent);
     BOOST_TEST(requests == 2);
     BOOST_TEST(server.connections() == 2);
 }
 
-BOOST_FIXTURE_TEST_CASE(keptConnectionIsWhereTheDangerLies, Fixture)
+BOOST_FIXTURE_TEST_CASE(reusedConnectionResendsRequest, Fixture)
 {
-    // Shows that the danger is real in this libcurl: without a fresh connection it sends twice.
+    // Documents why isFreshConnection exists: on a reused connection, this libcurl sends the
+    // request twice.
     int requests = 0;
     ScriptedServer server{loop, closingAfterSecond(requests)};
     BOOST_TEST(!fetch(get(server.url())).error);
@@ -261,9 +264,9 @@
     BOOST_TEST(server.connections() == 2);
 }
 
-BOOST_FIXTURE_TEST_CASE(failedSecondAttemptDoesNotHideTheFirst, Fixture)
+BOOST_FIXTURE_TEST_CASE(failedRetryKeepsStageOfFirstAttempt, Fixture)
 {
-    // The request is read, then the server is gone: libcurl tries again and finds no one.
+    // The server reads the request and stops listening, so that libcurl's retry is refused.
     int requests = 0;
     std::optional<ScriptedServer> server;
     server.emplace(loop, [&](Socket &socket, int) -> asio::awaitable<void> {
@@ -283,12 +286,12 @@
     BOOST_TEST((result.stage != TransferStage::NotConnected));
 }
 
-BOOST_FIXTURE_TEST_CASE(streamedBodyIsNeverSentAgain, Fixture)
+BOOST_FIXTURE_TEST_CASE(neverResendsStreamedBody, Fixture)
 {
     int requests = 0;
     ScriptedServer server{loop, closingAfterSecond(requests)};
     BOOST_TEST(!fetch(get(server.url())).error);
-    std::optional<TransferResult> end;
+    std::optional<TransferResult> streamResult;
     std::unique_ptr<StreamTransfer> transfer;
     transfer = std::make_unique<StreamTransfer>(
         client, post(server.url(), {}, false), StreamedBody{3}, std::nullopt,
@@ -296,20 +299,20 @@
             if (std::holds_alternative<BodyRoom>(event)) {
                 transfer->feed("pay");
                 transfer->finishBody();
-            } else if (const auto *last = std::get_if<TransferResult>(&event)) {
-                end = *last;
+            } else if (const auto *transferResult = std::get_if<TransferResult>(&event)) {
+                streamResult = *transferResult;
             }
         });
     loop.restart();
-    while (!end && loop.run_one() > 0) { }
-    BOOST_REQUIRE(end.has_value());
+    while (!streamResult && loop.run_one() > 0) { }
+    BOOST_REQUIRE(streamResult.has_value());
     BOOST_TEST(requests == 2);
     BOOST_TEST(server.connections() == 1);
-    BOOST_TEST(static_cast<bool>(end->error));
-    BOOST_TEST((end->stage != TransferStage::NotConnected));
+    BOOST_TEST(static_cast<bool>(streamResult->error));
+    BOOST_TEST((streamResult->stage != TransferStage::NotConnected));
 }
 
-BOOST_FIXTURE_TEST_CASE(keptConnectionIsUsedAgain, Fixture)
+BOOST_FIXTURE_TEST_CASE(reusesIdleConnection, Fixture)
 {
     ScriptedServer server{loop, answering(okAnswer)};
     for (int i = 0; i < 5; ++i)
@@ -317,7 +320,7 @@
     BOOST_TEST(server.connections() == 1);
 }
 
-BOOST_FIXTURE_TEST_CASE(connectionsToManyServersAreKept, Fixture)
+BOOST_FIXTURE_TEST_CASE(keepsConnectionsToManyServers, Fixture)
 {
     std::vector<std::unique_ptr<ScriptedServer>> servers;
     for (int i = 0; i < 20; ++i)
