--- a/src/libbulrushio/connection/streamtransfer.h
+++ b/src/libbulrushio/connection/streamtransfer.h
@@ -22,8 +22,8 @@
 {
 public:
     /**
-     * Starts \a request with \a body instead of the request's own body. If \a echo is given, an
-     * answer that does not contain this field exactly once is dropped and its connection closed.
+     * Starts \a request with \a body instead of the request's own body. If \a echoedField is given,
+     * an answer that does not contain this field exactly once is dropped and its connection closed.
      */
     StreamTransfer(HttpClient &client, HttpRequest request, RequestBody body,
                    std::optional<HttpHeader> echoedField, TransferHandler handler);
