--- a/src/libbulrush/process/configbudget.h
+++ b/src/libbulrush/process/configbudget.h
@@ -5,17 +5,17 @@
 namespace bulrush {
 
 /**
- * How the time is spent within which an acknowledged configuration is to be in force at all
- * daemons. It runs from the store's acknowledgement to the requests that go by it, so that all hops
- * between share it. A daemon goes by the age of what it knows, which passes through every hop: word
- * that nothing has changed counts from when the store gave it.
+ * Divides the time within which an acknowledged configuration must be in force at all daemons. The
+ * time runs from the store's acknowledgement to the first requests routed by the configuration, so
+ * all hops in between share it. A daemon acts on the age of its routing data, which is preserved
+ * through every hop: a confirmation that nothing has changed counts from when the store gave it.
  *
  * Immutable; thread safe.
  */
 class ConfigBudget
 {
 public:
-    /** The shortest bound of the deployments that are known. */
+    /** The shortest bound of all known deployments. */
     static constexpr Duration shortestBound = std::chrono::seconds{2};
 
     /** \pre \a bound is positive */
@@ -23,31 +23,34 @@
         : m_bound(bound)
     { }
 
-    /** Who reads the store asks whether knowledge of this age still holds. */
+    /** A reader asks the store whether routing data of this age is still current. */
     constexpr Duration readerConfirmAfter() const
     {
         return part(40);
     }
 
-    /** Knowledge of this age is asked for beside whoever is waited for. */
+    /** Routing data of this age is also requested from daemons other than the one waited for. */
     constexpr Duration askBesideAfter() const
     {
         return part(65);
     }
 
-    /** Knowledge of this age is confirmed by the store; the rest is for a long configuration. */
+    /**
+     * Routing data of this age has to be confirmed by the store; the time that remains is reserved
+     * for the transfer of a long configuration.
+     */
     constexpr Duration confirmAfter() const
     {
         return part(75);
     }
 
-    /** For that answer; without it the store is taken to be away from this daemon. */
+    /** Timeout of that confirmation; without it the store counts as unreachable for this daemon. */
     constexpr Duration confirmWithin() const
     {
         return part(20);
     }
 
-    /** By knowledge of this age no route is known not to exist. */
+    /** Routing data of this age no longer proves that a route does not exist. */
     constexpr Duration doubtAfter() const
     {
         return m_bound;
--- a/src/libbulrush/process/linkbudget.cpp
+++ b/src/libbulrush/process/linkbudget.cpp
@@ -11,7 +11,7 @@
 } // namespace
 
 LinkBudget::LinkBudget(double megabitsPerSecond)
-    : m_bytesPerSecond(megabitsPerSecond * bytesPerMegabit * share)
+    : m_bytesPerSecond(megabitsPerSecond * bytesPerMegabit * linkShare)
 { }
 
 bool LinkBudget::take(std::size_t bytes, Instant now)
@@ -19,7 +19,7 @@
     const std::chrono::duration<double> seconds{static_cast<double>(bytes) / m_bytesPerSecond};
     const Instant startAt = std::max(now, m_busyUntil);
     const Instant endAt = startAt + std::chrono::duration_cast<Duration>(seconds);
-    if (bytes > shortAnswer && startAt > now && endAt - now > longestBacklog)
+    if (bytes > shortAnswerSize && startAt > now && endAt - now > maxBacklog)
         return false;
     m_busyUntil = endAt;
     return true;
--- a/src/libbulrush/process/retrypause.cpp
+++ b/src/libbulrush/process/retrypause.cpp
@@ -8,20 +8,20 @@
 
 namespace {
 
-/** Steps of a 64-bit linear congruential generator (Knuth, MMIX). */
+/** Constants of a 64-bit linear congruential generator (Knuth, MMIX). */
 constexpr std::uint64_t multiplier = 6364136223846793005U;
 constexpr std::uint64_t increment = 1442695040888963407U;
-/** Its high bits are the random ones. */
-constexpr unsigned highBits = 33;
+/** Only the high bits of its state are sufficiently random. */
+constexpr unsigned highBitsShift = 33;
 
-/** A pause is cut by up to this many hundredths. */
-constexpr std::uint64_t largestCut = 25;
+/** A pause is shortened by up to this many hundredths. */
+constexpr std::uint64_t maxCutPercent = 25;
 
 } // namespace
 
-RetryPause::RetryPause(Duration first, Duration longest, std::string_view name)
+RetryPause::RetryPause(Duration first, Duration max, std::string_view name)
     : m_first(first)
-    , m_longest(longest)
+    , m_max(max)
     , m_next(first)
     , m_state(XXH3_64bits(name.data(), name.size()))
 { }
@@ -29,9 +29,9 @@
 Instant RetryPause::failed(Instant now)
 {
     m_state = m_state * multiplier + increment;
-    const auto cut = static_cast<std::int64_t>((m_state >> highBits) % (largestCut + 1));
+    const auto cut = static_cast<std::int64_t>((m_state >> highBitsShift) % (maxCutPercent + 1));
     m_until = now + m_next - m_next * cut / 100;
-    m_next = std::min(2 * m_next, m_longest);
+    m_next = std::min(2 * m_next, m_max);
     return m_until;
 }
 
--- a/src/libbulrush/process/retrypause.h
+++ b/src/libbulrush/process/retrypause.h
@@ -8,31 +8,32 @@
 namespace bulrush {
 
 /**
- * Pauses between tries of something that fails: each twice as long as the one before, up to a
- * longest, and cut by up to a quarter, so that many daemons that fail at the same moment don't all
- * try again at the same moment.
+ * Exponential backoff with jitter: each pause is twice as long as the previous one, up to a
+ * maximum, and shortened by up to a quarter, so that daemons that fail at the same moment do not
+ * all retry at the same moment.
  *
- * Not thread safe. Instants never go back.
+ * Not thread safe. Instants never decrease.
  */
 class RetryPause
 {
 public:
-    /** The pauses of daemons with unlike \a name are scattered differently. */
-    RetryPause(Duration first, Duration longest, std::string_view name);
+    /** Seeds the jitter with \a name, which differs between daemons. */
+    RetryPause(Duration first, Duration max, std::string_view name);
 
-    /** Notes a failure: the next try is due after a pause. \returns until when. */
+    /** Records a failure. \returns when the next attempt is due. */
     Instant failed(Instant now);
 
-    /** Notes a success: the next failure begins with the first pause again. */
+    /** Records a success: the next failure starts with the first pause again. */
     void succeeded();
 
-    /** \returns whether no pause lasts. */
+    /** \returns whether an attempt is due. */
     bool isOver(Instant now) const;
 
 private:
     Duration m_first;
-    Duration m_longest;
+    Duration m_max;
     Duration m_next;
+    /** State of the random generator. */
     std::uint64_t m_state;
     Instant m_until;
 };
--- a/src/libbulrush/process/routingknowledge.h
+++ b/src/libbulrush/process/routingknowledge.h
@@ -4,11 +4,11 @@
 
 namespace bulrush {
 
-/** How far what requests are routed by can be relied on. */
+/** How current the data is by which requests are routed. */
 struct RoutingKnowledge
 {
     ServerKnowledge servers;
-    /** At that instant the store held no configuration later than the one that is known. */
+    /** At this instant the store had no configuration later than the known one. */
     Instant configAsOf;
 
     bool operator==(const RoutingKnowledge &) const = default;
--- a/src/libbulrush/process/routingstate.h
+++ b/src/libbulrush/process/routingstate.h
@@ -11,28 +11,28 @@
 namespace bulrush {
 
 /**
- * All that requests are routed by, as of one moment. Made by the control thread, never changed,
- * read by those that carry traffic.
+ * Immutable snapshot of all data by which requests are routed. Created by the control thread and
+ * read by the threads that carry traffic.
  */
 struct RoutingState
 {
-    /** Null until a configuration is known. */
+    /** Null until a configuration has been received. */
     std::shared_ptr<const RouteTable> routes;
-    /** When the control thread took them on. */
+    /** When the control thread applied the routes. */
     Instant routesTakenAt;
-    /** Until then the store is known to have held no routes later than those before. */
+    /** Until then the store is known to have had no routes later than the previous ones. */
     Instant routesUnchangedUntil;
-    /** The servers that are not gone, by service. */
+    /** The servers that are not removed, by service. */
     std::map<ServiceName, std::vector<KnownServer>> servers;
-    /** Of the services that are divided by key. */
+    /** Assignments of the services that are divided by key. */
     std::map<ServiceName, std::shared_ptr<const KeyAssignment>> assignments;
-    /** Daemons that share what is allowed to all of them, this one included; 0: not known yet. */
+    /** Number of daemons that share common limits, including this one; 0: not known yet. */
     std::size_t daemonCount = 0;
 
-    /** \returns the servers of \a service. Valid as long as this object. */
+    /** \returns the servers of \a service. Valid for the lifetime of this object. */
     const std::vector<KnownServer> &serversOf(const ServiceName &service) const;
 
-    /** \returns the server \a id of \a service, or null. Valid as long as this object. */
+    /** \returns the server \a id of \a service, or null. Valid for the lifetime of this object. */
     const KnownServer *server(const ServiceName &service, const ServerName &id) const;
 };
 
--- a/src/libbulrush/process/storeclock.cpp
+++ b/src/libbulrush/process/storeclock.cpp
@@ -6,15 +6,15 @@
 
 Instant StoreClock::givenAt(Instant sentAt, Instant receivedAt, Duration storeTime)
 {
-    const Bound own{sentAt.time_since_epoch() - storeTime - grain, sentAt};
+    const Bound own{sentAt.time_since_epoch() - storeTime - resolution, sentAt};
     if (!m_best)
         m_best = own;
     const Duration age = receivedAt - m_best->learnedAt;
     const Duration offset = m_best->offset - (stretched(age, defaultDriftPpm) - age);
     const Instant given{storeTime + offset};
-    // An answer can't come before it was given: the store's clock is another one now.
-    const bool isOtherClock = given > receivedAt;
-    if (isOtherClock || own.offset >= offset) {
+    // An answer cannot arrive before it was given, so the store now uses a different clock.
+    const bool isDifferentClock = given > receivedAt;
+    if (isDifferentClock || own.offset >= offset) {
         m_best = own;
         return sentAt;
     }
--- a/src/libbulrush/process/storeclock.h
+++ b/src/libbulrush/process/storeclock.h
@@ -7,29 +7,29 @@
 namespace bulrush {
 
 /**
- * Tells when the platform's store gave an answer, by the reading of its clock that comes with each.
- * A call that waits for changes may be answered long after it was sent; counting from its sending
- * would take the store for silent while it is not.
+ * Estimates when the platform's store gave an answer, from the reading of the store's clock that
+ * each answer contains. A call that waits for changes may be answered long after it was sent. If
+ * its answer were dated by the send time, the store would appear silent while it is not.
  *
- * Both clocks are steady. An answer was given after its call was sent, so each answer bounds how
- * far the clocks lie apart; the best bound dates all others, and ages by how much their rates may
- * differ. Not thread safe. Instants never go back.
+ * Both clocks are steady. An answer is given after its call was sent, so each answer bounds the
+ * offset between the clocks. The best bound dates all other answers, and is relaxed over time by
+ * the possible difference of the clock rates. Not thread safe. Instants never decrease.
  */
 class StoreClock
 {
 public:
-    /** Readings are rounded to hundredths of a second; two of them are compared. */
-    static constexpr Duration grain = std::chrono::milliseconds{20};
+    /** Readings are rounded to hundredths of a second, and two of them are compared. */
+    static constexpr Duration resolution = std::chrono::milliseconds{20};
 
     /**
-     * \returns an instant at which an answer had not been given yet or was just being given: not
-     * before \a sentAt, and as late as the bounds allow. Its call was sent at \a sentAt, the answer
-     * came at \a receivedAt and was given at \a storeTime by the store's clock.
+     * \returns the latest instant, not before \a sentAt, that by the bounds is certainly not later
+     * than the instant at which an answer was given. Its call was sent at \a sentAt; the answer
+     * arrived at \a receivedAt and was given at \a storeTime of the store's clock.
      */
     Instant givenAt(Instant sentAt, Instant receivedAt, Duration storeTime);
 
 private:
-    /** Our instant of a reading of the store's clock is at least the reading plus the offset. */
+    /** A reading of the store's clock was taken at or after the local instant reading + offset. */
     struct Bound
     {
         Duration offset{};
--- a/tests/linkbudget/test_linkbudget.cpp
+++ b/tests/linkbudget/test_linkbudget.cpp
@@ -22,31 +22,31 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(aNarrowLinkSendsOneLongAnswerAtATime)
+BOOST_AUTO_TEST_CASE(slowLinkSendsOneLongAnswerAtATime)
 {
     LinkBudget link{10.0};
     BOOST_TEST(acceptedOf(link, 24, start) == 1);
     BOOST_TEST(acceptedOf(link, 24, start + 200ms) == 0);
-    // Half of the link has sent it by then.
+    // The answer has been sent by then with half of the link's bandwidth.
     BOOST_TEST(acceptedOf(link, 24, start + 410ms) == 1);
 }
 
-BOOST_AUTO_TEST_CASE(aWideLinkSendsWhatGoesOutWithinTheBacklog)
+BOOST_AUTO_TEST_CASE(fastLinkAcceptsAnswersUpToTheMaximumBacklog)
 {
     LinkBudget link{200.0};
     BOOST_TEST(acceptedOf(link, 100, start) == 20);
 }
 
-BOOST_AUTO_TEST_CASE(shortAnswersAreAlwaysSentAndCount)
+BOOST_AUTO_TEST_CASE(shortAnswersAreAlwaysAcceptedAndCount)
 {
     LinkBudget link{10.0};
     for (int i = 0; i < 100; ++i)
-        BOOST_TEST(link.take(LinkBudget::shortAnswer, start));
+        BOOST_TEST(link.take(LinkBudget::shortAnswerSize, start));
     BOOST_TEST(!link.take(longAnswer, start + 1s));
     BOOST_TEST(link.take(longAnswer, start + 3s));
 }
 
-BOOST_AUTO_TEST_CASE(anAnswerThatTakesLongerThanTheBacklogGoesOverAnIdleLink)
+BOOST_AUTO_TEST_CASE(idleLinkAcceptsAnAnswerLongerThanTheBacklog)
 {
     LinkBudget link{1.0};
     BOOST_TEST(link.take(longAnswer, start));
--- a/tests/routing/test_routetable.cpp
+++ b/tests/routing/test_routetable.cpp
@@ -13,11 +13,11 @@
 Route route(const std::string &name, const std::string &prefix,
             std::vector<WeightedService> split = {{ServiceName{"catalogue"}, 1}})
 {
-    Route made;
-    made.name = name;
-    made.prefix = prefix;
-    made.split = std::move(split);
-    return made;
+    Route result;
+    result.name = name;
+    result.prefix = prefix;
+    result.split = std::move(split);
+    return result;
 }
 
 RouteTable table()
@@ -40,7 +40,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(theLongestPrefixThatBeginsThePathIsTaken)
+BOOST_AUTO_TEST_CASE(longestMatchingPrefixWins)
 {
     const RouteTable routes = table();
     BOOST_TEST(found(routes, "shop.example", "/a/b/c") == "ab");
@@ -58,7 +58,7 @@
     BOOST_TEST(found(routes, "", "/") == "");
 }
 
-BOOST_AUTO_TEST_CASE(requestsDivideByWeights)
+BOOST_AUTO_TEST_CASE(splitsRequestsByWeight)
 {
     const Route split = route("split", "/", {{ServiceName{"old"}, 90}, {ServiceName{"new"}, 10}});
     std::map<std::string, int> counts;
@@ -68,7 +68,7 @@
     BOOST_TEST(counts["new"] == 100);
 }
 
-BOOST_AUTO_TEST_CASE(aServiceWithoutWeightGetsNothing)
+BOOST_AUTO_TEST_CASE(serviceWithoutWeightGetsNoRequests)
 {
     const Route split = route("split", "/", {{ServiceName{"old"}, 0}, {ServiceName{"new"}, 3}});
     for (std::uint64_t hash = 0; hash < 20; ++hash)
--- a/tests/storeclock/test_storeclock.cpp
+++ b/tests/storeclock/test_storeclock.cpp
@@ -11,48 +11,48 @@
 
 namespace {
 
-/** What the store's clock shows when ours is at its epoch. */
-constexpr Duration ahead = 77s;
+/** Reading of the store's clock at the epoch of the local clock. */
+constexpr Duration storeOffset = 77s;
 
 const Instant start{1000s};
 
-/** \returns the store's reading at \a given, rounded as the store does. */
+/** \returns the reading of the store's clock at \a given, rounded as by the store. */
 Duration readingAt(Instant given)
 {
-    return std::chrono::floor<std::chrono::milliseconds>(given.time_since_epoch() + ahead) / 10
-        * 10;
+    return std::chrono::floor<std::chrono::milliseconds>(given.time_since_epoch() + storeOffset)
+        / 10 * 10;
 }
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(theFirstAnswerCountsFromItsSending)
+BOOST_AUTO_TEST_CASE(datesTheFirstAnswerByItsSendTime)
 {
     StoreClock clock;
     const Instant given = start + 1700ms;
     BOOST_TEST((clock.givenAt(start, given + 2ms, readingAt(given)) == start));
 }
 
-BOOST_AUTO_TEST_CASE(aQuickAnswerDatesLongWaitsThatFollow)
+BOOST_AUTO_TEST_CASE(quickAnswerDatesLaterLongCalls)
 {
     StoreClock clock;
     clock.givenAt(start, start + 4ms, readingAt(start + 2ms));
     const Instant given = start + 1800ms;
-    const Instant found = clock.givenAt(start + 10ms, given + 2ms, readingAt(given));
-    BOOST_TEST((found <= given));
-    BOOST_TEST((given - found < 40ms));
+    const Instant estimated = clock.givenAt(start + 10ms, given + 2ms, readingAt(given));
+    BOOST_TEST((estimated <= given));
+    BOOST_TEST((given - estimated < 40ms));
 }
 
-BOOST_AUTO_TEST_CASE(aBoundAgesByTheDriftOfTheClocks)
+BOOST_AUTO_TEST_CASE(boundIsRelaxedByTheClockDrift)
 {
     StoreClock clock;
     clock.givenAt(start, start + 4ms, readingAt(start + 2ms));
     const Instant given = start + 100s;
-    const Instant found = clock.givenAt(given - 2s, given, readingAt(given));
-    BOOST_TEST((found <= given - 100ms));
-    BOOST_TEST((given - found < 150ms));
+    const Instant estimated = clock.givenAt(given - 2s, given, readingAt(given));
+    BOOST_TEST((estimated <= given - 100ms));
+    BOOST_TEST((given - estimated < 150ms));
 }
 
-BOOST_AUTO_TEST_CASE(noAnswerIsDatedBeforeItsSending)
+BOOST_AUTO_TEST_CASE(neverDatesAnAnswerBeforeItsSendTime)
 {
     StoreClock clock;
     clock.givenAt(start, start + 2s, readingAt(start + 1900ms));
@@ -60,37 +60,38 @@
     BOOST_TEST((clock.givenAt(sent, sent + 4ms, readingAt(sent + 2ms)) >= sent));
 }
 
-BOOST_AUTO_TEST_CASE(anotherClockOfTheStoreIsNoticed)
+BOOST_AUTO_TEST_CASE(detectsAChangeOfTheStoreClock)
 {
     StoreClock clock;
     clock.givenAt(start, start + 4ms, readingAt(start + 2ms));
     const Instant sent = start + 1s;
-    // The store's clock has leapt: by the old bound the answer would come from the future.
+    // The store's clock has jumped: by the old bound the answer would be dated in the future.
     BOOST_TEST((clock.givenAt(sent, sent + 1500ms, readingAt(sent + 1s) + 1h) == sent));
     const Instant given = sent + 4s;
-    const Instant found = clock.givenAt(sent + 2s, given + 1ms, readingAt(given) + 1h);
-    BOOST_TEST((found <= given));
+    const Instant estimated = clock.givenAt(sent + 2s, given + 1ms, readingAt(given) + 1h);
+    BOOST_TEST((estimated <= given));
 }
 
-BOOST_AUTO_TEST_CASE(neverLaterThanTheTruthWhateverTheDelays)
+BOOST_AUTO_TEST_CASE(neverDatesAnAnswerTooLate)
 {
     std::mt19937_64 random{20261202};
-    std::uniform_int_distribution<int> way{0, 300'000};
-    std::uniform_int_distribution<int> wait{0, 2'000'000};
+    std::uniform_int_distribution<int> transitTime{0, 300'000};
+    std::uniform_int_distribution<int> waitTime{0, 2'000'000};
     for (int run = 0; run < 200; ++run) {
         StoreClock clock;
-        // The rates differ by as much as is allowed for, either way.
+        // The clock rates differ by the tolerated maximum, in either direction.
         const double rate = 1.0 + (run % 2 == 0 ? 0.00099 : -0.00099);
         Instant now = start;
         for (int i = 0; i < 200; ++i) {
             const Instant sent = now;
-            const Instant given = sent + std::chrono::microseconds{way(random) + wait(random)};
-            const Instant received = given + std::chrono::microseconds{way(random)};
+            const Instant given =
+                sent + std::chrono::microseconds{transitTime(random) + waitTime(random)};
+            const Instant received = given + std::chrono::microseconds{transitTime(random)};
             const Duration passed{
                 static_cast<std::int64_t>(static_cast<double>((given - start).count()) * rate)};
-            const Instant found = clock.givenAt(sent, received, readingAt(start + passed));
-            BOOST_REQUIRE((found <= given));
-            BOOST_REQUIRE((found >= sent));
+            const Instant estimated = clock.givenAt(sent, received, readingAt(start + passed));
+            BOOST_REQUIRE((estimated <= given));
+            BOOST_REQUIRE((estimated >= sent));
             now = received;
         }
     }
