--- a/src/libbulrush/process/followplan.cpp
+++ b/src/libbulrush/process/followplan.cpp
@@ -7,8 +7,8 @@
 FollowPlan::FollowPlan(const HostName &self, DomainName domain, Instant start)
     : m_readers(self, std::move(domain))
     , m_start(start)
-    , m_pause(firstPause, longestPause, self.value())
-    , m_pauseOfOthers(firstPauseOfOthers, longestPauseOfOthers, self.value())
+    , m_backoff(initialBackoff, maxBackoff, self.value())
+    , m_backoffOfOthers(initialBackoffOfOthers, maxBackoffOfOthers, self.value())
 { }
 
 void FollowPlan::setDaemons(std::span<const Renewer> daemons)
@@ -21,110 +21,110 @@
 FollowStep FollowPlan::next(const FollowedTable &table, Instant now)
 {
     if (isWaitingForOthers(table, now))
-        return AskLater{lookAgain};
+        return AskLater{waitInterval};
     std::optional<RowsReader> reader;
-    const bool isAlone = now < m_aloneUntil || (!table.hasRows && isRestarting(now));
-    if (!isAlone || m_isStoreFailing)
+    const bool isStandalone = now < m_standaloneUntil || (!table.hasRows && isRestarting(now));
+    if (!isStandalone || m_isStoreFailing)
         reader = m_readers.reader(place(), now);
     if (!m_isStoreFailing) {
-        const bool isFirstRefused = !isEager() && m_readers.haveEagerRefused(now);
-        // The store may be silent to the first of the order alone: those that come next ask it all
-        // at once, so that one of them has rows to tell. One after the other, each would find out
-        // by a timeout of its own, and a configuration would come too late to a whole failure
-        // domain.
-        if (isFirstRefused && isFollowed())
+        const bool haveFirstRefused = !isStoreRetrying() && m_readers.haveRetryingRefused(now);
+        // The store may be unreachable only for the first daemons in the order. The next ones query
+        // it all at once, so that one of them gets rows to relay. One after the other, each would
+        // wait for a timeout of its own, and a configuration would reach the complete failure
+        // domain too late.
+        if (haveFirstRefused && mayBeFollowed())
             return AskStore{};
         if (reader)
             return AskReader{std::move(*reader)};
-        if (!isFirstRefused)
+        if (!haveFirstRefused)
             return AskStore{};
-        // Nobody who is followed has the store: more tries tell no more.
+        // No daemon that may be followed reaches the store: further attempts are useless.
         m_isStoreFailing = true;
-        pauseStore(now);
-        return AskLater{lookAgain};
+        delayStoreProbe(now);
+        return AskLater{waitInterval};
     }
-    const bool isTryDue = !m_isTrying && now >= m_tryStoreAt;
-    if (isTryDue && (!reader || !table.isUrgent)) {
-        m_isTrying = true;
+    const bool isProbeDue = !m_isProbing && now >= m_probeStoreAt;
+    if (isProbeDue && (!reader || !table.isUrgent)) {
+        m_isProbing = true;
         return AskStore{};
     }
     if (reader)
         return AskReader{std::move(*reader)};
-    return AskLater{lookAgain};
+    return AskLater{waitInterval};
 }
 
 std::vector<RowsReader> FollowPlan::readersBeside(const HostName &source, Instant now) const
 {
-    if (isEager())
+    if (isStoreRetrying())
         return {};
     return m_readers.readersBeside(source, now);
 }
 
 void FollowPlan::readerServed(const HostName &host)
 {
-    m_readers.served(host);
+    m_readers.recordSuccess(host);
     m_searchingSince.reset();
-    m_aloneUntil = {};
+    m_standaloneUntil = {};
 }
 
 void FollowPlan::readerFailed(const HostName &host, ReaderFailure failure, Instant now)
 {
-    m_readers.failed(host, failure, now);
+    m_readers.recordFailure(host, failure, now);
     if (failure != ReaderFailure::Silent)
         return;
     if (!m_searchingSince)
         m_searchingSince = now;
-    if (now - *m_searchingSince < longestSearch)
+    if (now - *m_searchingSince < maxSearchDuration)
         return;
     m_searchingSince.reset();
-    m_aloneUntil = now + aloneFor;
+    m_standaloneUntil = now + standaloneDuration;
 }
 
 void FollowPlan::storeAnswered()
 {
     m_isStoreFailing = false;
-    m_isTrying = false;
-    m_pause.succeeded();
-    m_pauseOfOthers.succeeded();
-    m_tryStoreAt = {};
+    m_isProbing = false;
+    m_backoff.succeeded();
+    m_backoffOfOthers.succeeded();
+    m_probeStoreAt = {};
 }
 
 void FollowPlan::storeFailed(Instant now)
 {
-    // Calls of several tables fail at once, which is one failure.
-    const bool isNews = !m_isStoreFailing || m_isTrying;
+    // Calls for several tables that fail together count as one failure.
+    const bool isNewFailure = !m_isStoreFailing || m_isProbing;
     m_isStoreFailing = true;
-    m_isTrying = false;
-    if (isNews)
-        pauseStore(now);
+    m_isProbing = false;
+    if (isNewFailure)
+        delayStoreProbe(now);
 }
 
-void FollowPlan::pauseStore(Instant now)
+void FollowPlan::delayStoreProbe(Instant now)
 {
-    const Instant eager = m_pause.failed(now);
-    const Instant others = m_pauseOfOthers.failed(now);
-    m_tryStoreAt = isEager() ? eager : others;
+    const Instant retrying = m_backoff.failed(now);
+    const Instant others = m_backoffOfOthers.failed(now);
+    m_probeStoreAt = isStoreRetrying() ? retrying : others;
 }
 
 bool FollowPlan::isRestarting(Instant now) const
 {
-    return m_hadRow.value_or(false) && now - m_start < restartSpan;
+    return m_hadRow.value_or(false) && now - m_start < restartPeriod;
 }
 
-bool FollowPlan::isEager() const
+bool FollowPlan::isStoreRetrying() const
 {
-    return m_readers.rank() < ReaderChoice::eagerRanks;
+    return m_readers.rank() < ReaderChoice::storeRetryRanks;
 }
 
 /** \returns whether others may follow this daemon. */
-bool FollowPlan::isFollowed() const
+bool FollowPlan::mayBeFollowed() const
 {
     return m_readers.rank() < ReaderChoice::mostReaders;
 }
 
 bool FollowPlan::mayAskStore(Instant now) const
 {
-    return !m_isStoreFailing || now >= m_tryStoreAt;
+    return !m_isStoreFailing || now >= m_probeStoreAt;
 }
 
 ReaderPlace FollowPlan::place() const
@@ -132,11 +132,11 @@
     return m_isStoreFailing ? ReaderPlace::Last : ReaderPlace::InOrder;
 }
 
-/** \returns whether \a table is to be left to a daemon that is not known yet. */
+/** \returns whether \a table waits until the other daemons are known. */
 bool FollowPlan::isWaitingForOthers(const FollowedTable &table, Instant now) const
 {
-    const bool knowsWhom = m_readers.hasOthers() || m_readers.isListed();
-    return !table.hasRows && !knowsWhom && now - m_start < startPatience;
+    const bool hasDaemons = m_readers.hasOthers() || m_readers.isListed();
+    return !table.hasRows && !hasDaemons && now - m_start < startTimeout;
 }
 
 } // namespace bulrush
--- a/src/libbulrush/process/followplan.h
+++ b/src/libbulrush/process/followplan.h
@@ -10,133 +10,134 @@
 
 namespace bulrush {
 
-/** Ask the store for rows. */
+/** Request rows from the store. */
 struct AskStore
 { };
 
-/** Ask another daemon for changes of rows. */
+/** Request changes of rows from another daemon. */
 struct AskReader
 {
     RowsReader reader;
 };
 
-/** Ask nobody for a while. */
+/** Send no request for a while. */
 struct AskLater
 {
     Duration after;
 };
 
-/** What a daemon does next to learn of changes. */
+/** The next step of a daemon to get changes of rows. */
 using FollowStep = std::variant<AskStore, AskReader, AskLater>;
 
-/** A table that is followed, as far as it matters for whom to ask. */
+/** The properties of a followed table that determine where to request its rows. */
 struct FollowedTable
 {
     bool hasRows = false;
-    /** Whether its rows must not get old: it is then not spared for a try of a failing store. */
+    /** Its rows must not become outdated, so its requests do not probe a failing store. */
     bool isUrgent = false;
 };
 
 /**
- * Whom a daemon asks for the rows that it follows, so that the calls of all daemons to the store
- * are bounded whatever fails. All its tables share one plan.
+ * Decides from where a daemon requests the rows that it follows, so that the number of calls of all
+ * daemons to the store is bounded whatever fails. All tables of a daemon share one plan.
  *
- * A daemon follows another of its failure domain that comes before it in the order of ReaderChoice.
- * It asks the store itself where nobody does who comes before it. While the store fails it, it
- * serves nobody and follows any daemon that does, and one call at a time tries the store, after
- * pauses that grow.
+ * A daemon follows another one of its failure domain that comes before it in the order of
+ * ReaderChoice. If no daemon before it serves, it reads the store itself. While its calls to the
+ * store fail, it serves no other daemon, follows any daemon that serves, and probes the store with
+ * one call at a time and growing backoff.
  *
- * Not thread safe. Instants never go back.
+ * Not thread safe. Instants never decrease.
  */
 class FollowPlan
 {
 public:
     /**
-     * Pauses between tries of a store that fails, of the first ReaderChoice::eagerRanks of a
-     * failure domain.
+     * Backoff between probes of a failing store by the first ReaderChoice::storeRetryRanks daemons
+     * of a failure domain.
      */
-    static constexpr Duration firstPause = std::chrono::milliseconds{100};
-    static constexpr Duration longestPause = std::chrono::milliseconds{800};
-    /** The same for all others, which hear from those that the store is back. */
-    static constexpr Duration firstPauseOfOthers = std::chrono::milliseconds{800};
-    static constexpr Duration longestPauseOfOthers = std::chrono::seconds{3};
+    static constexpr Duration initialBackoff = std::chrono::milliseconds{100};
+    static constexpr Duration maxBackoff = std::chrono::milliseconds{800};
+    /** The same for all other daemons, which learn from these when the store is back. */
+    static constexpr Duration initialBackoffOfOthers = std::chrono::milliseconds{800};
+    static constexpr Duration maxBackoffOfOthers = std::chrono::seconds{3};
     /**
-     * A daemon that nobody has served for this time since the first was silent reads the store
-     * itself, instead of trying all the others in turn. Each that is silent takes a second.
+     * A daemon that has got no rows for this long since the first reader was silent reads the store
+     * itself, instead of trying all other daemons in turn. Each silent one costs a second.
      */
-    static constexpr Duration longestSearch = std::chrono::milliseconds{1900};
-    /** It does so for this long. */
-    static constexpr Duration aloneFor = std::chrono::seconds{5};
-    /** How soon a table that has to wait is looked at again. */
-    static constexpr Duration lookAgain = std::chrono::milliseconds{50};
+    static constexpr Duration maxSearchDuration = std::chrono::milliseconds{1900};
+    /** It then reads the store itself for this long. */
+    static constexpr Duration standaloneDuration = std::chrono::seconds{5};
+    /** Delay until the next step of a table that has to wait. */
+    static constexpr Duration waitInterval = std::chrono::milliseconds{50};
     /**
-     * A daemon that starts reads one table, which tells of the others, and leaves the rest to whom
-     * it will follow; without that word it reads them itself after this time.
+     * A starting daemon first reads only the table that lists the other daemons, and gets the other
+     * tables from the daemon that it then follows. If the list does not arrive within this timeout,
+     * it reads all tables from the store.
      */
-    static constexpr Duration startPatience = std::chrono::milliseconds{700};
+    static constexpr Duration startTimeout = std::chrono::milliseconds{700};
     /**
-     * A daemon that starts on a host which has a row from before reads all tables once itself,
-     * within this time: where all hosts of a domain lose power together, those that it would follow
-     * are down or just starting.
+     * During this period after its start, a daemon whose host has a row from an earlier run reads
+     * each table once from the store: if all hosts of a failure domain have lost power together,
+     * the daemons that it would follow are down or starting, too.
      */
-    static constexpr Duration restartSpan = std::chrono::milliseconds{1500};
+    static constexpr Duration restartPeriod = std::chrono::milliseconds{1500};
 
     FollowPlan(const HostName &self, DomainName domain, Instant start);
 
-    /** Takes in the daemons that have rows, this one among them once it has one. */
+    /** Sets the daemons that have rows, including this one once it has a row. */
     void setDaemons(std::span<const Renewer> daemons);
 
     /**
-     * \returns what to do next for \a table; whoever is told to ask the store tells its answer by
+     * \returns the next step for \a table. The result of an AskStore has to be reported by
      * storeAnswered() or storeFailed().
      */
     FollowStep next(const FollowedTable &table, Instant now);
 
     /**
-     * \returns whom to ask beside \a source, which is silent. Nobody if this daemon is among those
-     * that ask the store then, so that the others can be told.
+     * \returns the daemons to query in addition to \a source, which is silent. Empty if this daemon
+     * is one of those that read the store in this case to inform the others.
      */
     std::vector<RowsReader> readersBeside(const HostName &source, Instant now) const;
 
-    /** Notes that \a host served rows. */
+    /** Records that \a host served rows. */
     void readerServed(const HostName &host);
 
-    /** Notes that \a host did not serve rows. */
+    /** Records that \a host did not serve rows. */
     void readerFailed(const HostName &host, ReaderFailure failure, Instant now);
 
-    /** Notes that the store answered a call. */
+    /** Records that the store answered a call. */
     void storeAnswered();
 
-    /** Notes that the store failed a call. */
+    /** Records that a call to the store failed. */
     void storeFailed(Instant now);
 
-    /** \returns whether the last call to the store failed: this daemon then serves nobody. */
+    /** \returns whether the last call to the store failed: this daemon then serves no other. */
     bool isStoreFailing() const;
 
-    /** \returns whether a call to the store may be made beside those of next(). */
+    /** \returns whether a call to the store other than those of next() may be made. */
     bool mayAskStore(Instant now) const;
 
 private:
     ReaderPlace place() const;
     bool isRestarting(Instant now) const;
-    bool isEager() const;
-    bool isFollowed() const;
-    void pauseStore(Instant now);
+    bool isStoreRetrying() const;
+    bool mayBeFollowed() const;
+    void delayStoreProbe(Instant now);
     bool isWaitingForOthers(const FollowedTable &table, Instant now) const;
 
     ReaderChoice m_readers;
     Instant m_start;
-    RetryPause m_pause;
-    RetryPause m_pauseOfOthers;
-    /** Whether the host had a row as this daemon started; nothing until rows were seen. */
+    RetryPause m_backoff;
+    RetryPause m_backoffOfOthers;
+    /** Whether the host had a row when this daemon started; empty until rows were received. */
     std::optional<bool> m_hadRow;
-    Instant m_tryStoreAt;
+    Instant m_probeStoreAt;
     bool m_isStoreFailing = false;
-    /** A call tries whether the store is back. */
-    bool m_isTrying = false;
-    /** Since when nobody has served this daemon. */
+    /** A probe of the failing store is in flight. */
+    bool m_isProbing = false;
+    /** First silence of a reader since this daemon was last served. */
     std::optional<Instant> m_searchingSince;
-    Instant m_aloneUntil;
+    Instant m_standaloneUntil;
 };
 
 inline bool FollowPlan::isStoreFailing() const
--- a/src/libbulrush/process/readerchoice.cpp
+++ b/src/libbulrush/process/readerchoice.cpp
@@ -9,11 +9,11 @@
 
 namespace {
 
-/** \returns \a first, doubled for each of \a count failures but the first, \a longest at most. */
-Duration doubled(Duration first, Duration longest, int count)
+/** \returns \a first, doubled for each failure after the first, limited to \a longest. */
+Duration backoff(Duration first, Duration longest, int failures)
 {
-    constexpr int mostDoublings = 4;
-    return std::min(first * (1 << std::min(count - 1, mostDoublings)), longest);
+    constexpr int maxDoublings = 4;
+    return std::min(first * (1 << std::min(failures - 1, maxDoublings)), longest);
 }
 
 } // namespace
@@ -36,31 +36,31 @@
     });
 }
 
-void ReaderChoice::failed(const HostName &host, ReaderFailure failure, Instant now)
+void ReaderChoice::recordFailure(const HostName &host, ReaderFailure failure, Instant now)
 {
     Failures &failures = m_failures[host];
-    // Questions about several tables fail at once, which is one failure.
-    const bool isPassedOver = now < failures.until;
-    if (isPassedOver && (failure == failures.last || failures.last == ReaderFailure::Silent))
+    // Requests for several tables that fail together count as one failure.
+    const bool isSkipped = now < failures.skippedUntil;
+    if (isSkipped && (failure == failures.last || failures.last == ReaderFailure::Silent))
         return;
-    failures.until = std::max(failures.until, now + pauseAfter(failure, failures));
+    failures.skippedUntil = std::max(failures.skippedUntil, now + backoffAfter(failure, failures));
     failures.last = failure;
 }
 
-Duration ReaderChoice::pauseAfter(ReaderFailure failure, Failures &failures)
+Duration ReaderChoice::backoffAfter(ReaderFailure failure, Failures &failures)
 {
     switch (failure) {
     case ReaderFailure::Refused:
-        return doubled(refusal, longestRefusal, ++failures.refusals);
+        return backoff(refusedBackoff, maxRefusedBackoff, ++failures.refusals);
     case ReaderFailure::Silent:
-        return doubled(suspicion, longestSuspicion, ++failures.silences);
+        return backoff(silentBackoff, maxSilentBackoff, ++failures.silences);
     case ReaderFailure::Busy:
         break;
     }
-    return busyPause;
+    return busyBackoff;
 }
 
-void ReaderChoice::served(const HostName &host)
+void ReaderChoice::recordSuccess(const HostName &host)
 {
     m_failures.erase(host);
 }
@@ -76,18 +76,19 @@
 std::vector<RowsReader> ReaderChoice::readersBeside(const HostName &other, Instant now) const
 {
     std::vector<RowsReader> readers;
-    std::ranges::copy_if(eager(), std::back_inserter(readers), [&](const RowsReader &candidate) {
-        return candidate.host != other && isEligible(candidate, now);
-    });
+    std::ranges::copy_if(retryingDaemons(), std::back_inserter(readers),
+                         [&](const RowsReader &candidate) {
+                             return candidate.host != other && isEligible(candidate, now);
+                         });
     return readers;
 }
 
-bool ReaderChoice::haveEagerRefused(Instant now) const
+bool ReaderChoice::haveRetryingRefused(Instant now) const
 {
-    return std::ranges::all_of(eager(), [&](const RowsReader &candidate) {
+    return std::ranges::all_of(retryingDaemons(), [&](const RowsReader &candidate) {
         const auto failures = m_failures.find(candidate.host);
         return candidate.host == m_self
-            || (failures != m_failures.end() && now < failures->second.until
+            || (failures != m_failures.end() && now < failures->second.skippedUntil
                 && failures->second.last == ReaderFailure::Refused);
     });
 }
@@ -108,7 +109,10 @@
     return m_daemons.size() > (isListed() ? 1U : 0U);
 }
 
-/** \returns whom this daemon may follow: without a row, any, as nobody then follows it. */
+/**
+ * \returns the daemons that this one may follow. Without a row it may follow any of them, as no
+ * daemon then follows it.
+ */
 std::span<const RowsReader> ReaderChoice::candidates(ReaderPlace place) const
 {
     const std::span<const RowsReader> all{m_daemons};
@@ -116,9 +120,10 @@
     return all.first(std::min(before, mostReaders));
 }
 
-std::span<const RowsReader> ReaderChoice::eager() const
+std::span<const RowsReader> ReaderChoice::retryingDaemons() const
 {
-    return std::span<const RowsReader>{m_daemons}.first(std::min(m_daemons.size(), eagerRanks));
+    return std::span<const RowsReader>{m_daemons}.first(
+        std::min(m_daemons.size(), storeRetryRanks));
 }
 
 bool ReaderChoice::isEligible(const RowsReader &candidate, Instant now) const
@@ -126,7 +131,7 @@
     if (candidate.host == m_self)
         return false;
     const auto failures = m_failures.find(candidate.host);
-    return failures == m_failures.end() || now >= failures->second.until;
+    return failures == m_failures.end() || now >= failures->second.skippedUntil;
 }
 
 } // namespace bulrush
--- a/src/libbulrush/process/readerchoice.h
+++ b/src/libbulrush/process/readerchoice.h
@@ -13,82 +13,93 @@
 
 namespace bulrush {
 
-/** A daemon that others of its failure domain may follow rows through. */
+/** A daemon from which others of its failure domain may read the rows of the store. */
 struct RowsReader
 {
     HostName host;
     Endpoint address;
-    /** What its host has of processors, in cores. */
+    /** CPU capacity of its host, in cores. */
     double processors = 1.0;
-    /** Of its row; the daemon that registered first has the lowest. */
+    /** Version of its row; the daemon that registered first has the lowest. */
     std::uint64_t version = 0;
 };
 
-/** How a daemon that was asked for rows did not serve them. */
+/** How a request for rows to another daemon failed. */
 enum class ReaderFailure {
-    Refused, ///< it answered that it has none to serve
-    Silent,  ///< it gave no answer in time, or can't be reached
-    Busy,    ///< it has rows, but its link is taken up for now
+    Refused, ///< it answered that it cannot serve rows
+    Silent,  ///< it did not answer in time, or cannot be reached
+    Busy,    ///< it has rows, but its link is busy
 };
 
-/** Where a daemon counts itself among those of its failure domain. */
+/** Position of this daemon in the order of its failure domain. */
 enum class ReaderPlace {
-    InOrder,
-    Last, ///< it can't serve others: it follows any of them
+    InOrder, ///< it follows only daemons before it
+    Last,    ///< it cannot serve others, and follows any of them
 };
 
 /**
- * Through which daemon of its own failure domain a daemon follows the store's rows, so that one
- * reads for all of them: calls to the store are paid for, and grow with the daemons otherwise.
+ * Selects the daemon of the same failure domain from which a daemon reads the store's rows. One
+ * daemon reads the store for all of them, as calls to the store are billed and would otherwise grow
+ * with the number of daemons.
  *
- * All choose alike without asking each other, by one order: hosts with more processors first, as a
- * host of a tenth of a core and 20 Mbit/s is too weak for 46 followers, and of these who registered
- * first. Each follows the first before it that serves, which may follow another in turn, so that a
- * reader which fails is replaced by one daemon and not by all. Not thread safe.
+ * All daemons apply the same order without coordination: hosts with more processors first, as a
+ * host with a tenth of a core and 20 Mbit/s is too weak for 46 followers; among equals, those that
+ * registered first. Each daemon follows the first one before it that serves, which may itself
+ * follow another, so that a failed reader is replaced by one daemon and not by all. Not thread
+ * safe.
  */
 class ReaderChoice
 {
 public:
-    /** For how long a daemon that was silent is passed over; twice as long each time. */
-    static constexpr Duration suspicion = std::chrono::seconds{5};
-    static constexpr Duration longestSuspicion = std::chrono::seconds{80};
-    /** The same for one that refused: to ask it again costs one message within the domain. */
-    static constexpr Duration refusal = std::chrono::seconds{1};
-    static constexpr Duration longestRefusal = std::chrono::seconds{2};
-    /** The same for one that was busy: about as long as a long answer takes on a narrow link. */
-    static constexpr Duration busyPause = std::chrono::milliseconds{300};
+    /** A silent daemon is skipped for this long; doubles with each further failure. */
+    static constexpr Duration silentBackoff = std::chrono::seconds{5};
+    static constexpr Duration maxSilentBackoff = std::chrono::seconds{80};
+    /** The same for one that refused: a retry costs one message within the failure domain. */
+    static constexpr Duration refusedBackoff = std::chrono::seconds{1};
+    static constexpr Duration maxRefusedBackoff = std::chrono::seconds{2};
+    /** The same for one that was busy: about the transfer time of a long answer on a slow link. */
+    static constexpr Duration busyBackoff = std::chrono::milliseconds{300};
     /**
-     * Only the first of the order are followed: with 39 daemons in a failure domain, all of which
-     * have lost the store, each would ask 38 others every two seconds.
+     * Only this many daemons, the first in the order, are followed. Without this limit, 39 daemons
+     * of a failure domain that have all lost the store would each send requests to 38 others every
+     * two seconds.
      */
     static constexpr std::size_t mostReaders = 8;
-    /** The first of these go on reading whatever fails, so that one of them tells the others. */
-    static constexpr std::size_t eagerRanks = 3;
+    /**
+     * This many of them, the first ones, keep retrying the store through all failures, so that one
+     * of them can inform the others.
+     */
+    static constexpr std::size_t storeRetryRanks = 3;
 
     ReaderChoice(HostName self, DomainName domain);
 
-    /** Takes in the daemons that have rows, this one among them once it has one. */
+    /** Sets the daemons that have rows, including this one once it has a row. */
     void setDaemons(std::span<const Renewer> daemons);
 
-    /** Notes that \a host did not serve rows. */
-    void failed(const HostName &host, ReaderFailure failure, Instant now);
+    /** Records that \a host did not serve rows. */
+    void recordFailure(const HostName &host, ReaderFailure failure, Instant now);
 
-    /** Notes that \a host served rows. */
-    void served(const HostName &host);
+    /** Records that \a host served rows. */
+    void recordSuccess(const HostName &host);
 
-    /** \returns whom to follow, or nothing if nobody serves who comes before this daemon. */
+    /** \returns the daemon to follow, or nothing if no candidate before this daemon serves. */
     std::optional<RowsReader> reader(ReaderPlace place, Instant now) const;
 
-    /** \returns the first eagerRanks without this daemon and \a other, as far as they serve. */
+    /**
+     * \returns those of the first storeRetryRanks daemons that serve, without this one and \a
+     * other.
+     */
     std::vector<RowsReader> readersBeside(const HostName &other, Instant now) const;
 
-    /** \returns whether the first eagerRanks, without this daemon, are known to refuse. */
-    bool haveEagerRefused(Instant now) const;
+    /**
+     * \returns whether all of the first storeRetryRanks daemons but this one have refused lately.
+     */
+    bool haveRetryingRefused(Instant now) const;
 
-    /** \returns how many daemons of the failure domain come before this one. */
+    /** \returns the number of daemons of the failure domain that come before this one. */
     std::size_t rank() const;
 
-    /** \returns whether this daemon has a row that others can see. */
+    /** \returns whether this daemon has a row, so that others can find it. */
     bool isListed() const;
 
     /** \returns whether other daemons of the failure domain are known. */
@@ -97,22 +108,22 @@
 private:
     struct Failures
     {
-        /** Until when it is passed over. */
-        Instant until;
-        /** Without a success in between. */
+        /** The daemon is skipped until then. */
+        Instant skippedUntil;
+        /** Failures since the last success. */
         int silences = 0;
         int refusals = 0;
         ReaderFailure last = ReaderFailure::Refused;
     };
 
-    static Duration pauseAfter(ReaderFailure failure, Failures &failures);
+    static Duration backoffAfter(ReaderFailure failure, Failures &failures);
     std::span<const RowsReader> candidates(ReaderPlace place) const;
-    std::span<const RowsReader> eager() const;
+    std::span<const RowsReader> retryingDaemons() const;
     bool isEligible(const RowsReader &candidate, Instant now) const;
 
     HostName m_self;
     DomainName m_domain;
-    /** In order. */
+    /** Daemons of the failure domain in the order described above. */
     std::vector<RowsReader> m_daemons;
     std::map<HostName, Failures> m_failures;
 };
--- a/tests/keydecisions/test_readerchoice.cpp
+++ b/tests/keydecisions/test_readerchoice.cpp
@@ -24,8 +24,8 @@
     return made;
 }
 
-std::string chosen(const ReaderChoice &choice, Instant at = now,
-                   ReaderPlace place = ReaderPlace::InOrder)
+std::string selectedHost(const ReaderChoice &choice, Instant at = now,
+                         ReaderPlace place = ReaderPlace::InOrder)
 {
     const auto reader = choice.reader(place, at);
     return reader ? reader->host.value() : "";
@@ -44,90 +44,90 @@
 
 } // namespace
 
-BOOST_FIXTURE_TEST_CASE(theOneOfTheDomainThatRegisteredFirstReads, Fixture)
+BOOST_FIXTURE_TEST_CASE(followsTheFirstRegisteredDaemonOfTheDomain, Fixture)
 {
-    BOOST_TEST(chosen(choice) == "a3");
+    BOOST_TEST(selectedHost(choice) == "a3");
 }
 
-BOOST_FIXTURE_TEST_CASE(whoFailedIsPassedOverForAWhile, Fixture)
+BOOST_FIXTURE_TEST_CASE(skipsAFailedReaderForAWhile, Fixture)
 {
-    choice.failed(HostName{"a3"}, ReaderFailure::Silent, now);
-    // Next comes this daemon itself.
-    BOOST_TEST(chosen(choice, now + 1s) == "");
-    BOOST_TEST(chosen(choice, now + ReaderChoice::suspicion) == "a3");
+    choice.recordFailure(HostName{"a3"}, ReaderFailure::Silent, now);
+    // This daemon is next in the order itself.
+    BOOST_TEST(selectedHost(choice, now + 1s) == "");
+    BOOST_TEST(selectedHost(choice, now + ReaderChoice::silentBackoff) == "a3");
 }
 
-BOOST_FIXTURE_TEST_CASE(whoFailsAgainIsPassedOverForLongerUntilItServes, Fixture)
+BOOST_FIXTURE_TEST_CASE(backoffGrowsUntilTheReaderServes, Fixture)
 {
-    choice.failed(HostName{"a3"}, ReaderFailure::Silent, now);
-    choice.failed(HostName{"a3"}, ReaderFailure::Silent, now + 6s);
-    BOOST_TEST(chosen(choice, now + 15s) == "");
-    BOOST_TEST(chosen(choice, now + 16s) == "a3");
-    choice.served(HostName{"a3"});
-    choice.failed(HostName{"a3"}, ReaderFailure::Silent, now + 20s);
-    BOOST_TEST(chosen(choice, now + 25s) == "a3");
+    choice.recordFailure(HostName{"a3"}, ReaderFailure::Silent, now);
+    choice.recordFailure(HostName{"a3"}, ReaderFailure::Silent, now + 6s);
+    BOOST_TEST(selectedHost(choice, now + 15s) == "");
+    BOOST_TEST(selectedHost(choice, now + 16s) == "a3");
+    choice.recordSuccess(HostName{"a3"});
+    choice.recordFailure(HostName{"a3"}, ReaderFailure::Silent, now + 20s);
+    BOOST_TEST(selectedHost(choice, now + 25s) == "a3");
 }
 
-BOOST_FIXTURE_TEST_CASE(whoRefusedIsAskedAgainSoon, Fixture)
+BOOST_FIXTURE_TEST_CASE(retriesARefusingReaderSoon, Fixture)
 {
-    choice.failed(HostName{"a3"}, ReaderFailure::Refused, now);
-    BOOST_TEST(chosen(choice, now + 900ms) == "");
-    BOOST_TEST(chosen(choice, now + ReaderChoice::refusal) == "a3");
+    choice.recordFailure(HostName{"a3"}, ReaderFailure::Refused, now);
+    BOOST_TEST(selectedHost(choice, now + 900ms) == "");
+    BOOST_TEST(selectedHost(choice, now + ReaderChoice::refusedBackoff) == "a3");
 }
 
-BOOST_FIXTURE_TEST_CASE(whoRegisteredFirstReadsTheStoreItself, Fixture)
+BOOST_FIXTURE_TEST_CASE(firstRegisteredDaemonReadsTheStore, Fixture)
 {
     choice.setDaemons(std::vector{daemon("a1", 7), daemon("a2", 5)});
-    BOOST_TEST(chosen(choice) == "");
+    BOOST_TEST(selectedHost(choice) == "");
 }
 
-BOOST_FIXTURE_TEST_CASE(whoHasNoRowFollowsLikeTheLastOfAll, Fixture)
+BOOST_FIXTURE_TEST_CASE(daemonWithoutARowMayFollowAnyOther, Fixture)
 {
     choice.setDaemons(std::vector{daemon("a1", 7), daemon("a3", 3)});
-    BOOST_TEST(chosen(choice) == "a3");
-    choice.failed(HostName{"a3"}, ReaderFailure::Silent, now);
-    BOOST_TEST(chosen(choice) == "a1");
-    choice.failed(HostName{"a1"}, ReaderFailure::Silent, now);
-    BOOST_TEST(chosen(choice) == "");
+    BOOST_TEST(selectedHost(choice) == "a3");
+    choice.recordFailure(HostName{"a3"}, ReaderFailure::Silent, now);
+    BOOST_TEST(selectedHost(choice) == "a1");
+    choice.recordFailure(HostName{"a1"}, ReaderFailure::Silent, now);
+    BOOST_TEST(selectedHost(choice) == "");
 }
 
-BOOST_FIXTURE_TEST_CASE(whoCantServeMayFollowThoseAfterItToo, Fixture)
+BOOST_FIXTURE_TEST_CASE(daemonThatCannotServeMayFollowLaterOnes, Fixture)
 {
-    choice.failed(HostName{"a3"}, ReaderFailure::Silent, now);
-    BOOST_TEST(chosen(choice, now, ReaderPlace::Last) == "a1");
+    choice.recordFailure(HostName{"a3"}, ReaderFailure::Silent, now);
+    BOOST_TEST(selectedHost(choice, now, ReaderPlace::Last) == "a1");
 }
 
-BOOST_FIXTURE_TEST_CASE(strongHostsReadBeforeWeakOnesThatRegisteredFirst, Fixture)
+BOOST_FIXTURE_TEST_CASE(strongHostsPrecedeWeakOnesThatRegisteredEarlier, Fixture)
 {
     choice.setDaemons(std::vector{daemon("a1", 7, "a", 0.5), daemon("a2", 5, "a", 0.1),
                                   daemon("a3", 3, "a", 0.1)});
-    BOOST_TEST(chosen(choice) == "a1");
+    BOOST_TEST(selectedHost(choice) == "a1");
     BOOST_TEST(choice.rank() == 2U);
 }
 
-BOOST_FIXTURE_TEST_CASE(besideASilentReaderTheNextOnesAreAsked, Fixture)
+BOOST_FIXTURE_TEST_CASE(queriesTheNextReadersBesideASilentOne, Fixture)
 {
     choice.setDaemons(std::vector{daemon("a1", 1), daemon("a3", 3), daemon("a4", 4),
                                   daemon("a5", 5), daemon("a2", 6)});
-    const std::vector<RowsReader> beside = choice.readersBeside(HostName{"a1"}, now);
-    BOOST_REQUIRE(beside.size() == 2U);
-    BOOST_TEST(beside[0].host.value() == "a3");
-    BOOST_TEST(beside[1].host.value() == "a4");
-    choice.failed(HostName{"a4"}, ReaderFailure::Silent, now);
+    const std::vector<RowsReader> alternatives = choice.readersBeside(HostName{"a1"}, now);
+    BOOST_REQUIRE(alternatives.size() == 2U);
+    BOOST_TEST(alternatives[0].host.value() == "a3");
+    BOOST_TEST(alternatives[1].host.value() == "a4");
+    choice.recordFailure(HostName{"a4"}, ReaderFailure::Silent, now);
     BOOST_TEST(choice.readersBeside(HostName{"a1"}, now).size() == 1U);
 }
 
-BOOST_FIXTURE_TEST_CASE(thatTheFirstRefuseIsToldFromTheirSilence, Fixture)
+BOOST_FIXTURE_TEST_CASE(distinguishesRefusalFromSilenceOfTheFirstReaders, Fixture)
 {
     choice.setDaemons(
         std::vector{daemon("a1", 1), daemon("a3", 3), daemon("a4", 4), daemon("a2", 6)});
     for (const std::string host : {"a1", "a3"})
-        choice.failed(HostName{host}, ReaderFailure::Refused, now);
-    BOOST_TEST(!choice.haveEagerRefused(now));
-    choice.failed(HostName{"a4"}, ReaderFailure::Silent, now);
-    BOOST_TEST(!choice.haveEagerRefused(now));
-    choice.served(HostName{"a4"});
-    choice.failed(HostName{"a4"}, ReaderFailure::Refused, now);
-    BOOST_TEST(choice.haveEagerRefused(now));
-    BOOST_TEST(!choice.haveEagerRefused(now + 2s));
+        choice.recordFailure(HostName{host}, ReaderFailure::Refused, now);
+    BOOST_TEST(!choice.haveRetryingRefused(now));
+    choice.recordFailure(HostName{"a4"}, ReaderFailure::Silent, now);
+    BOOST_TEST(!choice.haveRetryingRefused(now));
+    choice.recordSuccess(HostName{"a4"});
+    choice.recordFailure(HostName{"a4"}, ReaderFailure::Refused, now);
+    BOOST_TEST(choice.haveRetryingRefused(now));
+    BOOST_TEST(!choice.haveRetryingRefused(now + 2s));
 }
