--- a/src/libbulrush/process/keycoordinator.cpp
+++ b/src/libbulrush/process/keycoordinator.cpp
@@ -372,7 +372,7 @@
         if (!m_renewal.isConnected(id) && now - server.firstSeen < connectPatience)
             continue;
         const Duration time =
-            load == m_loads.end() ? ServiceLoad::unknownTime : load->second.workTime(id);
+            load == m_loads.end() ? ServiceLoad::defaultWorkTime : load->second.workTime(id);
         double capacity = server.record.slots / std::chrono::duration<double>(time).count();
         if (server.record.coldRemaining > Duration::zero())
             capacity *= coldCapacity;
--- a/src/libbulrush/version/keyadmission.cpp
+++ b/src/libbulrush/version/keyadmission.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/** What a server can serve and is asked for, in requests a second. */
+/** Capacity of a server and its load from hot and other keys, in requests per second. */
 struct Demand
 {
     double capacity = 0.0;
@@ -17,7 +17,8 @@
 
 void addKeys(Demand &demand, const KeyRange &range, const KeyTraffic &traffic)
 {
-    const double hotFrom = std::max(KeyAdmission::hotRate, KeyAdmission::hotPart * demand.capacity);
+    const double hotFrom =
+        std::max(KeyAdmission::hotRate, KeyAdmission::hotFraction * demand.capacity);
     for (KeyPlace key = range.first; key <= range.last; ++key) {
         const double rate = traffic.rates[key];
         if (rate < hotFrom) {
@@ -46,12 +47,12 @@
             addKeys(demand->second, owned.range, traffic);
     }
     for (const auto &[server, demand] : demands) {
-        const double used = usedPart * demand.capacity;
-        if (demand.hotKeys.empty() || demand.hot + demand.others <= used)
+        const double admitted = admittedFraction * demand.capacity;
+        if (demand.hotKeys.empty() || demand.hot + demand.others <= admitted)
             continue;
-        // The others are to lose nothing to it; they move away, if there are many.
-        const double left = std::max(0.0, used - demand.others);
-        const double share = std::clamp(left / demand.hot, leastShare, 1.0);
+        // Other keys are not limited; if their load is too high, the planner moves them.
+        const double hotLoad = std::max(0.0, admitted - demand.others);
+        const double share = std::clamp(hotLoad / demand.hot, minShare, 1.0);
         for (const KeyPlace key : demand.hotKeys)
             result.shares.push_back({key, share});
     }
@@ -60,18 +61,18 @@
 
 void KeyGate::set(std::span<const KeyShares> shares, Instant now)
 {
-    m_toldAt = now;
+    m_receivedAt = now;
     m_shares.clear();
-    for (const KeyShares &told : shares) {
-        for (const KeyShare &share : told.shares)
-            m_shares[{told.service, share.key}] = share.share;
+    for (const KeyShares &serviceShares : shares) {
+        for (const KeyShare &share : serviceShares.shares)
+            m_shares[{serviceShares.service, share.key}] = share.share;
     }
 }
 
 bool KeyGate::admits(const ServiceName &service, KeyPlace key, std::uint64_t hash,
                      Instant now) const
 {
-    if (m_shares.empty() || now - m_toldAt > memory)
+    if (m_shares.empty() || now - m_receivedAt > validity)
         return true;
     const auto share = m_shares.find({service, key});
     if (share == m_shares.end())
--- a/src/libbulrush/version/keyadmission.h
+++ b/src/libbulrush/version/keyadmission.h
@@ -13,7 +13,7 @@
 
 namespace bulrush {
 
-/** What part of the requests for a key its owner can serve. */
+/** The fraction of the requests for a key that is admitted. */
 struct KeyShare
 {
     KeyPlace key = 0;
@@ -23,7 +23,7 @@
     bool operator==(const KeyShare &) const = default;
 };
 
-/** The shares of the keys of one service that are asked for more than their owners can serve. */
+/** The shares of those keys of a service whose load exceeds what their owners can serve. */
 struct KeyShares
 {
     ServiceName service;
@@ -33,56 +33,59 @@
 };
 
 /**
- * Finds the keys that are asked for more than their owners can serve. A key has one owner, so what
- * one server can't do is not served at all: of many daemons each sees too little to know, sends,
- * and together they fill the server's queue, where further requests wait to the end unanswered. The
- * planner sees all; it tells daemons what part to let in, and they refuse the rest at once.
+ * Finds the keys whose load exceeds what their owners can serve. A key has one owner, so load
+ * beyond the capacity of that server cannot be served at all. Each of many daemons sees too little
+ * of the load to detect this. Together they fill the server's queue, in which further requests wait
+ * until their deadline without an answer. The planner sees the complete load and sends daemons the
+ * fraction to admit; they reject the rest at once.
  *
- * Has no state. Thread safe.
+ * Stateless and thread safe.
  */
 class KeyAdmission
 {
 public:
-    /** A key counts as hot from this rate on, in requests a second, */
+    /** A key is hot if it gets at least this rate, in requests per second, ... */
     static constexpr double hotRate = 6.0;
-    /** and from this part of what its owner can serve. */
-    static constexpr double hotPart = 0.4;
+    /** ... and at least this fraction of its owner's capacity. */
+    static constexpr double hotFraction = 0.4;
     /**
-     * This part of what an owner can serve is let in: more than all, as daemons hold what waits and
-     * refuse by the time that callers have.
+     * Admitted load as a fraction of the owner's capacity. It exceeds 1, as daemons queue the
+     * surplus and reject requests according to the deadlines of their callers.
      */
-    static constexpr double usedPart = 1.3;
-    /** At least this share is let in, so that the end of a hot time shows. */
-    static constexpr double leastShare = 0.02;
+    static constexpr double admittedFraction = 1.3;
+    /** At least this share is admitted, so that a drop of the load is noticed. */
+    static constexpr double minShare = 0.02;
 
-    /** \returns the keys of \a assignment of which a share is to be let in. */
+    /** \returns the shares of the hot keys of \a assignment that must be limited. */
     static KeyShares shares(const KeyAssignment &assignment, std::span<const KeyServer> servers,
                             const KeyTraffic &traffic);
 };
 
 /**
- * The shares that a daemon goes by: those that it was told last, until they are too old.
+ * Admits requests by the shares that a daemon received last, until these are too old.
  *
  * Not thread safe.
  */
 class KeyGate
 {
 public:
-    /** Daemons are told every 0.6 s; after two tellings that were lost all is let in again. */
-    static constexpr Duration memory = std::chrono::milliseconds{1500};
+    /**
+     * Daemons receive shares every 0.6 s; after two lost updates all requests are admitted again.
+     */
+    static constexpr Duration validity = std::chrono::milliseconds{1500};
 
-    /** Takes in what was told of each service that has any; others have none. */
+    /** Replaces all shares; services that are not in \a shares have none. */
     void set(std::span<const KeyShares> shares, Instant now);
 
     /**
-     * \returns whether a request for \a key is to be let in. \a hash is to be spread evenly over
+     * \returns whether to admit a request for \a key. \a hash must be evenly distributed over
      * requests.
      */
     bool admits(const ServiceName &service, KeyPlace key, std::uint64_t hash, Instant now) const;
 
 private:
     std::map<std::pair<ServiceName, KeyPlace>, double> m_shares;
-    Instant m_toldAt;
+    Instant m_receivedAt;
 };
 
 } // namespace bulrush
--- a/src/libbulrush/version/keyassignment.cpp
+++ b/src/libbulrush/version/keyassignment.cpp
@@ -33,7 +33,7 @@
     return true;
 }
 
-void joinNeighbours(KeyAssignment &assignment)
+void mergeAdjacentRanges(KeyAssignment &assignment)
 {
     std::vector<OwnedRange> joined;
     for (OwnedRange &owned : assignment.ranges) {
--- a/src/libbulrush/version/keyassignment.h
+++ b/src/libbulrush/version/keyassignment.h
@@ -8,13 +8,13 @@
 
 namespace bulrush {
 
-/** A key as a place on the line that a service is divided on, in the keys' own order. */
+/** Position of a key in the key space by which a service is divided; preserves the key order. */
 using KeyPlace = std::uint32_t;
 
-/** Places on the line of keys: 0 to keyPlaces - 1. */
+/** Number of positions in the key space: 0 to keyPlaces - 1. */
 constexpr KeyPlace keyPlaces = 65'536;
 
-/** A part of the line of keys, both ends in it. */
+/** A range of the key space, including both ends. */
 struct KeyRange
 {
     KeyPlace first = 0;
@@ -28,21 +28,21 @@
 
 /**
  * A range and the one server that may own it. While \a previous is set, that server may still hold
- * the range and nobody may grant it to the owner.
+ * the range, and it must not be granted to the owner.
  */
 struct OwnedRange
 {
     KeyRange range;
     ServerName owner;
-    /** Orders the grants of a key: above that of every other server that had it before. */
+    /** Fencing token: higher than that of any other server that had the range before. */
     std::uint64_t fence = 0;
-    /** What the last holder gave to bring its warm state along; empty if there is none. */
+    /** Data from the last holder for the transfer of its warm state; empty if there is none. */
     std::string handover;
-    /** Who has to give the range up first; empty if nobody. */
+    /** Server that has to release the range first; empty if there is none. */
     ServerName previous;
     /**
-     * The sequence of the assignment that took the range from \a previous: whoever knows that one,
-     * or a later one, grants it there no more. 0 if nobody has to give it up.
+     * Sequence of the assignment that took the range from \a previous. A daemon with this or a
+     * later assignment no longer grants the range to that server. 0 if no server has to release it.
      */
     std::uint64_t moveSequence = 0;
 
@@ -51,30 +51,32 @@
     bool isMoving() const;
 };
 
-/** Which server owns which keys of a service. */
+/** The owners of all keys of a service. */
 struct KeyAssignment
 {
     ServiceName service;
-    /** Rises with each change; new owners get it as their fence. */
+    /** Incremented by each change; new owners get it as their fencing token. */
     std::uint64_t sequence = 0;
-    /** By first key, disjoint, over the whole line unless there was no server. */
+    /** Disjoint and sorted; cover the complete key space unless there was no server. */
     std::vector<OwnedRange> ranges;
 
     bool operator==(const KeyAssignment &) const = default;
 
-    /** \returns the range that holds \a place, or null. Valid until the next change. */
+    /** \returns the range that contains \a place, or null. Valid until the next change. */
     const OwnedRange *find(KeyPlace place) const;
 
-    /** \returns whether a range waits for its previous owner. */
+    /** \returns whether any range is waiting for its previous owner. */
     bool hasMoves() const;
 };
 
-/** \returns whether \a assignment has ranges in order, within the line and disjoint. Thread safe.
+/**
+ * \returns whether the ranges of \a assignment are sorted, disjoint and within the key space, with
+ * owners, and with fencing tokens not above the sequence. Thread safe.
  */
 bool isWellFormed(const KeyAssignment &assignment);
 
-/** Joins neighbours of one owner that differ in nothing but their range. */
-void joinNeighbours(KeyAssignment &assignment);
+/** Merges adjacent ranges that are equal except for their keys. */
+void mergeAdjacentRanges(KeyAssignment &assignment);
 
 inline KeyPlace KeyRange::size() const
 {
--- a/src/libbulrush/version/keyloads.cpp
+++ b/src/libbulrush/version/keyloads.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-/** Keeps rates finite right after the start. */
-constexpr double leastSeconds = 0.3;
+/** Lower bound that keeps rates finite right after the start. */
+constexpr double minCountedSeconds = 0.3;
 
 } // namespace
 
@@ -41,26 +41,26 @@
 
 double KeyLoads::countedSeconds(Instant now) const
 {
-    // The sum of the weights from the start on, which a long time brings to halfLife / ln 2.
+    // The integral of the weights since the start, which converges to halfLife / ln 2.
     const double halfLife = std::chrono::duration<double>(m_halfLife).count();
     const double elapsed = std::chrono::duration<double>(now - m_start).count();
     const double counted = halfLife / std::numbers::ln2 * (1.0 - std::exp2(-elapsed / halfLife));
-    return std::max(leastSeconds, counted);
+    return std::max(minCountedSeconds, counted);
 }
 
 RateSums::RateSums(std::span<const double> rates)
-    : m_before(keyPlaces + 1, 0.0)
+    : m_prefixSums(keyPlaces + 1, 0.0)
 {
     double sum = 0.0;
     for (std::size_t i = 0; i < rates.size(); ++i) {
         sum += rates[i];
-        m_before[i + 1] = sum;
+        m_prefixSums[i + 1] = sum;
     }
 }
 
 double RateSums::of(const KeyRange &range) const
 {
-    return m_before[range.last + 1] - m_before[range.first];
+    return m_prefixSums[range.last + 1] - m_prefixSums[range.first];
 }
 
 } // namespace bulrush
--- a/src/libbulrush/version/keyloads.h
+++ b/src/libbulrush/version/keyloads.h
@@ -10,23 +10,23 @@
 namespace bulrush {
 
 /**
- * Requests a second by key of one service, counted with a half-life.
+ * Request rates of the keys of one service, with exponential decay.
  *
  * Not thread safe.
  */
 class KeyLoads
 {
 public:
-    /** \a start is when counting starts: until then nothing is known, rather than nothing asked. */
+    /** Counting starts at \a start; earlier rates are unknown, as opposed to 0. */
     KeyLoads(Duration halfLife, Instant start);
 
-    /** Counts a request for \a place. \pre \a place is on the line */
+    /** Counts a request for \a place. \pre \a place is below keyPlaces */
     void add(KeyPlace place, Instant now);
 
-    /** \returns the rates at \a now, in requests a second, by place. */
+    /** \returns the rates at \a now, in requests per second, by place. */
     std::vector<double> rates(Instant now);
 
-    /** \returns the time that the rates at \a now are counted over, in effect, in seconds. */
+    /** \returns the effective length of the period that the rates at \a now cover, in seconds. */
     double countedSeconds(Instant now) const;
 
 private:
@@ -36,12 +36,12 @@
     std::vector<double> m_counts;
 };
 
-/** Requests by key, as plans are made by them. */
+/** Request rates by key, as input of the planner. */
 struct KeyTraffic
 {
-    /** Requests a second by place; empty if nothing is known. */
+    /** Requests per second by place; empty if unknown. */
     std::vector<double> rates;
-    /** The time that they were counted over, in effect: what the certainty of a rate depends on. */
+    /** Effective length of the period that the rates cover, which determines their precision. */
     double countedSeconds = 1.0;
 };
 
@@ -49,15 +49,15 @@
 class RateSums
 {
 public:
-    /** \pre \a rates has a value for each place, or is empty, for none at all */
+    /** \pre \a rates has a value for each place, or is empty if all rates are 0 */
     explicit RateSums(std::span<const double> rates);
 
     /** \returns the sum over \a range. */
     double of(const KeyRange &range) const;
 
 private:
-    /** Of all places before. */
-    std::vector<double> m_before;
+    /** Prefix sums: for each place, the sum of the rates of all places before it. */
+    std::vector<double> m_prefixSums;
 };
 
 } // namespace bulrush
--- a/src/libbulrush/version/keyplanner.cpp
+++ b/src/libbulrush/version/keyplanner.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-/** Keeps shares finite whatever is said of a server, in requests a second. */
-constexpr double leastCapacity = 0.05;
+/** Lower bound that keeps shares finite whatever capacity is reported, in requests per second. */
+constexpr double minCapacity = 0.05;
 
 /** One round of planning. */
 class Round
@@ -35,16 +35,16 @@
     void fillGaps();
     void replaceLostOwners();
     void balance();
-    bool fillNewcomer();
+    bool fillNewServer();
     bool moveHotKey();
     bool isOverloaded(const Share &share) const;
     bool moveFromMostLoaded();
     bool moveFrom(const ServerName &from, double load, const ServerName &to);
     ServerName mostLoaded() const;
-    std::vector<OwnedRange> divided(const OwnedRange &owned);
-    KeyPlace cut(const KeyRange &range, double load) const;
-    ServerName neediest(const ServerName &except) const;
-    void give(OwnedRange &owned, const ServerName &server) const;
+    std::vector<OwnedRange> divide(const OwnedRange &owned);
+    KeyPlace prefixSize(const KeyRange &range, double load) const;
+    ServerName mostUnderloaded(const ServerName &except) const;
+    void assign(OwnedRange &owned, const ServerName &server) const;
     bool splitOff(std::size_t index, double load, const ServerName &to);
 
     const KeyAssignment &m_current;
@@ -52,8 +52,8 @@
     RateSums m_rates;
     double m_countedSeconds;
     std::map<ServerName, Share> m_shares;
-    /** Servers that nothing could be moved from in this round. */
-    std::set<ServerName> m_stuck;
+    /** Overloaded servers from which no range could be moved in this round. */
+    std::set<ServerName> m_unrelievable;
     double m_totalLoad = 0.0;
     double m_totalCapacity = 0.0;
     bool m_hasChanged = false;
@@ -68,7 +68,7 @@
 {
     m_next.sequence = current.sequence + 1;
     for (const KeyServer &server : servers) {
-        m_shares[server.id].capacity = std::max(leastCapacity, server.capacity);
+        m_shares[server.id].capacity = std::max(minCapacity, server.capacity);
         m_totalCapacity += m_shares[server.id].capacity;
     }
     for (const OwnedRange &owned : current.ranges) {
@@ -91,13 +91,14 @@
         balance();
     if (!m_hasChanged)
         return std::nullopt;
-    joinNeighbours(m_next);
+    mergeAdjacentRanges(m_next);
     return m_next;
 }
 
 double Round::loadOf(const KeyRange &range) const
 {
-    return m_rates.of(range) + KeyPlanner::evenLoad * static_cast<double>(range.size()) / keyPlaces;
+    return m_rates.of(range)
+        + KeyPlanner::baselineLoad * static_cast<double>(range.size()) / keyPlaces;
 }
 
 double Round::targetOf(const Share &share) const
@@ -105,20 +106,20 @@
     return m_totalLoad * share.capacity / m_totalCapacity;
 }
 
-/** Ranges that nobody has get an owner that is yet to be found. */
+/** Adds ranges with an empty owner where keys are not assigned. */
 void Round::fillGaps()
 {
-    std::vector<OwnedRange> whole;
+    std::vector<OwnedRange> complete;
     KeyPlace next = 0;
     for (const OwnedRange &owned : m_next.ranges) {
         if (owned.range.first > next)
-            whole.push_back({{next, owned.range.first - 1}, {}, m_next.sequence, {}, {}, 0});
-        whole.push_back(owned);
+            complete.push_back({{next, owned.range.first - 1}, {}, m_next.sequence, {}, {}, 0});
+        complete.push_back(owned);
         next = owned.range.last + 1;
     }
     if (next < keyPlaces)
-        whole.push_back({{next, keyPlaces - 1}, {}, m_next.sequence, {}, {}, 0});
-    m_next.ranges = std::move(whole);
+        complete.push_back({{next, keyPlaces - 1}, {}, m_next.sequence, {}, {}, 0});
+    m_next.ranges = std::move(complete);
 }
 
 void Round::replaceLostOwners()
@@ -130,31 +131,32 @@
             continue;
         }
         m_hasChanged = true;
-        for (const OwnedRange &piece : divided(owned))
+        for (const OwnedRange &piece : divide(owned))
             ranges.push_back(piece);
     }
     m_next.ranges = std::move(ranges);
 }
 
 /** Divides the range of a lost owner among the servers that are furthest below their share. */
-std::vector<OwnedRange> Round::divided(const OwnedRange &owned)
+std::vector<OwnedRange> Round::divide(const OwnedRange &owned)
 {
     const double meanShare = m_totalLoad / static_cast<double>(m_shares.size());
-    const double smallest = std::min(loadOf(owned.range), meanShare) * KeyPlanner::smallestPart;
+    const double minPieceLoad =
+        std::min(loadOf(owned.range), meanShare) * KeyPlanner::minPieceFraction;
     std::vector<OwnedRange> pieces;
     OwnedRange rest = owned;
     for (;;) {
-        const ServerName server = neediest({});
+        const ServerName server = mostUnderloaded({});
         Share &share = m_shares[server];
-        const double room = std::max(targetOf(share) - share.load, smallest);
+        const double spareLoad = std::max(targetOf(share) - share.load, minPieceLoad);
         OwnedRange piece = rest;
-        const KeyPlace size = cut(rest.range, room);
+        const KeyPlace size = prefixSize(rest.range, spareLoad);
         const bool isLast = size >= rest.range.size();
         if (!isLast)
             piece.range.last = piece.range.first + size - 1;
         share.load += loadOf(piece.range);
         ++share.ranges;
-        give(piece, server);
+        assign(piece, server);
         pieces.push_back(piece);
         if (isLast)
             return pieces;
@@ -163,7 +165,7 @@
 }
 
 /** \returns how many keys from the start of \a range have about \a load, at least one. */
-KeyPlace Round::cut(const KeyRange &range, double load) const
+KeyPlace Round::prefixSize(const KeyRange &range, double load) const
 {
     KeyPlace low = 1;
     KeyPlace high = range.size();
@@ -176,13 +178,13 @@
     }
     if (low == 1)
         return low;
-    // The last key may be a hot one: whichever of both ends is closer.
+    // The last key may be hot: include it only if that is closer to the requested load.
     const double with = loadOf({range.first, range.first + low - 1}) - load;
     const double without = load - loadOf({range.first, range.first + low - 2});
     return without < with ? low - 1 : low;
 }
 
-ServerName Round::neediest(const ServerName &except) const
+ServerName Round::mostUnderloaded(const ServerName &except) const
 {
     const auto need = [this](const auto &entry) {
         return targetOf(entry.second) - entry.second.load;
@@ -197,9 +199,10 @@
     return best->first;
 }
 
-void Round::give(OwnedRange &owned, const ServerName &server) const
+void Round::assign(OwnedRange &owned, const ServerName &server) const
 {
-    // One that was never granted, since it still waited for its last holder, leaves nothing behind.
+    // An owner that still waits for the last holder was never granted the range, so that the last
+    // holder stays the previous owner.
     if (!owned.isMoving() && !owned.owner.isEmpty()) {
         owned.previous = owned.owner;
         owned.moveSequence = m_next.sequence;
@@ -209,7 +212,8 @@
     owned.handover.clear();
     if (!owned.isMoving() || owned.previous != server)
         return;
-    // Back to who holds it still: a higher fence at the same server, nothing to wait for.
+    // The range returns to its holder, which gets a higher fencing token; there is no one to wait
+    // for.
     owned.previous = {};
     owned.moveSequence = 0;
 }
@@ -219,39 +223,39 @@
     if (m_shares.size() < 2)
         return;
     const std::size_t most =
-        std::max(KeyPlanner::balanceMoves, m_shares.size() / KeyPlanner::serversPerMove);
+        std::max(KeyPlanner::minBalanceMoves, m_shares.size() / KeyPlanner::serversPerMove);
     for (std::size_t i = 0; i < most; ++i) {
-        if (!fillNewcomer() && !moveHotKey() && !moveFromMostLoaded())
+        if (!fillNewServer() && !moveHotKey() && !moveFromMostLoaded())
             return;
     }
 }
 
-/** \returns the server with the most load for its capacity of those that can be relieved. */
+/** \returns the server with the highest load relative to its capacity that can be relieved. */
 ServerName Round::mostLoaded() const
 {
     return std::ranges::max_element(m_shares, {},
                                     [this](const auto &entry) {
-                                        return m_stuck.contains(entry.first)
+                                        return m_unrelievable.contains(entry.first)
                                             ? 0.0
                                             : entry.second.load / entry.second.capacity;
                                     })
         ->first;
 }
 
-/** Gives a server without keys a part of its share, from the one with the most load. */
-bool Round::fillNewcomer()
+/** Moves keys from the most loaded server to one without keys. */
+bool Round::fillNewServer()
 {
-    const auto newcomer =
+    const auto newServer =
         std::ranges::find_if(m_shares, [](const auto &entry) { return entry.second.ranges == 0; });
-    if (newcomer == m_shares.end())
+    if (newServer == m_shares.end())
         return false;
     const ServerName from = mostLoaded();
     const double wanted =
-        std::min(KeyPlanner::newcomerShare * targetOf(newcomer->second), m_shares[from].load / 2);
-    return from != newcomer->first && moveFrom(from, wanted, newcomer->first);
+        std::min(KeyPlanner::newServerFill * targetOf(newServer->second), m_shares[from].load / 2);
+    return from != newServer->first && moveFrom(from, wanted, newServer->first);
 }
 
-/** Moves a key that alone is above its owner's share to a server that is much faster. */
+/** Moves a key that alone overloads its owner to a server that is sufficiently faster. */
 bool Round::moveHotKey()
 {
     for (std::size_t i = 0; i < m_next.ranges.size(); ++i) {
@@ -264,45 +268,45 @@
             continue;
         const auto fastest = std::ranges::max_element(
             m_shares, {}, [](const auto &entry) { return entry.second.capacity; });
-        const bool isWorthwhile =
-            fastest->second.capacity > KeyPlanner::worthwhileSpeed * share.capacity;
-        // Where it would meet another such key, both would be worse off.
+        const bool isFasterEnough =
+            fastest->second.capacity > KeyPlanner::hotKeySpeedup * share.capacity;
+        // Two such keys on one server would both be worse off.
         const bool hasHotKey = fastest->second.load > load;
-        if (isWorthwhile && !hasHotKey)
+        if (isFasterEnough && !hasHotKey)
             return splitOff(i, load, fastest->first);
     }
     return false;
 }
 
-/** \returns whether \a share is to be relieved: it is above its part, busy, and not by chance. */
+/** \returns whether \a share significantly exceeds its target on a busy server. */
 bool Round::isOverloaded(const Share &share) const
 {
     const double target = targetOf(share);
     const double deviation = std::sqrt(share.load / m_countedSeconds);
     return share.load >= KeyPlanner::overloadFactor * target
-        && share.load >= KeyPlanner::busyPart * share.capacity
-        && share.load - target >= KeyPlanner::certainDeviations * deviation;
+        && share.load >= KeyPlanner::busyFraction * share.capacity
+        && share.load - target >= KeyPlanner::significantDeviations * deviation;
 }
 
 bool Round::moveFromMostLoaded()
 {
-    while (m_stuck.size() < m_shares.size()) {
+    while (m_unrelievable.size() < m_shares.size()) {
         const ServerName from = mostLoaded();
         const Share &most = m_shares[from];
         if (!isOverloaded(most))
             return false;
-        const ServerName to = neediest(from);
-        const double room = targetOf(m_shares[to]) - m_shares[to].load;
-        const double wanted = std::min(most.load - targetOf(most), room);
+        const ServerName to = mostUnderloaded(from);
+        const double spareLoad = targetOf(m_shares[to]) - m_shares[to].load;
+        const double wanted = std::min(most.load - targetOf(most), spareLoad);
         if (wanted > 0.0 && moveFrom(from, wanted, to))
             return true;
-        // Its load is one key's, say: the others are not to wait for that.
-        m_stuck.insert(from);
+        // Its load may come from a single key, for example; continue with the other servers.
+        m_unrelievable.insert(from);
     }
     return false;
 }
 
-/** Moves about \a load from the range of \a from where that fits best. */
+/** Moves about \a load from a range of \a from, trying those with the highest load first. */
 bool Round::moveFrom(const ServerName &from, double load, const ServerName &to)
 {
     std::vector<std::size_t> candidates;
@@ -316,41 +320,41 @@
     return std::ranges::any_of(candidates, [&](std::size_t i) { return splitOff(i, load, to); });
 }
 
-/** Moves a piece of about \a load off the range \a index, from the end where that fits better. */
+/** Moves a piece of about \a load from whichever end of the range \a index fits better. */
 bool Round::splitOff(std::size_t index, double load, const ServerName &to)
 {
-    const OwnedRange whole = m_next.ranges[index];
-    const ServerName from = whole.owner;
-    const double wholeLoad = loadOf(whole.range);
-    OwnedRange moved = whole;
-    const KeyPlace head = cut(whole.range, load);
-    if (head < whole.range.size()) {
-        const KeyRange headRange{whole.range.first, whole.range.first + head - 1};
-        const KeyPlace kept = cut(whole.range, wholeLoad - load);
-        const KeyRange tailRange{std::min(whole.range.first + kept, whole.range.last),
-                                 whole.range.last};
+    const OwnedRange source = m_next.ranges[index];
+    const ServerName from = source.owner;
+    const double sourceLoad = loadOf(source.range);
+    OwnedRange moved = source;
+    const KeyPlace head = prefixSize(source.range, load);
+    if (head < source.range.size()) {
+        const KeyRange headRange{source.range.first, source.range.first + head - 1};
+        const KeyPlace kept = prefixSize(source.range, sourceLoad - load);
+        const KeyRange tailRange{std::min(source.range.first + kept, source.range.last),
+                                 source.range.last};
         const double headMiss = std::abs(loadOf(headRange) - load);
         const double tailMiss = std::abs(loadOf(tailRange) - load);
         moved.range = headMiss <= tailMiss ? headRange : tailRange;
     }
     const double movedLoad = loadOf(moved.range);
-    // A piece that is hotter than what it should relieve only carries the trouble elsewhere, and
-    // one that is far colder is not worth its move.
+    // A piece with much more load than requested would only shift the overload, and one with far
+    // less load is not worth a move.
     if (movedLoad > 1.5 * load + 0.5 || movedLoad < load / 8)
         return false;
-    if (m_shares[from].ranges >= KeyPlanner::rangesPerServer
-        && m_shares[to].ranges >= KeyPlanner::rangesPerServer)
+    if (m_shares[from].ranges >= KeyPlanner::maxRangesPerServer
+        && m_shares[to].ranges >= KeyPlanner::maxRangesPerServer)
         return false;
 
-    give(moved, to);
+    assign(moved, to);
     std::vector<OwnedRange> pieces;
-    if (moved.range.first > whole.range.first) {
-        pieces.push_back(whole);
+    if (moved.range.first > source.range.first) {
+        pieces.push_back(source);
         pieces.back().range.last = moved.range.first - 1;
     }
     pieces.push_back(moved);
-    if (moved.range.last < whole.range.last) {
-        pieces.push_back(whole);
+    if (moved.range.last < source.range.last) {
+        pieces.push_back(source);
         pieces.back().range.first = moved.range.last + 1;
     }
     const auto at = m_next.ranges.begin() + static_cast<std::ptrdiff_t>(index);
--- a/src/libbulrush/version/keyplanner.h
+++ b/src/libbulrush/version/keyplanner.h
@@ -9,60 +9,60 @@
 
 namespace bulrush {
 
-/** A server that keys can be given to. */
+/** A server to which keys can be assigned. */
 struct KeyServer
 {
     ServerName id;
-    /** Requests a second that it can serve. */
+    /** Requests per second that it can serve. */
     double capacity = 1.0;
 };
 
 /**
- * Decides which server owns which keys of a service: every key has an owner that is ready, and no
- * server has much more of the load than its capacity's share. Few keys move, and ranges stay few,
- * since each costs a call at every renewal.
+ * Decides which server owns which keys of a service. Every key gets an owner that is ready, and no
+ * server gets much more load than its share, which is proportional to its capacity. Few keys move,
+ * and the number of ranges stays low, as each costs a call at every renewal.
  *
- * Has no state. Thread safe.
+ * Stateless and thread safe.
  */
 class KeyPlanner
 {
 public:
-    /** Keys move off a server whose load is above its share by this factor, */
+    /** A server is overloaded if its load exceeds its share by this factor, ... */
     static constexpr double overloadFactor = 1.25;
-    /** and above this part of what it can serve, as below it work hardly waits, */
-    static constexpr double busyPart = 0.55;
-    /** and above its share by this many deviations of what was counted. */
-    static constexpr double certainDeviations = 2.0;
-    /** Moves of one round that are made for balance, at least, */
-    static constexpr std::size_t balanceMoves = 6;
+    /** ... exceeds this fraction of its capacity, below which requests hardly queue, ... */
+    static constexpr double busyFraction = 0.55;
+    /** ... and exceeds its share by this many standard deviations of the counted load. */
+    static constexpr double significantDeviations = 2.0;
+    /** Lower bound of the balancing moves per round. */
+    static constexpr std::size_t minBalanceMoves = 6;
     /**
-     * and for each of so many servers one: each round is one commit, and rounds are half a second
-     * apart, so that load which shows on 157 servers at once is evened within three seconds.
+     * With more servers, a round makes one balancing move per this many servers. Each round is one
+     * commit, and rounds are half a second apart, so that load which appears on 157 servers at once
+     * is balanced within three seconds.
      */
     static constexpr std::size_t serversPerMove = 3;
     /**
-     * Servers that joined and have no keys are filled up to this part of their share at once; those
-     * that wait for load would bring their service nothing.
+     * A new server without keys is filled up to this fraction of its share at once, as it would be
+     * useless while it waits for another server to become overloaded.
      */
-    static constexpr double newcomerShare = 0.6;
-    /** A key that alone is too much for its owner goes to a server that is faster by this factor.
-     */
-    static constexpr double worthwhileSpeed = 1.25;
-    /** Pieces that a range is divided into are not made smaller than this part of a share. */
-    static constexpr double smallestPart = 1.0 / 16;
-    /** Ranges of a server that are split no further. */
-    static constexpr std::size_t rangesPerServer = 6;
+    static constexpr double newServerFill = 0.6;
+    /** A key that alone overloads its owner moves to a server that is faster by this factor. */
+    static constexpr double hotKeySpeedup = 1.25;
+    /** A range is not divided into pieces smaller than this fraction of a share. */
+    static constexpr double minPieceFraction = 1.0 / 16;
+    /** Number of ranges of a server from which on they are not split further. */
+    static constexpr std::size_t maxRangesPerServer = 6;
     /**
-     * Load that is taken to be spread evenly over all keys beside what was counted, in requests a
-     * second, so that plans without traffic divide keys evenly.
+     * Load that is assumed to be spread evenly over all keys in addition to the counted load, in
+     * requests per second, so that plans without traffic divide the keys evenly.
      */
-    static constexpr double evenLoad = 4.0;
+    static constexpr double baselineLoad = 4.0;
 
     /**
-     * \returns the assignment that is to follow \a current, or nothing if it may stay. Ranges whose
-     * owner changes have the new sequence as their fence, and their last holder as previous.
-     * While ranges move, only what has no ready
-     * owner is planned. \pre \a servers are the ready ones
+     * \returns the assignment to replace \a current, or nothing if it can stay. Ranges whose owner
+     * changes get the new sequence as their fencing token, and their last holder as previous owner.
+     * While ranges are moving, only ranges without a ready owner are planned.
+     * \pre \a servers are the ready ones
      */
     static std::optional<KeyAssignment> plan(const KeyAssignment &current,
                                              std::span<const KeyServer> servers,
--- a/src/libbulrush/version/serviceload.cpp
+++ b/src/libbulrush/version/serviceload.cpp
@@ -7,13 +7,13 @@
 
 namespace {
 
-/** Weight at which the oldest measurements are let go, in pieces of work. */
-constexpr double longestMemory = 60.0;
-/** Pieces of work at the mean speed that each server is taken to have done at first. */
+/** Maximum weight of the measurements of a server, in requests; older ones are discounted. */
+constexpr double maxWeight = 60.0;
+/** Number of requests at the mean speed that each server is initially assumed to have served. */
 constexpr double priorWeight = 6.0;
-/** No server is taken to need less or more than this of the mean time. */
-constexpr double fastest = 0.4;
-constexpr double slowest = 2.5;
+/** Bounds of the service time of a server as a multiple of the mean. */
+constexpr double minTimeFactor = 0.4;
+constexpr double maxTimeFactor = 2.5;
 
 } // namespace
 
@@ -33,7 +33,7 @@
     for (const ServerWork &work : sample.work) {
         Speed &speed = m_speeds[work.server];
         const auto count = static_cast<double>(work.count);
-        const double kept = std::min(speed.weight, std::max(0.0, longestMemory - count));
+        const double kept = std::min(speed.weight, std::max(0.0, maxWeight - count));
         const double sum = speed.meanNs * kept + static_cast<double>(work.meanTime.count()) * count;
         speed.weight = kept + count;
         if (speed.weight > 0.0)
@@ -62,10 +62,11 @@
         return Duration{static_cast<std::int64_t>(mean)};
     const Speed &own = found->second;
     const double time = (own.meanNs * own.weight + mean * priorWeight) / (own.weight + priorWeight);
-    return Duration{static_cast<std::int64_t>(std::clamp(time, mean * fastest, mean * slowest))};
+    return Duration{
+        static_cast<std::int64_t>(std::clamp(time, mean * minTimeFactor, mean * maxTimeFactor))};
 }
 
-/** \returns the mean over the servers, each counted alike however much of the work it got. */
+/** \returns the mean over the servers, with nearly equal weights however many requests each got. */
 double ServiceLoad::meanTime() const
 {
     double sum = 0.0;
@@ -75,7 +76,7 @@
         sum += speed.meanNs * share;
         weight += share;
     }
-    return weight > 0.0 ? sum / weight : static_cast<double>(unknownTime.count());
+    return weight > 0.0 ? sum / weight : static_cast<double>(defaultWorkTime.count());
 }
 
 } // namespace bulrush
--- a/src/libbulrush/version/serviceload.h
+++ b/src/libbulrush/version/serviceload.h
@@ -9,58 +9,58 @@
 
 namespace bulrush {
 
-/** What a daemon measured of one server since it told last. */
+/** Measurements of one server by a daemon since its last report. */
 struct ServerWork
 {
     ServerName server;
-    /** Mean time of work that did not wait at the server. */
+    /** Mean service time of requests that did not queue at the server. */
     Duration meanTime{};
     std::uint32_t count = 0;
 
     bool operator==(const ServerWork &) const = default;
 };
 
-/** What a daemon saw of a service that is divided by key since it told last. */
+/** Measurements of a service that is divided by key, by a daemon since its last report. */
 struct LoadSample
 {
     ServiceName service;
-    /** A place for each request. */
+    /** The key of each request. */
     std::vector<KeyPlace> keys;
     std::vector<ServerWork> work;
-    /** Servers in whose place another answered. */
+    /** Servers at whose address another server answered. */
     std::vector<ServerName> ended;
 
     bool operator==(const LoadSample &) const = default;
 };
 
 /**
- * The load of one service over all daemons that tell of it: which keys are asked for, and how fast
- * its servers work.
+ * The load of one service as reported by all daemons: the request rates of its keys, and the speed
+ * of its servers.
  *
  * Not thread safe.
  */
 class ServiceLoad
 {
 public:
-    /** Keys are counted over about this time, so that chance alone moves none of them. */
+    /** Half-life of the regular rates, long enough that random variation does not move keys. */
     static constexpr Duration steadyHalfLife = std::chrono::seconds{6};
-    /** A key that turns hot, or cools down, shows within one to two seconds. */
+    /** Half-life that detects keys that become hot, or cool down, within one to two seconds. */
     static constexpr Duration spikeHalfLife = std::chrono::milliseconds{1200};
-    /** A key is hot from this rate on, in requests a second. */
+    /** A key is hot if it gets at least this rate, in requests per second. */
     static constexpr double hotRate = 3.0;
-    /** A server that no work was measured of is taken to need this for a piece of it. */
-    static constexpr Duration unknownTime = std::chrono::milliseconds{200};
+    /** Assumed service time while there are no measurements. */
+    static constexpr Duration defaultWorkTime = std::chrono::milliseconds{200};
 
     explicit ServiceLoad(Instant start);
 
     void add(const LoadSample &sample, Instant now);
 
-    /** \returns requests a second by key, and how long they were counted. */
+    /** \returns the request rates by key and the period that they cover. */
     KeyTraffic traffic(Instant now);
 
     /**
-     * \returns the time that a piece of work takes at \a server. With few measurements it is close
-     * to the mean over all servers.
+     * \returns the service time of a request at \a server. With few measurements it is close to the
+     * mean over all servers.
      */
     Duration workTime(const ServerName &server) const;
 
--- a/tests/keydecisions/test_keyadmission.cpp
+++ b/tests/keydecisions/test_keyadmission.cpp
@@ -18,7 +18,7 @@
 constexpr KeyPlace otherKey = 40'000;
 constexpr double capacity = 16.0;
 
-/** Two servers, each with half of the keys, and 4 requests a second for all others. */
+/** Two servers, each with half of the keys and 4 requests/s spread over them. */
 struct Fixture
 {
     KeyAssignment assignment{service,
@@ -36,20 +36,20 @@
 
 } // namespace
 
-BOOST_FIXTURE_TEST_CASE(ofAKeyThatIsTooHotAsMuchIsLetInAsItsOwnerCanServe, Fixture)
+BOOST_FIXTURE_TEST_CASE(admitsAsMuchOfAHotKeyAsItsOwnerCanServe, Fixture)
 {
     traffic.rates[hotKey] = 560.0;
-    traffic.rates[otherKey] = 5.0; // hot for a key, but its owner can serve it
-    const KeyShares told = shares();
-    BOOST_REQUIRE(told.shares.size() == 1U);
-    BOOST_TEST(told.shares[0].key == hotKey);
-    const double letIn = told.shares[0].share * 560.0 + 4.0;
-    // Enough to keep its owner busy, and not much more.
-    BOOST_TEST(letIn <= 1.35 * capacity);
-    BOOST_TEST(letIn > 1.2 * capacity);
+    traffic.rates[otherKey] = 5.0; // a high rate for one key, but its owner can serve it
+    const KeyShares result = shares();
+    BOOST_REQUIRE(result.shares.size() == 1U);
+    BOOST_TEST(result.shares[0].key == hotKey);
+    const double admittedRate = result.shares[0].share * 560.0 + 4.0;
+    // The admitted load keeps the owner busy, but does not exceed its capacity by much.
+    BOOST_TEST(admittedRate <= 1.35 * capacity);
+    BOOST_TEST(admittedRate > 1.2 * capacity);
 }
 
-BOOST_FIXTURE_TEST_CASE(whatIsEvenlyTooMuchIsLeftToMoves, Fixture)
+BOOST_FIXTURE_TEST_CASE(evenOverloadIsLeftToTheMovingOfKeys, Fixture)
 {
     for (double &rate : traffic.rates)
         rate *= 10.0;
@@ -57,55 +57,56 @@
     BOOST_TEST(KeyAdmission::shares(assignment, servers, {}).shares.empty());
 }
 
-BOOST_FIXTURE_TEST_CASE(theQueueOfTheOwnerNeverFillsThoughManyDaemonsSend, Fixture)
+BOOST_FIXTURE_TEST_CASE(queueOfTheOwnerDoesNotFillWhileManyDaemonsSend, Fixture)
 {
-    // 64 daemons, 560 requests a second for one key, an owner that does 16 and queues 8: without
-    // shares its queue is full within 50 ms, and what comes then waits to its end unanswered.
+    // 64 daemons send 560 requests/s for one key, whose owner serves 16 per second and queues 8.
+    // Without shares its queue is full within 50 ms, and further requests wait until their deadline
+    // without an answer.
     traffic.rates[hotKey] = 560.0;
     KeyGate gate;
     gate.set(std::vector{shares()}, now);
     std::mt19937_64 random{1};
-    double there = 0.0;
-    double most = 0.0;
+    double queued = 0.0;
+    double maxQueued = 0.0;
     int served = 0;
     constexpr Duration step = 1ms;
     for (Duration passed{}; passed < 1400ms; passed += step) {
-        there = std::max(0.0, there - capacity * 0.001);
+        queued = std::max(0.0, queued - capacity * 0.001);
         if (!std::bernoulli_distribution{0.56}(random))
             continue;
         if (!gate.admits(service, hotKey, random(), now + passed))
             continue;
-        there += 1.0;
+        queued += 1.0;
         ++served;
-        most = std::max(most, there);
+        maxQueued = std::max(maxQueued, queued);
     }
-    BOOST_TEST(most < 10.0);
+    BOOST_TEST(maxQueued < 10.0);
     BOOST_TEST(served > 10);
 }
 
-BOOST_FIXTURE_TEST_CASE(sharesThatAreOldLetAllIn, Fixture)
+BOOST_FIXTURE_TEST_CASE(outdatedSharesAdmitAllRequests, Fixture)
 {
     traffic.rates[hotKey] = 10'000.0;
     KeyGate gate;
     gate.set(std::vector{shares()}, now);
-    BOOST_TEST(!gate.admits(service, hotKey, 9'999, now + KeyGate::memory));
-    BOOST_TEST(gate.admits(service, hotKey, 9'999, now + KeyGate::memory + 1ms));
+    BOOST_TEST(!gate.admits(service, hotKey, 9'999, now + KeyGate::validity));
+    BOOST_TEST(gate.admits(service, hotKey, 9'999, now + KeyGate::validity + 1ms));
     BOOST_TEST(gate.admits(service, otherKey, 9'999, now));
     BOOST_TEST(gate.admits(ServiceName{"t"}, hotKey, 9'999, now));
-    // Some are let in always, or it would never show that the key has cooled down.
+    // Some requests are always admitted, as otherwise a drop of the load would go unnoticed.
     BOOST_TEST(gate.admits(service, hotKey, 0, now));
     gate.set({}, now);
     BOOST_TEST(gate.admits(service, hotKey, 9'999, now));
 }
 
-BOOST_FIXTURE_TEST_CASE(sharesComeBackAsTheyWereTold, Fixture)
+BOOST_FIXTURE_TEST_CASE(sharesSurviveEncoding, Fixture)
 {
-    const std::vector<KeyShares> told{{service, {{7, 0.25}, {20, 0.5}}}};
-    const auto read = io::decodeKeyShares(io::encodeKeyShares(told));
-    BOOST_REQUIRE(read.has_value());
+    const std::vector<KeyShares> original{{service, {{7, 0.25}, {20, 0.5}}}};
+    const auto decoded = io::decodeKeyShares(io::encodeKeyShares(original));
+    BOOST_REQUIRE(decoded.has_value());
     for (const KeyPlace key : {KeyPlace{7}, KeyPlace{20}}) {
         KeyGate gate;
-        gate.set(*read, now);
+        gate.set(*decoded, now);
         BOOST_TEST(gate.admits(service, key, 2400, now));
         BOOST_TEST(!gate.admits(service, key, 5000, now));
     }
--- a/tests/keydecisions/test_keycodecs.cpp
+++ b/tests/keydecisions/test_keycodecs.cpp
@@ -22,7 +22,7 @@
             {{{0, 99}, one, 3, "warm", {}, 0}, {{100, keyPlaces - 1}, two, 9, "", one, 9}}};
 }
 
-/** What is cut off anywhere is refused, and nothing breaks. */
+/** Checks that a text truncated at any length is rejected. */
 template<typename Decode>
 void checkPrefixes(const std::string &text, const Decode &decode)
 {
@@ -32,7 +32,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(assignmentsComeBackAsTheyWere)
+BOOST_AUTO_TEST_CASE(assignmentsSurviveEncoding)
 {
     const std::string text = io::encodeAssignment(assignment());
     const auto decoded = io::decodeAssignment(text);
@@ -41,7 +41,7 @@
     checkPrefixes(text, io::decodeAssignment);
 }
 
-BOOST_AUTO_TEST_CASE(assignmentsThatOverlapAreRefused)
+BOOST_AUTO_TEST_CASE(rejectsInvalidAssignments)
 {
     KeyAssignment wrong = assignment();
     wrong.ranges[1].range.first = 50;
@@ -51,7 +51,7 @@
     BOOST_TEST(!io::decodeAssignment(io::encodeAssignment(wrong)).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(rowsOfPlannersAndDaemonsComeBack)
+BOOST_AUTO_TEST_CASE(plannerAndDaemonRowsSurviveEncoding)
 {
     const PlannerRow planner{Incarnation{"a/1"}, {"10.0.0.1", 7200}, 12};
     const std::string plannerText = io::encodePlannerRow(planner);
@@ -63,7 +63,7 @@
     checkPrefixes(daemonText, io::decodeDaemonRow);
 }
 
-BOOST_AUTO_TEST_CASE(questionsAndAnswersComeBack)
+BOOST_AUTO_TEST_CASE(queriesAndAnswersSurviveEncoding)
 {
     const KeyAssignment known = assignment();
     const io::RenewalQuestion question{known.service, known, 77, {ServerName{"i-1"}}};
@@ -88,7 +88,7 @@
     checkPrefixes(io::encodeAnswer(answer), io::decodeAnswer);
 }
 
-BOOST_AUTO_TEST_CASE(loadSamplesComeBackAndOnesOffTheLineAreRefused)
+BOOST_AUTO_TEST_CASE(loadSamplesSurviveEncodingAndInvalidKeysAreRejected)
 {
     std::array samples{LoadSample{ServiceName{"s"},
                                   {1, 2, keyPlaces - 1},
--- a/tests/keydecisions/test_keyplanner.cpp
+++ b/tests/keydecisions/test_keyplanner.cpp
@@ -17,17 +17,17 @@
 
 std::vector<KeyServer> servers(std::size_t count, double capacity = 15.0)
 {
-    std::vector<KeyServer> made;
+    std::vector<KeyServer> result;
     for (std::size_t i = 0; i < count; ++i)
-        made.push_back({ServerName{"s" + std::to_string(i)}, capacity});
-    return made;
+        result.push_back({ServerName{"s" + std::to_string(i)}, capacity});
+    return result;
 }
 
 KeyTraffic traffic(double evenRate, double hotRate = 0.0)
 {
-    KeyTraffic made{std::vector<double>(keyPlaces, evenRate / keyPlaces), 8.0};
-    made.rates[hotKey] += hotRate;
-    return made;
+    KeyTraffic result{std::vector<double>(keyPlaces, evenRate / keyPlaces), 8.0};
+    result.rates[hotKey] += hotRate;
+    return result;
 }
 
 KeyAssignment planned(const KeyAssignment &current, std::span<const KeyServer> servers,
@@ -39,7 +39,7 @@
     return *next;
 }
 
-/** All previous owners give their ranges up. */
+/** \returns \a assignment after all previous owners have released their ranges. */
 KeyAssignment settled(KeyAssignment assignment)
 {
     ++assignment.sequence;
@@ -64,7 +64,7 @@
     return planned({ServiceName{"s"}, 0, {}}, servers(count));
 }
 
-/** Plans until nothing changes, as the planner does. */
+/** Plans repeatedly until nothing changes. */
 KeyAssignment balanced(KeyAssignment assignment, std::span<const KeyServer> servers,
                        const KeyTraffic &load)
 {
@@ -74,13 +74,13 @@
             return assignment;
         assignment = settled(*next);
     }
-    BOOST_FAIL("the plan never settles");
+    BOOST_FAIL("no stable assignment after 40 planning rounds");
     return assignment;
 }
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(theFirstPlanCoversAllKeysEvenly)
+BOOST_AUTO_TEST_CASE(firstPlanCoversAllKeysEvenly)
 {
     const KeyAssignment assignment = evenly(8);
     KeyPlace covered = 0;
@@ -97,21 +97,22 @@
         BOOST_TEST(std::abs(static_cast<double>(size) - keyPlaces / 8.0) < 600, server);
 }
 
-BOOST_AUTO_TEST_CASE(theFirstPlanGivesEachOfManyServersItsPart)
+BOOST_AUTO_TEST_CASE(firstPlanGivesEachOfManyServersItsShare)
 {
     constexpr std::size_t count = 157;
     std::map<std::string, KeyPlace> sizes;
     for (const OwnedRange &owned : evenly(count).ranges)
         sizes[owned.owner.value()] += owned.range.size();
-    // Sixteen of them had all, and the others were filled six at a time.
+    // Guards against giving all keys to sixteen servers at first, and then to six more per round.
     BOOST_TEST(sizes.size() == count);
     for (const auto &[server, size] : sizes)
         BOOST_TEST(size < 2 * keyPlaces / count, server);
 }
 
-BOOST_AUTO_TEST_CASE(loadThatShowsOnManyServersIsEvenedWithinSixRounds)
+BOOST_AUTO_TEST_CASE(balancesManyServersWithinSixRounds)
 {
-    // Busy keys are next to each other. With six moves a round the busiest had 37.7 times its part.
+    // Busy keys are adjacent. With only six moves per round the busiest server had 37.7 times its
+    // share.
     constexpr std::size_t count = 157;
     constexpr double total = 1600.0;
     KeyTraffic load{std::vector<double>(keyPlaces), 3.0};
@@ -126,13 +127,13 @@
         if (next)
             assignment = settled(*next);
     }
-    double most = 0.0;
+    double maxShare = 0.0;
     for (const auto &[server, share] : shares(assignment, load))
-        most = std::max(most, share);
-    BOOST_TEST(most < 2.2 * total / count, "the busiest has " << most * count / total);
+        maxShare = std::max(maxShare, share);
+    BOOST_TEST(maxShare < 2.2 * total / count, "the busiest has " << maxShare * count / total);
 }
 
-BOOST_AUTO_TEST_CASE(aHotKeyThatNobodyCanTakeKeepsNoOtherServerFromRelief)
+BOOST_AUTO_TEST_CASE(hotKeyThatFitsNoServerDoesNotBlockOtherMoves)
 {
     KeyTraffic load = traffic(40.0, 30.0);
     for (KeyPlace place = 0; place < keyPlaces / 4; ++place)
@@ -143,12 +144,12 @@
         BOOST_TEST((server == hot || share < 25.0), server << " has " << share);
 }
 
-BOOST_AUTO_TEST_CASE(withoutServersThereIsNoPlan)
+BOOST_AUTO_TEST_CASE(noPlanWithoutServers)
 {
     BOOST_TEST(!KeyPlanner::plan({ServiceName{"s"}, 0, {}}, {}, {}).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(keysOfALostServerGoToTheOthersUnderAHigherFence)
+BOOST_AUTO_TEST_CASE(keysOfALostServerMoveUnderAHigherFence)
 {
     const KeyAssignment before = evenly(4);
     std::vector<KeyServer> left = servers(4);
@@ -168,7 +169,7 @@
     BOOST_TEST(moved < keyPlaces / 3);
 }
 
-BOOST_AUTO_TEST_CASE(aNewOwnerThatIsLostBeforeItGotTheKeysKeepsTheWait)
+BOOST_AUTO_TEST_CASE(losingANewOwnerBeforeTheGrantKeepsTheWait)
 {
     const KeyAssignment first = evenly(3);
     const KeyAssignment second = planned(first, std::vector{servers(3)[1], servers(3)[2]});
@@ -180,17 +181,17 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(chanceMovesNothing)
+BOOST_AUTO_TEST_CASE(randomVariationMovesNothing)
 {
     const KeyAssignment assignment = evenly(4);
     KeyTraffic load = traffic(16.0);
-    // A fifth more on one server, of some thirty requests that were counted there.
+    // One server has a fifth more load than the others, measured from about thirty requests.
     for (KeyPlace place = 0; place < keyPlaces / 4; ++place)
         load.rates[place] *= 1.2;
     BOOST_TEST(!KeyPlanner::plan(assignment, servers(4), load).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(aBusyServerIsRelieved)
+BOOST_AUTO_TEST_CASE(relievesABusyServer)
 {
     KeyTraffic load = traffic(40.0);
     for (KeyPlace place = 0; place < keyPlaces / 4; ++place)
@@ -200,7 +201,7 @@
         BOOST_TEST(share < 1.3 * 55.0 / 4, server << " has " << share);
 }
 
-BOOST_AUTO_TEST_CASE(aHotKeyStandsAloneOnAFastServer)
+BOOST_AUTO_TEST_CASE(hotKeyIsAloneOnAFastServer)
 {
     std::vector<KeyServer> unequal = servers(6, 15.0);
     unequal[4].capacity = 26.0;
@@ -210,11 +211,11 @@
     BOOST_REQUIRE(owned);
     BOOST_TEST(owned->owner.value() == "s4");
     double others = shares(assignment, load)["s4"] - 22.0;
-    BOOST_TEST(others < 3.0, "beside the hot key there is " << others);
+    BOOST_TEST(others < 3.0, "load beside the hot key: " << others);
     BOOST_TEST(assignment.ranges.size() < 24U);
 }
 
-BOOST_AUTO_TEST_CASE(aServerThatJoinsGetsKeysAtOnce)
+BOOST_AUTO_TEST_CASE(joiningServerGetsKeysAtOnce)
 {
     const KeyAssignment assignment = planned(evenly(4), servers(5), traffic(20.0));
     std::set<std::string> owners;
@@ -223,14 +224,14 @@
     BOOST_TEST(owners.contains("s4"));
 }
 
-BOOST_AUTO_TEST_CASE(rangesOfOneOwnerThatAreAlikeAreJoined)
+BOOST_AUTO_TEST_CASE(joinsEqualAdjacentRangesOfOneOwner)
 {
     KeyAssignment assignment{ServiceName{"s"}, 3, {}};
     const ServerName owner{"s0"};
     assignment.ranges = {{{0, 9}, owner, 1, "", {}, 0},
                          {{10, 19}, owner, 1, "", {}, 0},
                          {{20, 29}, owner, 2, "", {}, 0}};
-    joinNeighbours(assignment);
+    mergeAdjacentRanges(assignment);
     BOOST_TEST(assignment.ranges.size() == 2U);
     BOOST_TEST(assignment.find(15)->range.last == 19U);
     BOOST_TEST(assignment.find(40) == nullptr);
