--- a/src/libbulrush/process/grantlog.cpp
+++ b/src/libbulrush/process/grantlog.cpp
@@ -4,22 +4,22 @@
 
 namespace bulrush {
 
-GrantLog::GrantLog(Instant start, Duration longestCall)
+GrantLog::GrantLog(Instant start, Duration maxCallDuration)
     : m_start(start)
-    , m_longestCall(longestCall)
+    , m_maxCallDuration(maxCallDuration)
 { }
 
-void GrantLog::sent(const ServerName &server, Instant now)
+void GrantLog::recordSent(const ServerName &server, Instant now)
 {
     m_entries[server].sentAt = now;
 }
 
-void GrantLog::ended(const ServerName &server, bool canHaveCome, Instant now)
+void GrantLog::recordResult(const ServerName &server, bool mayHaveArrived, Instant now)
 {
     Entry &entry = m_entries[server];
-    // Its connection was reset in time also where this daemon was frozen and hears of it late.
-    if (canHaveCome && entry.sentAt)
-        entry.came = std::min(now, *entry.sentAt + m_longestCall);
+    // The connection was reset in time even if this daemon was frozen and gets the result late.
+    if (mayHaveArrived && entry.sentAt)
+        entry.arrivedBy = std::min(now, *entry.sentAt + m_maxCallDuration);
     entry.sentAt.reset();
 }
 
@@ -28,9 +28,9 @@
     Instant last = m_start;
     if (const auto found = m_entries.find(server); found != m_entries.end()) {
         const Entry &entry = found->second;
-        last = std::max(last, entry.came.value_or(last));
+        last = std::max(last, entry.arrivedBy.value_or(last));
         if (entry.sentAt)
-            last = std::max(last, *entry.sentAt + m_longestCall);
+            last = std::max(last, *entry.sentAt + m_maxCallDuration);
     }
     return now - last;
 }
--- a/src/libbulrush/process/grantlog.h
+++ b/src/libbulrush/process/grantlog.h
@@ -9,40 +9,41 @@
 namespace bulrush {
 
 /**
- * By when the last grant that this daemon sent to each server had come there, if it came: a hold
- * counts from there. One that found no connection did not come; one without an answer may have come
- * up to the end of its call.
+ * Latest possible arrival of the last grant that this daemon sent to each server, as a hold starts
+ * on arrival. A grant that found no connection did not arrive. One without an answer may have
+ * arrived up to the end of its call.
  *
- * Not thread safe. Instants never go back.
+ * Not thread safe. Instants never decrease.
  */
 class GrantLog
 {
 public:
-    /** \a start is the start of this run of the daemon; calls end within \a longestCall. */
-    GrantLog(Instant start, Duration longestCall);
+    /** \a start is the start of this run of the daemon; calls end within \a maxCallDuration. */
+    GrantLog(Instant start, Duration maxCallDuration);
 
-    /** Notes that a grant is being sent to \a server; calls to a server follow each other. */
-    void sent(const ServerName &server, Instant now);
+    /** Records that a grant is being sent to \a server. Calls to one server do not overlap. */
+    void recordSent(const ServerName &server, Instant now);
 
-    /** Notes the end of that call, and whether the grant can have come there. */
-    void ended(const ServerName &server, bool canHaveCome, Instant now);
+    /** Records the end of that call, and whether the grant may have arrived. */
+    void recordResult(const ServerName &server, bool mayHaveArrived, Instant now);
 
     /**
-     * \returns how long ago the last grant to \a server came there at the latest; negative while
-     * one may still come. At most since the start, as an earlier run may have sent one until then.
+     * \returns the minimum time since the last grant to \a server arrived; negative while one may
+     * still arrive. Never longer than the time since the start, as an earlier run may have sent a
+     * grant until then.
      */
     Duration lastAgo(const ServerName &server, Instant now) const;
 
 private:
     struct Entry
     {
-        /** At the latest. */
-        std::optional<Instant> came;
+        /** Latest possible arrival. */
+        std::optional<Instant> arrivedBy;
         std::optional<Instant> sentAt;
     };
 
     Instant m_start;
-    Duration m_longestCall;
+    Duration m_maxCallDuration;
     std::map<ServerName, Entry> m_entries;
 };
 
--- a/src/libbulrush/process/keyaction.h
+++ b/src/libbulrush/process/keyaction.h
@@ -12,22 +12,22 @@
 
 namespace bulrush {
 
-/** Write the planner's row. */
+/** Write the row of the planner's lease. */
 struct WritePlannerRow
 {
     PlannerRowWrite write;
 };
 
-/** Write an assignment, if its row and the planner's have the versions that they are known by. */
+/** Write an assignment if its row and the planner's row still have these versions. */
 struct CommitKeyAssignment
 {
     KeyAssignment next;
-    /** Of the assignment's row; 0: that there is none. */
+    /** Version of the assignment's row; 0: no such row exists. */
     std::uint64_t expectedVersion = 0;
     std::uint64_t plannerVersion = 0;
 };
 
-/** Grant a range to its owner, the first time or again. */
+/** Grant a range to its owner, or renew the grant. */
 struct SendGrant
 {
     ServiceName service;
@@ -35,33 +35,35 @@
     Endpoint address;
 };
 
-/** Take a range back from its previous owner, under the fence of the new one. */
+/** Request the release of a range by its previous owner, under the fencing token of the new one. */
 struct SendRelease
 {
     ServiceName service;
     OwnedRange owned;
-    /** Of the previous owner. */
+    /** Address of the previous owner. */
     Endpoint address;
 };
 
-/** Ask a daemon when it sent its last grants to \a servers. */
+/** Query a daemon about its last grants to \a servers. */
 struct AskRenewer
 {
     Renewer renewer;
     ServiceName service;
     std::vector<ServerName> servers;
-    /** Whether to tell it the assignment, as it said that it goes by an earlier one. */
+    /**
+     * Its last answer was based on an earlier assignment, so the query includes the current one.
+     */
     bool isBehind = false;
 };
 
-/** Write this daemon's own row, if it has the version; without a row, remove it. */
+/** Write this daemon's own row if it has the expected version; without \a row, remove it. */
 struct WriteDaemonRow
 {
     std::uint64_t expectedVersion = 0;
     std::optional<DaemonRow> row;
 };
 
-/** The row of a daemon by its version. */
+/** Identifies one version of a daemon's row. */
 struct DaemonRowVersion
 {
     HostName host;
@@ -69,8 +71,8 @@
 };
 
 /**
- * Remove the rows of daemons that are lost, all or none, if they and the planner's row have the
- * versions that they are known by.
+ * Remove the rows of lost daemons, all or none, if these rows and the planner's row still have
+ * these versions.
  */
 struct RemoveDaemonRows
 {
@@ -78,7 +80,7 @@
     std::uint64_t plannerVersion = 0;
 };
 
-/** What a daemon is to do about keys. */
+/** An action of a daemon in the assignment of keys. */
 using KeyAction = std::variant<WritePlannerRow, CommitKeyAssignment, SendGrant, SendRelease,
                                AskRenewer, WriteDaemonRow, RemoveDaemonRows>;
 
--- a/src/libbulrush/process/keycoordinator.cpp
+++ b/src/libbulrush/process/keycoordinator.cpp
@@ -11,7 +11,7 @@
 {
     return std::ranges::none_of(servers.servers(), [&](const auto &entry) {
         return entry.second.record.service == service
-            && now - entry.second.firstSeen < KeyCoordinator::registrationQuiet;
+            && now - entry.second.firstSeen < KeyCoordinator::registrationQuietPeriod;
     });
 }
 
@@ -19,26 +19,26 @@
 
 KeyCoordinator::KeyCoordinator(const KeySelf &self, Instant start, const KeyTimings &timings)
     : m_self(self)
-    , m_lease(self.incarnation, self.address, self.patience)
+    , m_lease(self.incarnation, self.address, self.takeoverDelay)
     , m_renewal(self.domain, start, timings)
     , m_renewers(timings)
     , m_grants(start, timings.grantCall)
-    , m_registerPause(registerAgain, registerAtLast, self.host.value())
-    , m_removePause(removeAgain, removeAtLast, self.host.value())
+    , m_registerBackoff(registerRetryDelay, maxRegisterBackoff, self.host.value())
+    , m_removeBackoff(removeRetryDelay, maxRemoveBackoff, self.host.value())
 { }
 
 void KeyCoordinator::plannerRowSeen(std::uint64_t version, const PlannerRow &row, Instant now)
 {
-    m_lease.rowSeen(version, row, now);
+    m_lease.applyRow(version, row, now);
 }
 
 bool KeyCoordinator::assignmentSeen(const KeyAssignment &assignment, std::uint64_t version,
                                     Instant now)
 {
-    Held &held = m_held[assignment.service];
-    if (version <= held.version)
+    StoredAssignment &stored = m_assignments[assignment.service];
+    if (version <= stored.version)
         return false;
-    held = {assignment, version};
+    stored = {assignment, version};
     m_renewal.setAssignment(assignment);
     m_moves.setAssignment(assignment, version, now);
     return true;
@@ -48,9 +48,9 @@
                                    const std::optional<DaemonRow> &row, Instant now)
 {
     if (row)
-        m_renewers.rowSeen(host, *row, version);
+        m_renewers.applyRow(host, *row, version);
     else
-        m_renewers.rowGone(host, now);
+        m_renewers.applyRowRemoval(host, now);
     if (host != m_self.host || m_isRegistering)
         return;
     const bool isOwn = row && row->incarnation == m_self.incarnation;
@@ -60,7 +60,7 @@
 void KeyCoordinator::rowsSeen(std::uint64_t version)
 {
     m_hasRows = true;
-    m_seenVersion = std::max(m_seenVersion, version);
+    m_appliedVersion = std::max(m_appliedVersion, version);
 }
 
 void KeyCoordinator::storeAnswered(Instant givenAt)
@@ -68,21 +68,22 @@
     m_renewal.storeAnswered(givenAt);
 }
 
-void KeyCoordinator::plannerRowWritten(RowWriteEnd end, std::uint64_t version, Instant now)
+void KeyCoordinator::plannerRowWritten(RowWriteEnd result, std::uint64_t version, Instant now)
 {
-    m_lease.writeEnded(end, version, now);
+    m_lease.handleWriteResult(result, version, now);
 }
 
-bool KeyCoordinator::assignmentCommitted(const KeyAssignment &next, RowWriteEnd end,
+bool KeyCoordinator::assignmentCommitted(const KeyAssignment &next, RowWriteEnd result,
                                          std::uint64_t version, Instant now)
 {
     m_committing.erase(next.service);
-    // What failed, or may have been done, is planned again from the row, which its feed brings.
-    if (end != RowWriteEnd::Done) {
-        m_commitAgainAt[next.service] = now + commitAgain;
+    // The commit failed or may have been carried out: plan again from the row that the store feed
+    // delivers.
+    if (result != RowWriteEnd::Done) {
+        m_commitRetryAt[next.service] = now + commitRetryDelay;
         return false;
     }
-    m_commitAgainAt.erase(next.service);
+    m_commitRetryAt.erase(next.service);
     return assignmentSeen(next, version, now);
 }
 
@@ -93,7 +94,7 @@
 
 void KeyCoordinator::grantSent(const SendGrant &grant, Instant now)
 {
-    m_grants.sent(grant.owned.owner, now);
+    m_grants.recordSent(grant.owned.owner, now);
 }
 
 std::vector<ServerName> KeyCoordinator::serversToConnect(const ServerDirectory &servers,
@@ -102,7 +103,7 @@
     std::vector<ServerName> wanted;
     for (const auto &[id, server] : servers.servers()) {
         const bool isKeyed = std::ranges::find(keyed, server.record.service) != keyed.end();
-        if (isKeyed && m_renewal.isRenewed(server))
+        if (isKeyed && m_renewal.shouldRenew(server))
             wanted.push_back(id);
     }
     return wanted;
@@ -123,30 +124,30 @@
     m_renewal.connectionGivenUp(server);
 }
 
-void KeyCoordinator::grantEnded(const SendGrant &grant, bool canHaveCome, Instant now)
+void KeyCoordinator::grantEnded(const SendGrant &grant, bool mayHaveArrived, Instant now)
 {
-    m_grants.ended(grant.owned.owner, canHaveCome, now);
+    m_grants.recordResult(grant.owned.owner, mayHaveArrived, now);
 }
 
-void KeyCoordinator::daemonRowWritten(RowWriteEnd end, std::uint64_t version, Instant now)
+void KeyCoordinator::daemonRowWritten(RowWriteEnd result, std::uint64_t version, Instant now)
 {
     m_isRegistering = false;
-    if (end != RowWriteEnd::Done) {
-        m_registerPause.failed(now);
+    if (result != RowWriteEnd::Done) {
+        m_registerBackoff.failed(now);
         return;
     }
-    m_registerPause.succeeded();
+    m_registerBackoff.succeeded();
     if (!m_isLeaving)
         m_ownVersion = version;
 }
 
-void KeyCoordinator::daemonRowsRemoved(RowWriteEnd end, Instant now)
+void KeyCoordinator::daemonRowsRemoved(RowWriteEnd result, Instant now)
 {
     m_isRemoving = false;
-    if (end == RowWriteEnd::Done)
-        m_removePause.succeeded();
+    if (result == RowWriteEnd::Done)
+        m_removeBackoff.succeeded();
     else
-        m_removePause.failed(now);
+        m_removeBackoff.failed(now);
 }
 
 RenewerAnswer KeyCoordinator::answerOn(const ServiceName &service,
@@ -165,7 +166,7 @@
 
 void KeyCoordinator::renewerAnswered(const RenewerAnswer &answer, Instant now)
 {
-    m_renewers.answered(answer, now);
+    m_renewers.recordAnswer(answer, now);
 }
 
 void KeyCoordinator::addLoads(std::span<const LoadSample> samples, Instant now)
@@ -178,7 +179,7 @@
 
 const std::vector<KeyShares> &KeyCoordinator::keyShares(const ServerDirectory &servers, Instant now)
 {
-    if (m_isPlanning && now - m_keySharesAt < sharesEvery)
+    if (m_isPlanning && now - m_keySharesAt < sharesInterval)
         return m_keyShares;
     m_keySharesAt = now;
     m_keyShares.clear();
@@ -210,9 +211,9 @@
         actions.emplace_back(WritePlannerRow{*write});
     if (auto registration = dueRegistration(now))
         actions.emplace_back(std::move(*registration));
-    notePlanning(now);
+    updatePlanning(now);
     if (m_isPlanning)
-        planActions(servers, keyed, now, actions);
+        addPlannerActions(servers, keyed, now, actions);
     if (isRegistered()) {
         for (SendGrant &grant : m_renewal.due(servers, now))
             actions.emplace_back(std::move(grant));
@@ -220,22 +221,22 @@
     return actions;
 }
 
-/** A daemon renews only while its row stands, and once it has seen all rows as of that. */
+/** A daemon renews only while it has a row, and once it has applied all rows up to that version. */
 bool KeyCoordinator::isRegistered() const
 {
-    return !m_isLeaving && m_ownVersion > 0 && m_seenVersion >= m_ownVersion;
+    return !m_isLeaving && m_ownVersion > 0 && m_appliedVersion >= m_ownVersion;
 }
 
 std::optional<WriteDaemonRow> KeyCoordinator::dueRegistration(Instant now)
 {
     if (!m_hasRows || m_isRegistering || (m_ownVersion > 0) != m_isLeaving)
         return std::nullopt;
-    if (!m_registerPause.isOver(now))
+    if (!m_registerBackoff.isOver(now))
         return std::nullopt;
     m_isRegistering = true;
     if (m_isLeaving)
         return WriteDaemonRow{std::exchange(m_ownVersion, 0), std::nullopt};
-    // A row that was removed is remembered for a while, but there is none to be replaced.
+    // A removed row stays in the registry for a while, but cannot be replaced.
     const auto known = m_renewers.renewers().find(m_self.host);
     const bool hasRow = known != m_renewers.renewers().end() && !known->second.goneSince;
     return WriteDaemonRow{
@@ -243,16 +244,16 @@
         DaemonRow{m_self.incarnation, m_self.address, m_self.domain, m_self.processors}};
 }
 
-/** \returns the removal of rows whose daemons are lost, if any is due. */
+/** \returns the removal of the rows of lost daemons, if one is due. */
 std::optional<RemoveDaemonRows> KeyCoordinator::dueRemoval(Instant now)
 {
-    m_renewers.looked(now);
-    // While the lease is being renewed, the version that a removal would be bound to is changing.
-    if (m_isRemoving || m_lease.isWriting() || !m_removePause.isOver(now))
+    m_renewers.recordCheck(now);
+    // A removal is conditional on the row version of the lease, which a renewal in flight changes.
+    if (m_isRemoving || m_lease.isWriting() || !m_removeBackoff.isOver(now))
         return std::nullopt;
     RemoveDaemonRows removal{{}, m_lease.version()};
     for (const Renewer &lost : m_renewers.lost(now)) {
-        if (removal.rows.size() < mostRemovedAtOnce)
+        if (removal.rows.size() < maxRowsPerRemoval)
             removal.rows.push_back({lost.host, lost.version});
     }
     if (removal.rows.empty())
@@ -261,23 +262,24 @@
     return removal;
 }
 
-void KeyCoordinator::planActions(const ServerDirectory &servers, std::span<const ServiceName> keyed,
-                                 Instant now, std::vector<KeyAction> &actions)
+void KeyCoordinator::addPlannerActions(const ServerDirectory &servers,
+                                       std::span<const ServiceName> keyed, Instant now,
+                                       std::vector<KeyAction> &actions)
 {
     for (SendRelease &release : m_moves.dueReleases(servers, now))
         actions.emplace_back(std::move(release));
-    for (AskRenewer &question : m_moves.dueQuestions(servers, m_renewers, now)) {
-        if (question.renewer.host == m_self.host) {
-            m_renewers.answered(answerOn(question.service, question.servers, now), now);
+    for (AskRenewer &query : m_moves.dueQueries(servers, m_renewers, now)) {
+        if (query.renewer.host == m_self.host) {
+            m_renewers.recordAnswer(answerOn(query.service, query.servers, now), now);
             continue;
         }
-        m_renewers.asked(question.renewer.host, now);
-        actions.emplace_back(std::move(question));
+        m_renewers.recordQuery(query.renewer.host, now);
+        actions.emplace_back(std::move(query));
     }
-    m_renewers.forgetGone(now);
+    m_renewers.removeExpired(now);
     if (auto removal = dueRemoval(now))
         actions.emplace_back(std::move(*removal));
-    const bool isRoundDue = now - m_plannedAt >= planEvery;
+    const bool isRoundDue = now - m_plannedAt >= planInterval;
     if (isRoundDue)
         m_plannedAt = now;
     for (const ServiceName &service : keyed) {
@@ -307,17 +309,17 @@
 
 const KeyAssignment *KeyCoordinator::assignment(const ServiceName &service) const
 {
-    const auto held = m_held.find(service);
-    return held == m_held.end() ? nullptr : &held->second.assignment;
+    const auto stored = m_assignments.find(service);
+    return stored == m_assignments.end() ? nullptr : &stored->second.assignment;
 }
 
 std::uint64_t KeyCoordinator::assignmentVersion(const ServiceName &service) const
 {
-    const auto held = m_held.find(service);
-    return held == m_held.end() ? 0 : held->second.version;
+    const auto stored = m_assignments.find(service);
+    return stored == m_assignments.end() ? 0 : stored->second.version;
 }
 
-void KeyCoordinator::notePlanning(Instant now)
+void KeyCoordinator::updatePlanning(Instant now)
 {
     const bool isHeld = m_hasRows && m_lease.isHeld(now);
     if (std::exchange(m_isPlanning, isHeld) == isHeld)
@@ -325,27 +327,27 @@
     m_renewal.setPlanner(isHeld);
     m_plannedAt = {};
     m_loads.clear();
-    m_renewers.forgetAnswers();
-    // Waits for previous owners start anew: what an earlier planner waited is not known here.
+    m_renewers.clearAnswers();
+    // Restart all waits for previous owners: it is unknown how long an earlier planner has waited.
     m_moves.clear();
-    for (const auto &[service, held] : m_held)
-        m_moves.setAssignment(held.assignment, held.version, now);
+    for (const auto &[service, stored] : m_assignments)
+        m_moves.setAssignment(stored.assignment, stored.version, now);
 }
 
 bool KeyCoordinator::mayCommit(const ServiceName &service, Instant now) const
 {
-    // While the lease is being renewed, the version that a commit would be bound to is changing.
+    // A commit is conditional on the row version of the lease, which a renewal in flight changes.
     if (m_committing.contains(service) || m_lease.isWriting())
         return false;
-    const auto again = m_commitAgainAt.find(service);
-    return again == m_commitAgainAt.end() || now >= again->second;
+    const auto retryAt = m_commitRetryAt.find(service);
+    return retryAt == m_commitRetryAt.end() || now >= retryAt->second;
 }
 
 std::optional<KeyAssignment> KeyCoordinator::nextAssignment(const ServiceName &service,
                                                             const ServerDirectory &servers,
                                                             bool isRoundDue, Instant now)
 {
-    if (auto settled = m_moves.settled(service, servers, m_renewers, m_seenVersion, now))
+    if (auto settled = m_moves.settled(service, servers, m_renewers, m_appliedVersion, now))
         return settled;
     if (!isRoundDue)
         return std::nullopt;
@@ -369,13 +371,13 @@
     for (const auto &[id, server] : servers.servers()) {
         if (server.record.service != service || !server.isReady())
             continue;
-        if (!m_renewal.isConnected(id) && now - server.firstSeen < connectPatience)
+        if (!m_renewal.isConnected(id) && now - server.firstSeen < connectTimeout)
             continue;
         const Duration time =
             load == m_loads.end() ? ServiceLoad::defaultWorkTime : load->second.workTime(id);
         double capacity = server.record.slots / std::chrono::duration<double>(time).count();
         if (server.record.coldRemaining > Duration::zero())
-            capacity *= coldCapacity;
+            capacity *= coldCapacityFactor;
         ready.push_back({id, capacity});
     }
     return ready;
--- a/src/libbulrush/process/keycoordinator.h
+++ b/src/libbulrush/process/keycoordinator.h
@@ -22,166 +22,178 @@
 
 namespace bulrush {
 
-/** Who a daemon is towards the others. */
+/** Identity and properties of this daemon as other daemons see them. */
 struct KeySelf
 {
     HostName host;
     /** Of this run of the daemon. */
     Incarnation incarnation;
     DomainName domain;
-    /** Where it takes loads while it plans. */
+    /** Receives load samples from other daemons while this daemon is the planner. */
     Endpoint address;
-    /** Beyond the takeover time of the planner's lease; differs between daemons. */
-    Duration patience{};
-    /** What its host has of processors, in cores. */
+    /** Added to the takeover timeout of the planner's lease; differs between daemons. */
+    Duration takeoverDelay{};
+    /** CPU capacity of the host, in cores. */
     double processors = 1.0;
 };
 
 /**
- * Who owns which keys: one daemon's part in it. Takes the planner's lease if nobody has it, plans
- * and moves keys while it holds the lease, and renews grants.
+ * One daemon's part in assigning keys to backend servers. Takes the planner's lease if it is free,
+ * plans and moves keys while it holds the lease, and renews grants.
  *
- * The order of a move keeps it safe: the assignment is committed, bound to the planner's row, with
- * the range moving and its new fence; the previous owner gives the range up under that fence, or
- * can't hold it any more; the range is committed as settled; only then is it granted.
+ * A move is safe because of the order of its steps:
+ * 1. The assignment is committed, conditional on the planner's row, with the range marked as moving
+ *    and with its new fencing token.
+ * 2. The previous owner releases the range under that token, or can no longer hold it.
+ * 3. The range is committed as settled.
+ * 4. Only then is the range granted to its new owner.
  *
- * Events and an instant in, actions out. Not thread safe. Instants never go back, and are of a
- * clock that runs while the host is suspended.
+ * Takes events and the current instant, and returns actions. Not thread safe. Instants never
+ * decrease and come from a clock that keeps running while the host is suspended.
  */
 class KeyCoordinator
 {
 public:
-    /** How often plans are looked at. */
-    static constexpr Duration planEvery = std::chrono::milliseconds{500};
-    /** The same for shares of hot keys, which each of many daemons asks for every 0.6 s. */
-    static constexpr Duration sharesEvery = std::chrono::milliseconds{400};
+    /** Interval between planning rounds. */
+    static constexpr Duration planInterval = std::chrono::milliseconds{500};
     /**
-     * Keys are divided for the first time once no further server has registered for this time, so
-     * that they need not move right after.
+     * Interval at which the shares of hot keys are computed. Each of many daemons requests them
+     * every 0.6 s.
      */
-    static constexpr Duration registrationQuiet = std::chrono::milliseconds{1200};
+    static constexpr Duration sharesInterval = std::chrono::milliseconds{400};
     /**
-     * A server that was just seen gets keys only once the planner has a connection to it, or after
-     * this. Over a connection that is made after its keys were committed they can't be granted for
-     * KeyTimings::recordLapse, as another run of it may have had them: keys of a server that had
-     * started again were dark for 4.4 s to 4.8 s where they are for less than 2.9 s.
+     * Keys are assigned for the first time once no server has registered for this long, so that
+     * they do not have to move shortly afterwards.
      */
-    static constexpr Duration connectPatience = std::chrono::milliseconds{400};
-    /** Share of the load that a server gets while it is cold, of what it gets later. */
-    static constexpr double coldCapacity = 0.6;
+    static constexpr Duration registrationQuietPeriod = std::chrono::milliseconds{1200};
+    /**
+     * A newly registered server gets keys once the planner is connected to it, or after this
+     * timeout. If the connection is made after the keys were committed, they cannot be granted over
+     * it for KeyTimings::recordExpiry, because another run of the server may have held them.
+     * Without this wait the keys of a restarted server were unavailable for 4.4 s to 4.8 s, with it
+     * for less than 2.9 s.
+     */
+    static constexpr Duration connectTimeout = std::chrono::milliseconds{400};
+    /** Capacity of a cold server as a fraction of its capacity when warm. */
+    static constexpr double coldCapacityFactor = 0.6;
 
-    /** A commit that was not done is planned anew after this: refused calls are priced as well. */
-    static constexpr Duration commitAgain = std::chrono::milliseconds{300};
+    /**
+     * A service is planned again this long after a commit of its assignment has failed. Rejected
+     * calls to the store are billed, too.
+     */
+    static constexpr Duration commitRetryDelay = std::chrono::milliseconds{300};
 
     /**
-     * A write of the own row that was not done is repeated after this at first, then after twice as
-     * long each time: with half a second throughout, 54 daemons that could not write theirs made
-     * 918 calls in 8.5 s.
+     * Delay before the first retry of a failed write of the daemon's own row; it doubles with each
+     * further failure. With a constant 0.5 s, 54 daemons that could not write their rows made 918
+     * calls in 8.5 s.
      */
-    static constexpr Duration registerAgain = std::chrono::milliseconds{500};
-    static constexpr Duration registerAtLast = std::chrono::seconds{8};
-    /** The same for removals of others' rows. */
-    static constexpr Duration removeAgain = std::chrono::milliseconds{700};
-    static constexpr Duration removeAtLast = std::chrono::seconds{6};
-    /** Rows that one call removes at most, as the store takes 100 in a call. */
-    static constexpr std::size_t mostRemovedAtOnce = 90;
+    static constexpr Duration registerRetryDelay = std::chrono::milliseconds{500};
+    static constexpr Duration maxRegisterBackoff = std::chrono::seconds{8};
+    /** The same for the removal of other daemons' rows. */
+    static constexpr Duration removeRetryDelay = std::chrono::milliseconds{700};
+    static constexpr Duration maxRemoveBackoff = std::chrono::seconds{6};
+    /** Rows removed by one call; the store accepts 100 per call. */
+    static constexpr std::size_t maxRowsPerRemoval = 90;
 
     /** \a start is the start of this run of the daemon. */
     KeyCoordinator(const KeySelf &self, Instant start, const KeyTimings &timings = {});
 
-    /** Takes in the planner's row; 0 and an empty row if there is none. */
+    /** Applies the planner's row; version 0 and an empty row mean that there is none. */
     void plannerRowSeen(std::uint64_t version, const PlannerRow &row, Instant now);
 
-    /** Takes in the row of an assignment. \returns whether it is newer than what was known. */
+    /** Applies the row of an assignment. \returns whether it is newer than the stored one. */
     bool assignmentSeen(const KeyAssignment &assignment, std::uint64_t version, Instant now);
 
-    /** Takes in the row of a daemon; nothing if it has none any more. */
+    /** Applies the row of a daemon; \a row is empty if the daemon no longer has one. */
     void daemonRowSeen(const HostName &host, std::uint64_t version,
                        const std::optional<DaemonRow> &row, Instant now);
 
-    /** Notes that all rows as of \a version of the store have been seen. */
+    /** Records that all rows up to \a version of the store have been applied. */
     void rowsSeen(std::uint64_t version);
 
-    /** Notes that the store told, at \a givenAt or later, that these rows are as they were seen. */
+    /** Records that the store confirmed, at \a givenAt or later, that the rows are unchanged. */
     void storeAnswered(Instant givenAt);
 
-    /** Takes in the end of a WritePlannerRow. */
-    void plannerRowWritten(RowWriteEnd end, std::uint64_t version, Instant now);
+    /** Handles the result of a WritePlannerRow. */
+    void plannerRowWritten(RowWriteEnd result, std::uint64_t version, Instant now);
 
-    /** Takes in the end of the CommitKeyAssignment of \a next. \returns whether it is in force. */
-    bool assignmentCommitted(const KeyAssignment &next, RowWriteEnd end, std::uint64_t version,
+    /**
+     * Handles the result of the CommitKeyAssignment of \a next. \returns whether it is in force.
+     */
+    bool assignmentCommitted(const KeyAssignment &next, RowWriteEnd result, std::uint64_t version,
                              Instant now);
 
-    /** Takes in that the previous owner has given a range up. */
+    /** Records that the previous owner has released a range. */
     void released(const SendRelease &release, std::string handover, Instant now);
 
-    /** Notes that \a grant is being sent. \pre isStillDue() of it */
+    /** Records that \a grant is being sent. \pre isStillDue() of it */
     void grantSent(const SendGrant &grant, Instant now);
 
-    /** Notes the end of \a grant, and whether it can have come to its server. */
-    void grantEnded(const SendGrant &grant, bool canHaveCome, Instant now);
+    /** Records the end of the call of \a grant and whether its server may have received it. */
+    void grantEnded(const SendGrant &grant, bool mayHaveArrived, Instant now);
 
     /**
-     * \returns the servers of the services \a keyed that a connection is to be kept to: grants are
-     * sent over one that was there before.
+     * \returns the servers of the services \a keyed to which a connection has to be kept: grants
+     * are sent over connections that already exist.
      */
     std::vector<ServerName> serversToConnect(const ServerDirectory &servers,
                                              std::span<const ServiceName> keyed) const;
 
-    /** Notes that \a server was connected to. */
+    /** Records a new connection to \a server. */
     void connectionMade(const ServerName &server, Instant now);
 
-    /** Notes that the last connection to \a server has ended, or could not be made. */
+    /** Records that the last connection to \a server was closed, or could not be made. */
     void connectionLost(const ServerName &server);
 
-    /** Notes that the connection to \a server was given up, with a grant that got no answer. */
+    /** Records that the connection to \a server was reset because a grant got no answer. */
     void connectionGivenUp(const ServerName &server);
 
-    /** Takes in the end of a WriteDaemonRow. */
-    void daemonRowWritten(RowWriteEnd end, std::uint64_t version, Instant now);
+    /** Handles the result of a WriteDaemonRow. */
+    void daemonRowWritten(RowWriteEnd result, std::uint64_t version, Instant now);
 
-    /** Takes in the end of a RemoveDaemonRows. */
-    void daemonRowsRemoved(RowWriteEnd end, Instant now);
+    /** Handles the result of a RemoveDaemonRows. */
+    void daemonRowsRemoved(RowWriteEnd result, Instant now);
 
     /**
-     * Answers a planner that asks for the last grants to \a servers; what it knows of the
-     * assignment is to be taken in before.
+     * \returns the answer to a planner that requests the last grants to \a servers. The assignment
+     * that came with the request must be applied first.
      */
     RenewerAnswer answerOn(const ServiceName &service, std::span<const ServerName> servers,
                            Instant now) const;
 
-    /** Takes in what a daemon answered, in an answer that came at \a now. */
+    /** Records the answer of a daemon, which arrived at \a now. */
     void renewerAnswered(const RenewerAnswer &answer, Instant now);
 
-    /** Takes in what a daemon saw, if this one plans. */
+    /** Adds load samples of a daemon; ignored unless this daemon is the planner. */
     void addLoads(std::span<const LoadSample> samples, Instant now);
 
     /**
-     * \returns the keys that are asked for too much, by service, if this daemon plans; as of less
-     * than sharesEvery ago.
+     * \returns the shares of keys whose load exceeds what their owner can serve, by service. At
+     * most sharesInterval old; empty unless this daemon is the planner.
      */
     const std::vector<KeyShares> &keyShares(const ServerDirectory &servers, Instant now);
 
-    /** Gives the planner's lease and the right to renew up for good, for a shutdown. */
+    /** Permanently gives up the planner's lease and the right to renew, for a shutdown. */
     void resign();
 
     /**
-     * \returns what is to be done now for the services \a keyed by the servers that are known. Each
-     * action counts as begun; its end is to be told.
+     * \returns the actions that are due for the services \a keyed, given the known servers. Each
+     * action counts as started; its result has to be reported.
      */
     std::vector<KeyAction> advance(const ServerDirectory &servers,
                                    std::span<const ServiceName> keyed, Instant now);
 
     /**
-     * \returns whether \a grant may still be sent, by the servers that are known: to be asked right
-     * before it is, as it may have waited, and time has passed for a process that was frozen.
+     * \returns whether \a grant may still be sent, given the known servers. To be called right
+     * before sending: the grant may have been queued, and the process may have been frozen since.
      */
     bool isStillDue(const SendGrant &grant, const ServerDirectory &servers, Instant now) const;
 
-    /** \returns whether this daemon plans. */
+    /** \returns whether this daemon is the planner. */
     bool isPlanning() const;
 
-    /** \returns the assignment of \a service as it is known, and its version, or null. */
+    /** \returns the stored assignment of \a service, or null; and its version, or 0. */
     const KeyAssignment *assignment(const ServiceName &service) const;
     std::uint64_t assignmentVersion(const ServiceName &service) const;
 
@@ -191,20 +203,20 @@
     const PlannerLease &lease() const;
 
 private:
-    /** An assignment as it stands in its row. */
-    struct Held
+    /** An assignment and the version of its row. */
+    struct StoredAssignment
     {
         KeyAssignment assignment;
         std::uint64_t version = 0;
     };
 
-    void notePlanning(Instant now);
+    void updatePlanning(Instant now);
     bool mayCommit(const ServiceName &service, Instant now) const;
     bool isRegistered() const;
     std::optional<WriteDaemonRow> dueRegistration(Instant now);
     std::optional<RemoveDaemonRows> dueRemoval(Instant now);
-    void planActions(const ServerDirectory &servers, std::span<const ServiceName> keyed,
-                     Instant now, std::vector<KeyAction> &actions);
+    void addPlannerActions(const ServerDirectory &servers, std::span<const ServiceName> keyed,
+                           Instant now, std::vector<KeyAction> &actions);
     std::optional<KeyAssignment> nextAssignment(const ServiceName &service,
                                                 const ServerDirectory &servers, bool isRoundDue,
                                                 Instant now);
@@ -217,24 +229,24 @@
     KeyMoves m_moves;
     RenewerBook m_renewers;
     GrantLog m_grants;
-    std::map<ServiceName, Held> m_held;
-    /** While this daemon plans. */
+    std::map<ServiceName, StoredAssignment> m_assignments;
+    /** Empty unless this daemon is the planner. */
     std::map<ServiceName, ServiceLoad> m_loads;
-    /** Services with a commit that has not ended. */
+    /** Services with a commit whose result is not known yet. */
     std::set<ServiceName> m_committing;
-    /** Services whose last commit was not done, and from when on they are looked at again. */
-    std::map<ServiceName, Instant> m_commitAgainAt;
+    /** Services whose last commit failed, and when they may be planned again. */
+    std::map<ServiceName, Instant> m_commitRetryAt;
     Instant m_plannedAt;
     std::vector<KeyShares> m_keyShares;
     Instant m_keySharesAt;
-    /** Of the store, up to which all rows were seen. */
-    std::uint64_t m_seenVersion = 0;
-    /** Of this daemon's own row; 0 while it has none that is known. */
+    /** Version of the store up to which all rows have been applied. */
+    std::uint64_t m_appliedVersion = 0;
+    /** Version of this daemon's own row; 0 while no such row is known. */
     std::uint64_t m_ownVersion = 0;
-    RetryPause m_registerPause;
+    RetryPause m_registerBackoff;
     bool m_isRegistering = false;
-    RetryPause m_removePause;
-    /** Rows of others are being removed. */
+    RetryPause m_removeBackoff;
+    /** A RemoveDaemonRows is in flight. */
     bool m_isRemoving = false;
     bool m_hasRows = false;
     bool m_isLeaving = false;
--- a/src/libbulrush/process/keymoves.cpp
+++ b/src/libbulrush/process/keymoves.cpp
@@ -12,13 +12,13 @@
     for (const OwnedRange &owned : assignment.ranges) {
         if (!owned.isMoving())
             continue;
-        const MoveKey key = keyOf(assignment.service, owned);
+        const MoveKey key = moveKey(assignment.service, owned);
         const auto known = m_moves.find(key);
-        const Move *same = sameMove(assignment.service, owned);
+        const Move *containing = containingMove(assignment.service, owned);
         if (known != m_moves.end())
             moves.insert(*known);
-        else if (same)
-            moves.emplace(key, Move{same->version, same->committedAt, {}, {}, {}});
+        else if (containing)
+            moves.emplace(key, Move{containing->version, containing->committedAt, {}, {}, {}});
         else
             moves.emplace(key, Move{version, now, {}, {}, {}});
     }
@@ -33,7 +33,7 @@
 {
     m_moves.clear();
     m_assignments.clear();
-    m_askedDaemons.clear();
+    m_queriedAt.clear();
 }
 
 std::vector<SendRelease> KeyMoves::dueReleases(const ServerDirectory &servers, Instant now)
@@ -41,58 +41,58 @@
     std::vector<SendRelease> releases;
     for (const auto &[service, assignment] : m_assignments) {
         for (const OwnedRange &owned : assignment.ranges) {
-            const auto move = m_moves.find(keyOf(service, owned));
+            const auto move = m_moves.find(moveKey(service, owned));
             if (!owned.isMoving() || move == m_moves.end() || move->second.handover)
                 continue;
-            // Where the owner has ended, a later run of it may have been granted its keys for it.
+            // If the owner has restarted, its later run may have been granted the keys instead.
             const KnownServer *previous = servers.latestRunOf(owned.previous);
-            const std::optional<Instant> asked = move->second.askedAt;
-            if (!previous || (asked && now - *asked < askAgain))
+            const std::optional<Instant> sentAt = move->second.releaseSentAt;
+            if (!previous || (sentAt && now - *sentAt < askAgain))
                 continue;
-            move->second.askedAt = now;
+            move->second.releaseSentAt = now;
             releases.push_back({service, owned, previous->record.address});
         }
     }
     return releases;
 }
 
-std::vector<AskRenewer> KeyMoves::dueQuestions(const ServerDirectory &servers,
-                                               const RenewerBook &renewers, Instant now)
+std::vector<AskRenewer> KeyMoves::dueQueries(const ServerDirectory &servers,
+                                             const RenewerBook &renewers, Instant now)
 {
-    std::vector<AskRenewer> questions;
+    std::vector<AskRenewer> queries;
     for (const auto &[service, assignment] : m_assignments) {
         std::set<ServerName> unanswered;
         for (const OwnedRange &owned : assignment.ranges) {
-            const auto move = m_moves.find(keyOf(service, owned));
+            const auto move = m_moves.find(moveKey(service, owned));
             if (!owned.isMoving() || move == m_moves.end() || move->second.handover)
                 continue;
             const KnownServer *previous = servers.find(owned.previous);
-            const bool isGone = !previous || previous->goneSince;
-            if (isGone || now - move->second.committedAt >= ownerPatience)
+            const bool isRemoved = !previous || previous->goneSince;
+            if (isRemoved || now - move->second.committedAt >= ownerTimeout)
                 unanswered.insert(owned.previous);
         }
         if (unanswered.empty())
             continue;
         for (const auto &[host, renewer] : renewers.renewers()) {
-            const auto asked = m_askedDaemons.find({service, host});
-            if (asked != m_askedDaemons.end() && now - asked->second < askAgain)
+            const auto queried = m_queriedAt.find({service, host});
+            if (queried != m_queriedAt.end() && now - queried->second < askAgain)
                 continue;
             if (renewer.goneSince)
                 continue;
-            m_askedDaemons[{service, host}] = now;
-            questions.push_back({renewer,
-                                 service,
-                                 {unanswered.begin(), unanswered.end()},
-                                 renewers.isBehind(host, service, assignment.sequence)});
+            m_queriedAt[{service, host}] = now;
+            queries.push_back({renewer,
+                               service,
+                               {unanswered.begin(), unanswered.end()},
+                               renewers.isBehind(host, service, assignment.sequence)});
         }
     }
-    return questions;
+    return queries;
 }
 
 void KeyMoves::released(const ServiceName &service, const OwnedRange &owned, std::string handover,
                         Instant now)
 {
-    const auto move = m_moves.find(keyOf(service, owned));
+    const auto move = m_moves.find(moveKey(service, owned));
     if (move == m_moves.end() || move->second.handover)
         return;
     move->second.handover = std::move(handover);
@@ -102,7 +102,7 @@
 std::optional<KeyAssignment> KeyMoves::settled(const ServiceName &service,
                                                const ServerDirectory &servers,
                                                const RenewerBook &renewers,
-                                               std::uint64_t seenVersion, Instant now) const
+                                               std::uint64_t appliedVersion, Instant now) const
 {
     const auto assignment = m_assignments.find(service);
     if (assignment == m_assignments.end())
@@ -110,17 +110,17 @@
     KeyAssignment next = assignment->second;
     ++next.sequence;
     bool isDue = false;
-    bool hasOthers = false;
+    bool hasUnsettled = false;
     for (OwnedRange &owned : next.ranges) {
-        const auto move = m_moves.find(keyOf(service, owned));
+        const auto move = m_moves.find(moveKey(service, owned));
         if (!owned.isMoving() || move == m_moves.end())
             continue;
         const KnownServer *previous = servers.find(owned.previous);
-        const auto since = previous && previous->hasEnded
+        const auto since = previous && previous->hasStopped
             ? std::optional{move->second.committedAt}
-            : settledSince(move->second, service, owned, renewers, seenVersion, now);
+            : settledSince(move->second, service, owned, renewers, appliedVersion, now);
         if (!since) {
-            hasOthers = true;
+            hasUnsettled = true;
             continue;
         }
         isDue = isDue || now - *since >= settleTogether;
@@ -129,27 +129,28 @@
         owned.handover = move->second.handover.value_or(std::string{});
     }
     const bool hasChanged = next.ranges != assignment->second.ranges;
-    if (!hasChanged || (hasOthers && !isDue))
+    if (!hasChanged || (hasUnsettled && !isDue))
         return std::nullopt;
     return next;
 }
 
-/** \returns since when the range is free for its owner, or nothing if it is not. */
+/** \returns since when the range is free for its new owner, or nothing if it is not free yet. */
 std::optional<Instant> KeyMoves::settledSince(const Move &move, const ServiceName &service,
                                               const OwnedRange &owned, const RenewerBook &renewers,
-                                              std::uint64_t seenVersion, Instant now)
+                                              std::uint64_t appliedVersion, Instant now)
 {
     if (move.handover)
         return move.releasedAt;
-    if (seenVersion < move.version)
+    if (appliedVersion < move.version)
         return std::nullopt;
     const Instant freeAt =
         renewers.freeAt(service, owned.moveSequence, owned.previous, move.committedAt);
     return now >= freeAt ? std::optional{freeAt} : std::nullopt;
 }
 
-/** \returns the move that \a owned is a piece of, or null. */
-const KeyMoves::Move *KeyMoves::sameMove(const ServiceName &service, const OwnedRange &owned) const
+/** \returns the move that \a owned is a part of, or null. */
+const KeyMoves::Move *KeyMoves::containingMove(const ServiceName &service,
+                                               const OwnedRange &owned) const
 {
     const auto found = std::ranges::find_if(m_moves, [&](const auto &entry) {
         return std::get<ServiceName>(entry.first) == service
@@ -158,7 +159,7 @@
     return found == m_moves.end() ? nullptr : &found->second;
 }
 
-KeyMoves::MoveKey KeyMoves::keyOf(const ServiceName &service, const OwnedRange &owned)
+KeyMoves::MoveKey KeyMoves::moveKey(const ServiceName &service, const OwnedRange &owned)
 {
     return {service, owned.range.first, owned.range.last, owned.moveSequence};
 }
--- a/src/libbulrush/process/keymoves.h
+++ b/src/libbulrush/process/keymoves.h
@@ -16,74 +16,78 @@
 namespace bulrush {
 
 /**
- * The planner's book of ranges that wait for their previous owner: asks it for each, and settles a
- * range once the owner has given it up, or can't hold it any more by what all daemons said of their
- * grants.
+ * The planner's table of moving ranges, each of which waits for its previous owner. Requests their
+ * release, and settles a range once its previous owner has released it, or can no longer hold it
+ * according to the answers of all daemons about the grants that they sent.
  *
- * Not thread safe. Instants never go back.
+ * Not thread safe. Instants never decrease.
  */
 class KeyMoves
 {
 public:
     /**
-     * Ranges that are given up within this time are settled together: each commit is read by every
-     * daemon.
+     * Ranges released within this period are settled by one commit, as every daemon reads each
+     * commit.
      */
     static constexpr Duration settleTogether = std::chrono::milliseconds{60};
-    /** An owner, or a daemon, that did not answer is asked again after this time. */
+    /** Delay until an unanswered request to an owner or a daemon is repeated. */
     static constexpr Duration askAgain = std::chrono::milliseconds{700};
-    /** Daemons are asked once an owner has not answered for this time. */
-    static constexpr Duration ownerPatience = std::chrono::milliseconds{250};
+    /** Daemons are queried once an owner has not answered for this long. */
+    static constexpr Duration ownerTimeout = std::chrono::milliseconds{250};
 
-    /** Takes in the assignment in force, committed as \a version, as told or read at \a now. */
+    /** Applies the assignment in force, committed as \a version, which arrived at \a now. */
     void setAssignment(const KeyAssignment &assignment, std::uint64_t version, Instant now);
 
-    /** Forgets all, when this daemon stops planning. */
+    /** Removes all entries; for when this daemon stops planning. */
     void clear();
 
-    /** \returns the releases to send now; each counts as sent. */
+    /** \returns the release requests that are due; each counts as sent. */
     std::vector<SendRelease> dueReleases(const ServerDirectory &servers, Instant now);
 
-    /** \returns the daemons to ask now for their grants; each counts as asked. */
-    std::vector<AskRenewer> dueQuestions(const ServerDirectory &servers,
-                                         const RenewerBook &renewers, Instant now);
+    /** \returns the queries to daemons about their grants that are due; each counts as sent. */
+    std::vector<AskRenewer> dueQueries(const ServerDirectory &servers, const RenewerBook &renewers,
+                                       Instant now);
 
-    /** Takes in that the previous owner of \a owned has given it up. */
+    /** Records that the previous owner of \a owned has released it. */
     void released(const ServiceName &service, const OwnedRange &owned, std::string handover,
                   Instant now);
 
     /**
-     * Daemons' rows were seen up to \a seenVersion: an earlier one may not be known.
-     * \returns the assignment with all ranges of \a service that are settled by \a now free for
-     * their owners, or nothing if there is none. The sequence rises, the fences stay.
+     * The rows of daemons have been applied up to \a appliedVersion. Unless that reaches the commit
+     * that took a range, a daemon whose row is older than the commit may still be unknown, and the
+     * range does not settle.
+     * \returns the assignment in which all ranges of \a service that are free at \a now are settled
+     * for their owners, or nothing if there is no such range. The sequence is incremented, the
+     * fencing tokens stay.
      */
     std::optional<KeyAssignment> settled(const ServiceName &service, const ServerDirectory &servers,
-                                         const RenewerBook &renewers, std::uint64_t seenVersion,
+                                         const RenewerBook &renewers, std::uint64_t appliedVersion,
                                          Instant now) const;
 
 private:
     struct Move
     {
-        /** The version, and by when, the assignment was committed that took the range. */
+        /** Version of the assignment that took the range from its previous owner. */
         std::uint64_t version = 0;
+        /** The commit of that assignment was not later than this. */
         Instant committedAt;
-        std::optional<Instant> askedAt;
+        std::optional<Instant> releaseSentAt;
         std::optional<std::string> handover;
         std::optional<Instant> releasedAt;
     };
-    /** By service, range and the sequence that took it; a new owner changes none of these. */
+    /** Service, range, and sequence that started the move; a new owner changes none of these. */
     using MoveKey = std::tuple<ServiceName, KeyPlace, KeyPlace, std::uint64_t>;
 
-    static MoveKey keyOf(const ServiceName &service, const OwnedRange &owned);
-    const Move *sameMove(const ServiceName &service, const OwnedRange &owned) const;
+    static MoveKey moveKey(const ServiceName &service, const OwnedRange &owned);
+    const Move *containingMove(const ServiceName &service, const OwnedRange &owned) const;
     static std::optional<Instant> settledSince(const Move &move, const ServiceName &service,
                                                const OwnedRange &owned, const RenewerBook &renewers,
-                                               std::uint64_t seenVersion, Instant now);
+                                               std::uint64_t appliedVersion, Instant now);
 
     std::map<ServiceName, KeyAssignment> m_assignments;
     std::map<MoveKey, Move> m_moves;
-    /** When each daemon was asked last, by service. */
-    std::map<std::pair<ServiceName, HostName>, Instant> m_askedDaemons;
+    /** When each daemon was last queried, by service. */
+    std::map<std::pair<ServiceName, HostName>, Instant> m_queriedAt;
 };
 
 } // namespace bulrush
--- a/src/libbulrush/process/keyrenewal.cpp
+++ b/src/libbulrush/process/keyrenewal.cpp
@@ -18,43 +18,43 @@
 
 void KeyRenewal::storeAnswered(Instant givenAt)
 {
-    if (!m_storeAnswered || givenAt - *m_storeAnswered > longestPause)
-        m_steadySince = givenAt;
-    m_storeAnswered = std::max(givenAt, m_storeAnswered.value_or(givenAt));
+    if (!m_lastStoreAnswer || givenAt - *m_lastStoreAnswer > maxStoreAnswerGap)
+        m_continuousSince = givenAt;
+    m_lastStoreAnswer = std::max(givenAt, m_lastStoreAnswer.value_or(givenAt));
 }
 
-bool KeyRenewal::isRenewed(const KnownServer &server) const
+bool KeyRenewal::shouldRenew(const KnownServer &server) const
 {
     return !server.goneSince && (m_isPlanner || server.record.domain == m_ownDomain);
 }
 
 void KeyRenewal::connectionMade(const ServerName &server, Instant now)
 {
-    const bool isStarting = now - m_start < m_timings.startSpan;
-    const auto known = m_doubts.find(server);
-    const Duration first = isStarting ? m_timings.recordNotice : m_timings.recordLapse;
-    Connection connection{now, known == m_doubts.end() ? first : known->second, {}};
+    const bool isStarting = now - m_start < m_timings.startupPeriod;
+    const auto suspect = m_suspectDurations.find(server);
+    const Duration first = isStarting ? m_timings.recordUpdateDelay : m_timings.recordExpiry;
+    Connection connection{now, suspect == m_suspectDurations.end() ? first : suspect->second, {}};
     if (m_isPlanner)
         connection.sequences = sequences();
-    // One that is known still, as the server had only closed it, has told nothing of the run.
+    // An existing entry stays: a connection that only the server closed does not imply a new run.
     m_connections.try_emplace(server, std::move(connection));
 }
 
 void KeyRenewal::connectionLost(const ServerName &server)
 {
-    addDoubt(server, m_timings.recordLapse);
+    dropConnection(server, m_timings.recordExpiry);
 }
 
 void KeyRenewal::connectionGivenUp(const ServerName &server)
 {
-    addDoubt(server, m_timings.recordNotice);
+    dropConnection(server, m_timings.recordUpdateDelay);
 }
 
-void KeyRenewal::addDoubt(const ServerName &server, Duration doubt)
+void KeyRenewal::dropConnection(const ServerName &server, Duration suspectDuration)
 {
     m_connections.erase(server);
-    Duration &known = m_doubts[server];
-    known = std::max(known, doubt);
+    Duration &longest = m_suspectDurations[server];
+    longest = std::max(longest, suspectDuration);
 }
 
 std::map<ServiceName, std::uint64_t> KeyRenewal::sequences() const
@@ -70,7 +70,7 @@
     const auto connection = m_connections.find(owned.owner);
     if (!mayRenew(now) || connection == m_connections.end())
         return false;
-    if (connection->second.isSure)
+    if (connection->second.isConfirmed)
         return true;
     if (connection->second.sequences) {
         const auto known = connection->second.sequences->find(service);
@@ -81,16 +81,16 @@
 }
 
 /** \pre mayRenew() */
-void KeyRenewal::judgeConnections()
+void KeyRenewal::confirmConnections()
 {
     for (auto &[server, connection] : m_connections) {
-        if (!connection.sequences && *m_storeAnswered >= connection.since)
+        if (!connection.sequences && *m_lastStoreAnswer >= connection.since)
             connection.sequences = sequences();
-        const Instant from = std::max(connection.since, m_steadySince);
-        if (connection.isSure || *m_storeAnswered - from < connection.doubt)
+        const Instant from = std::max(connection.since, m_continuousSince);
+        if (connection.isConfirmed || *m_lastStoreAnswer - from < connection.suspectDuration)
             continue;
-        connection.isSure = true;
-        m_doubts.erase(server);
+        connection.isConfirmed = true;
+        m_suspectDurations.erase(server);
     }
 }
 
@@ -99,18 +99,18 @@
     std::vector<SendGrant> grants;
     if (!mayRenew(now))
         return grants;
-    judgeConnections();
+    confirmConnections();
     std::map<GrantKey, Instant> sentAt;
     for (const auto &[service, assignment] : m_assignments) {
         for (const OwnedRange &owned : assignment.ranges) {
             const KnownServer *server = servers.find(owned.owner);
-            if (owned.isMoving() || !server || !isRenewed(*server)
+            if (owned.isMoving() || !server || !shouldRenew(*server)
                 || !mayGrant(service, owned, now))
                 continue;
             const GrantKey key{service, owned.range.first, owned.range.last, owned.owner,
                                owned.fence};
             const auto sent = m_sentAt.find(key);
-            if (sent != m_sentAt.end() && !isDueAgain(sent->second, now)) {
+            if (sent != m_sentAt.end() && !isRenewalDue(sent->second, now)) {
                 sentAt.insert(*sent);
                 continue;
             }
@@ -120,20 +120,21 @@
     }
     m_sentAt = std::move(sentAt);
     std::erase_if(m_connections, [&](const auto &entry) { return !servers.find(entry.first); });
-    std::erase_if(m_doubts, [&](const auto &entry) { return !servers.find(entry.first); });
+    std::erase_if(m_suspectDurations,
+                  [&](const auto &entry) { return !servers.find(entry.first); });
     return grants;
 }
 
 /** \pre mayRenew(now) */
-bool KeyRenewal::isDueAgain(Instant sentAt, Instant now) const
+bool KeyRenewal::isRenewalDue(Instant sentAt, Instant now) const
 {
-    const Instant lastFrom = *m_storeAnswered + m_timings.renewalRight - lastRound;
-    return now - sentAt >= m_timings.renewEvery || (now >= lastFrom && sentAt < lastFrom);
+    const Instant finalFrom = *m_lastStoreAnswer + m_timings.renewalValidity - finalRenewalPeriod;
+    return now - sentAt >= m_timings.renewalInterval || (now >= finalFrom && sentAt < finalFrom);
 }
 
 bool KeyRenewal::mayRenew(Instant now) const
 {
-    return m_storeAnswered && now - *m_storeAnswered < m_timings.renewalRight;
+    return m_lastStoreAnswer && now - *m_lastStoreAnswer < m_timings.renewalValidity;
 }
 
 } // namespace bulrush
--- a/src/libbulrush/process/keyrenewal.h
+++ b/src/libbulrush/process/keyrenewal.h
@@ -15,20 +15,22 @@
 namespace bulrush {
 
 /**
- * Which grants a daemon sends, and when. Renewing what an assignment says is idempotent: any daemon
- * may do it, so each renews the servers of its own failure domain and the planner renews all.
+ * Decides which grants a daemon sends, and when. Renewing the grants of an assignment is
+ * idempotent, so any daemon may do it: each renews the servers of its own failure domain, and the
+ * planner renews all servers.
  *
- * What keeps it safe: a daemon stops when it has not heard from the store for a while, as the
- * assignment may have changed meanwhile. A planner that can't reach the last owner of a range waits
- * out that time and the hold.
+ * A daemon stops renewing when the store has not answered it for a while, as the assignment may
+ * have changed meanwhile. A planner that cannot reach the last owner of a range waits until that
+ * time and the hold have passed.
  *
- * A server may end and start again under its name and at its address, and must not be granted what
- * its earlier run had under the fence of that one. Who renews it keeps a connection to it, which
- * leads to one run. Over a new connection nothing is granted that another run may have had, until
- * the record, which names the run, must have changed or lapsed if another one had answered.
+ * A server may restart under the same name and address. The new run must not be granted ranges of
+ * the earlier run under the fencing token of that run. A renewer therefore keeps a connection to
+ * the server, which always leads to the same run. Over a new connection it grants only what no
+ * other run can have held, until the record, which names the run, would have changed or expired if
+ * the connection led to another run.
  *
- * Not thread safe. Instants never go back, and are of a clock that runs while the host is
- * suspended.
+ * Not thread safe. Instants never decrease and come from a clock that keeps running while the host
+ * is suspended.
  */
 class KeyRenewal
 {
@@ -36,31 +38,33 @@
     /** \a start is the start of this run of the daemon. */
     KeyRenewal(DomainName ownDomain, Instant start, const KeyTimings &timings);
 
-    /** Takes in the assignments in force. */
+    /** Applies an assignment in force. */
     void setAssignment(const KeyAssignment &assignment);
 
-    /** Notes that the store told, at \a givenAt or later, that the assignment is as it was seen. */
+    /** Records that the store confirmed, at \a givenAt or later, that assignments are unchanged. */
     void storeAnswered(Instant givenAt);
 
-    /** Sets whether this daemon plans, and so renews the servers of all domains. */
+    /** Sets whether this daemon is the planner, which renews the servers of all domains. */
     void setPlanner(bool isPlanner);
 
-    /** \returns whether a connection to \a server is to be kept, though nothing is granted yet. */
-    bool isRenewed(const KnownServer &server) const;
+    /**
+     * \returns whether to keep a connection to \a server, even before anything is granted to it.
+     */
+    bool shouldRenew(const KnownServer &server) const;
 
     /** \returns whether there is a connection to \a server. */
     bool isConnected(const ServerName &server) const;
 
-    /** Notes that \a server was connected to. */
+    /** Records a new connection to \a server. */
     void connectionMade(const ServerName &server, Instant now);
 
-    /** Notes that the last connection to \a server has ended, or could not be made. */
+    /** Records that the last connection to \a server was closed, or could not be made. */
     void connectionLost(const ServerName &server);
 
-    /** Notes that the connection to \a server was given up, with a grant that got no answer. */
+    /** Records that the connection to \a server was reset because a grant got no answer. */
     void connectionGivenUp(const ServerName &server);
 
-    /** \returns the grants to send now; each counts as sent. */
+    /** \returns the grants that are due; each counts as sent. */
     std::vector<SendGrant> due(const ServerDirectory &servers, Instant now);
 
     /** \returns whether \a owned of \a service may be granted to its owner at \a now. */
@@ -70,38 +74,40 @@
     bool mayRenew(Instant now) const;
 
     /**
-     * Before the right to renew ends, all that is owned is granted once more within this time, so
-     * that keys live for a whole hold from there. Some rounds of the control loop.
+     * All ranges are granted once more within this period before the right to renew expires, so
+     * that servers hold their keys for a complete hold from then on. It spans several rounds of the
+     * control loop.
      */
-    static constexpr Duration lastRound = std::chrono::milliseconds{400};
+    static constexpr Duration finalRenewalPeriod = std::chrono::milliseconds{400};
     /**
-     * Answers of the store come every 1.2 s or sooner; after a longer pause it may have been away,
-     * and what servers could not write meanwhile is yet to come.
+     * The store answers at least every 1.2 s. After a longer gap it may have been unavailable, and
+     * records that servers could not write meanwhile may still be missing.
      */
-    static constexpr Duration longestPause = std::chrono::milliseconds{1800};
+    static constexpr Duration maxStoreAnswerGap = std::chrono::milliseconds{1800};
 
 private:
     using GrantKey = std::tuple<ServiceName, KeyPlace, KeyPlace, ServerName, std::uint64_t>;
 
-    /** The way to one run of a server. */
+    /** A connection to one run of a server. */
     struct Connection
     {
         Instant since;
-        /** For how long the run may be another one than its record names. */
-        Duration doubt{};
+        /** For this long the run may be a different one than the record names. */
+        Duration suspectDuration{};
         /**
-         * The assignments in force then: other runs can have been granted no later fence. Nothing
-         * until the store has shown them: a daemon may be behind, unless it makes them itself.
+         * Sequences of the assignments in force when the connection was made: no other run can have
+         * been granted a later fencing token. Empty until the store has answered after that, as a
+         * daemon other than the planner may have outdated assignments.
          */
         std::optional<std::map<ServiceName, std::uint64_t>> sequences;
-        /** It leads to the run that is recorded. */
-        bool isSure = false;
+        /** The connection is known to lead to the run that the record names. */
+        bool isConfirmed = false;
     };
 
-    bool isDueAgain(Instant sentAt, Instant now) const;
+    bool isRenewalDue(Instant sentAt, Instant now) const;
     std::map<ServiceName, std::uint64_t> sequences() const;
-    void judgeConnections();
-    void addDoubt(const ServerName &server, Duration doubt);
+    void confirmConnections();
+    void dropConnection(const ServerName &server, Duration suspectDuration);
 
     DomainName m_ownDomain;
     Instant m_start;
@@ -109,11 +115,11 @@
     std::map<ServiceName, KeyAssignment> m_assignments;
     std::map<GrantKey, Instant> m_sentAt;
     std::map<ServerName, Connection> m_connections;
-    /** How long the next connection to a server will be in doubt, where one has ended. */
-    std::map<ServerName, Duration> m_doubts;
-    std::optional<Instant> m_storeAnswered;
-    /** Since when the store has answered without a long pause. */
-    Instant m_steadySince;
+    /** For servers that lost a connection: how long the next one is suspect. */
+    std::map<ServerName, Duration> m_suspectDurations;
+    std::optional<Instant> m_lastStoreAnswer;
+    /** Since when the gaps between answers of the store have been at most maxStoreAnswerGap. */
+    Instant m_continuousSince;
     bool m_isPlanner = false;
 };
 
--- a/src/libbulrush/process/plannerlease.cpp
+++ b/src/libbulrush/process/plannerlease.cpp
@@ -6,51 +6,52 @@
 
 namespace {
 
-/** Daemons try for the planner's lease one after the other within this time. */
-constexpr std::uint64_t patienceSpreadMs = 400;
+/** The takeover delays of daemons are spread over this many milliseconds. */
+constexpr std::uint64_t takeoverDelaySpreadMs = 400;
 /**
- * With planning for 157 servers and the loads of 64 daemons, a host of a tenth of a core heard of
- * leaving servers 2.5 s after the first daemon (its log beside theirs).
+ * Hosts with fewer cores are weak. With planning for 157 servers and the loads of 64 daemons, a
+ * host with a tenth of a core received the news of departing servers 2.5 s after the first daemon
+ * did.
  */
-constexpr double leastProcessors = 0.15;
-/** How much longer hosts below that wait. */
-constexpr Duration weakPatience = std::chrono::milliseconds{800};
+constexpr double minProcessors = 0.15;
+/** Additional takeover delay of weak hosts. */
+constexpr Duration weakHostDelay = std::chrono::milliseconds{800};
 
 } // namespace
 
 Duration plannerPatience(std::uint64_t hash, double processors)
 {
-    const Duration own = std::chrono::milliseconds{hash % patienceSpreadMs};
-    return processors < leastProcessors ? own + weakPatience : own;
+    const Duration delay = std::chrono::milliseconds{hash % takeoverDelaySpreadMs};
+    return processors < minProcessors ? delay + weakHostDelay : delay;
 }
 
-PlannerLease::PlannerLease(Incarnation self, Endpoint address, Duration patience)
+PlannerLease::PlannerLease(Incarnation self, Endpoint address, Duration takeoverDelay)
     : m_self(std::move(self))
     , m_address(std::move(address))
-    , m_patience(patience)
+    , m_takeoverDelay(takeoverDelay)
 { }
 
-void PlannerLease::rowSeen(std::uint64_t version, const PlannerRow &row, Instant now)
+void PlannerLease::applyRow(std::uint64_t version, const PlannerRow &row, Instant now)
 {
-    if (m_isKnown && version <= m_version)
+    if (m_isRowKnown && version <= m_version)
         return;
-    m_isKnown = true;
+    m_isRowKnown = true;
     m_version = version;
     m_row = row;
     m_changedAt = now;
     if (row.holder != m_self)
         m_renewedAt.reset();
-    // A write whose answer was lost shows by its row. Sent at its earliest when it was asked for.
+    // The row shows that a write whose answer was lost was done. It was sent at m_sentAt or later.
     else if (m_pending && m_pending->row == row)
         m_renewedAt = m_sentAt;
 }
 
-void PlannerLease::writeEnded(RowWriteEnd end, std::uint64_t version, Instant now)
+void PlannerLease::handleWriteResult(RowWriteEnd result, std::uint64_t version, Instant now)
 {
     const std::optional<PlannerRowWrite> write = std::exchange(m_pending, std::nullopt);
-    if (end != RowWriteEnd::Done)
-        m_retryAt = now + retryEvery;
-    if (!write || end != RowWriteEnd::Done)
+    if (result != RowWriteEnd::Done)
+        m_retryAt = now + retryInterval;
+    if (!write || result != RowWriteEnd::Done)
         return;
     if (version > m_version) {
         m_version = version;
@@ -63,7 +64,7 @@
 
 std::optional<PlannerRowWrite> PlannerLease::advance(Instant now)
 {
-    if (!m_isKnown || m_pending || now < m_retryAt || !isDue(now))
+    if (!m_isRowKnown || m_pending || now < m_retryAt || !isDue(now))
         return std::nullopt;
     PlannerRow next{m_self, m_address, m_row.renewals + 1};
     if (m_isResigning)
@@ -75,7 +76,8 @@
 
 bool PlannerLease::isHeld(Instant now) const
 {
-    return !m_isResigning && m_row.holder == m_self && m_renewedAt && now - *m_renewedAt < tenure;
+    return !m_isResigning && m_row.holder == m_self && m_renewedAt
+        && now - *m_renewedAt < leaseDuration;
 }
 
 bool PlannerLease::isDue(Instant now) const
@@ -83,10 +85,10 @@
     if (m_isResigning)
         return m_row.holder == m_self;
     if (m_row.holder == m_self)
-        return now - m_changedAt >= renewEvery;
+        return now - m_changedAt >= renewalInterval;
     if (m_row.holder.isEmpty())
-        return now - m_changedAt >= m_patience;
-    return now - m_changedAt >= takeover + m_patience;
+        return now - m_changedAt >= m_takeoverDelay;
+    return now - m_changedAt >= takeoverTimeout + m_takeoverDelay;
 }
 
 } // namespace bulrush
--- a/src/libbulrush/process/plannerlease.h
+++ b/src/libbulrush/process/plannerlease.h
@@ -9,80 +9,85 @@
 
 namespace bulrush {
 
-/** The row that names the one daemon which plans. */
+/** The row that names the planner, the one daemon that plans assignments. */
 struct PlannerRow
 {
-    /** Empty after its holder has given it up. */
+    /** Empty after the holder has resigned. */
     Incarnation holder;
-    /** Where the holder takes the loads that other daemons saw. */
+    /** Receives the load samples of other daemons. */
     Endpoint address;
-    /** Counts renewals, so that each changes the row. */
+    /** Incremented by each renewal, so that each changes the row. */
     std::uint64_t renewals = 0;
 
     bool operator==(const PlannerRow &) const = default;
 };
 
-/** A write of the row, under the condition that it still has a version; 0: that there is none. */
+/** A conditional write of the row. */
 struct PlannerRowWrite
 {
+    /** The write is done only if the row has this version; 0: if there is no row. */
     std::uint64_t expectedVersion = 0;
     PlannerRow row;
 
     bool operator==(const PlannerRowWrite &) const = default;
 };
 
-/** How a write of the row ended. */
+/** Result of a conditional write of a row. */
 enum class RowWriteEnd {
     Done,
     Refused, ///< nothing was written
-    Unknown, ///< it may have been written, or be written later
+    Unknown, ///< the row may have been written, or may still be written later
 };
 
 /**
- * The lease on planning: a row that its holder renews. Whoever sees it unchanged for long enough
- * takes it over. The lease only keeps planners out of each other's way: what a planner commits is
- * bound to the version of this row, so that one who lost it can't commit.
+ * The lease on planning: a row that its holder renews. A daemon that sees the row unchanged for
+ * long enough takes the lease over. The lease only prevents contention between planners. Safety
+ * comes from the commits, which are conditional on the version of this row: a planner that has lost
+ * the lease cannot commit.
  *
- * Not thread safe. Instants never go back.
+ * Not thread safe. Instants never decrease.
  */
 class PlannerLease
 {
 public:
-    /** How often the holder renews: each renewal is a priced write that every daemon reads. */
-    static constexpr Duration renewEvery = std::chrono::milliseconds{1700};
-    /** For how long the holder plans after it sent the last renewal that was done. */
-    static constexpr Duration tenure = std::chrono::milliseconds{3600};
-    /** A row unchanged for this time may be taken over; above the tenure, whatever the clocks. */
-    static constexpr Duration takeover = std::chrono::milliseconds{3900};
+    /** Interval between renewals; each is a billed write that every daemon reads. */
+    static constexpr Duration renewalInterval = std::chrono::milliseconds{1700};
+    /** The holder may plan for this long after it sent the last renewal that was done. */
+    static constexpr Duration leaseDuration = std::chrono::milliseconds{3600};
+    /**
+     * A lease whose row is unchanged for this long may be taken over. Longer than leaseDuration, to
+     * allow for differing clock rates.
+     */
+    static constexpr Duration takeoverTimeout = std::chrono::milliseconds{3900};
 
-    /** A write that was not done is repeated after this: refused calls are priced as well. */
-    static constexpr Duration retryEvery = std::chrono::milliseconds{400};
+    /** Delay until a failed write is retried. Rejected calls to the store are billed, too. */
+    static constexpr Duration retryInterval = std::chrono::milliseconds{400};
 
-    /** \a patience, which differs between daemons, is waited for beyond the takeover time. */
-    PlannerLease(Incarnation self, Endpoint address, Duration patience);
+    /** \a takeoverDelay is added to the takeover timeout and differs between daemons. */
+    PlannerLease(Incarnation self, Endpoint address, Duration takeoverDelay);
 
-    /** Takes in the row as of \a version; 0 and an empty row if there is none. */
-    void rowSeen(std::uint64_t version, const PlannerRow &row, Instant now);
+    /** Applies the row as of \a version; 0 and an empty row mean that there is none. */
+    void applyRow(std::uint64_t version, const PlannerRow &row, Instant now);
 
-    /** Takes in the end of the write that advance() asked for. */
-    void writeEnded(RowWriteEnd end, std::uint64_t version, Instant now);
+    /** Handles the result of the write that advance() returned. */
+    void handleWriteResult(RowWriteEnd result, std::uint64_t version, Instant now);
 
-    /** \returns the write to send now, if any; no other is asked for until it has ended. */
+    /** \returns the write to send now, if any; none is due until the result of the last arrives. */
     std::optional<PlannerRowWrite> advance(Instant now);
 
-    /** Gives the lease up; afterwards none is taken. */
+    /** Gives up the lease permanently. */
     void resign();
 
     /** \returns whether this daemon may plan at \a now. */
     bool isHeld(Instant now) const;
 
-    /** \returns whether a write has not ended, so that the row's version may be changing. */
+    /** \returns whether a write is in flight, so that the version of the row may change. */
     bool isWriting() const;
 
-    /** \returns the row as it was last seen. */
+    /** \returns the row as of its last known version. */
     const PlannerRow &row() const;
 
-    /** \returns the version of the row that this daemon's commits are bound to. */
+    /** \returns the version of the row on which this daemon's commits are conditional. */
     std::uint64_t version() const;
 
 private:
@@ -90,16 +95,16 @@
 
     Incarnation m_self;
     Endpoint m_address;
-    Duration m_patience;
-    bool m_isKnown = false;
+    Duration m_takeoverDelay;
+    bool m_isRowKnown = false;
     std::uint64_t m_version = 0;
     PlannerRow m_row;
     Instant m_changedAt;
-    /** When the last renewal was sent that is known to be done. */
+    /** Send time of the last renewal that is known to be done. */
     std::optional<Instant> m_renewedAt;
     std::optional<PlannerRowWrite> m_pending;
     Instant m_sentAt;
-    /** After a write that was not done, or may not have been. */
+    /** Earliest retry after a write that failed, or may have failed. */
     Instant m_retryAt;
     bool m_isResigning = false;
 };
@@ -125,8 +130,9 @@
 }
 
 /**
- * \returns the patience of a daemon whose host's name has \a hash, on \a processors cores: daemons
- * try for the lease one after the other, those of weak hosts after all others. Thread safe.
+ * \returns the takeover delay of a daemon on a host with \a processors cores, whose name has \a
+ * hash. The delays make daemons try to take the lease one after the other, those on weak hosts
+ * last. Thread safe.
  */
 Duration plannerPatience(std::uint64_t hash, double processors);
 
--- a/src/libbulrush/process/renewerbook.cpp
+++ b/src/libbulrush/process/renewerbook.cpp
@@ -9,51 +9,51 @@
     : m_timings(timings)
 { }
 
-void RenewerBook::rowSeen(const HostName &host, const DaemonRow &row, std::uint64_t version)
+void RenewerBook::applyRow(const HostName &host, const DaemonRow &row, std::uint64_t version)
 {
     m_renewers[host] = {host, row, version, std::nullopt, std::nullopt};
 }
 
-void RenewerBook::rowGone(const HostName &host, Instant now)
+void RenewerBook::applyRowRemoval(const HostName &host, Instant now)
 {
     const auto renewer = m_renewers.find(host);
     if (renewer != m_renewers.end() && !renewer->second.goneSince)
         renewer->second.goneSince = now;
 }
 
-void RenewerBook::looked(Instant now)
+void RenewerBook::recordCheck(Instant now)
 {
-    const Duration gap = now - std::exchange(m_lookedAt, now);
-    if (gap < heldUp)
+    const Duration gap = now - std::exchange(m_checkedAt, now);
+    if (gap < stallThreshold)
         return;
     for (auto &[host, renewer] : m_renewers) {
-        if (renewer.silentSince)
-            renewer.silentSince = std::min(now, *renewer.silentSince + gap);
+        if (renewer.unansweredSince)
+            renewer.unansweredSince = std::min(now, *renewer.unansweredSince + gap);
     }
 }
 
-void RenewerBook::asked(const HostName &host, Instant now)
+void RenewerBook::recordQuery(const HostName &host, Instant now)
 {
     const auto renewer = m_renewers.find(host);
-    if (renewer != m_renewers.end() && !renewer->second.silentSince)
-        renewer->second.silentSince = now;
+    if (renewer != m_renewers.end() && !renewer->second.unansweredSince)
+        renewer->second.unansweredSince = now;
 }
 
-void RenewerBook::answered(const RenewerAnswer &answer, Instant now)
+void RenewerBook::recordAnswer(const RenewerAnswer &answer, Instant now)
 {
-    Word &word = m_words[{answer.host, answer.service}];
+    Answer &stored = m_answers[{answer.host, answer.service}];
     if (const auto renewer = m_renewers.find(answer.host); renewer != m_renewers.end())
-        renewer->second.silentSince.reset();
-    word.incarnation = answer.incarnation;
-    word.sequence = answer.sequence;
-    word.lastGrant.clear();
+        renewer->second.unansweredSince.reset();
+    stored.incarnation = answer.incarnation;
+    stored.sequence = answer.sequence;
+    stored.lastGrant.clear();
     for (const auto &[server, ago] : answer.lastGrantAgo)
-        word.lastGrant[server] = now - ago;
+        stored.lastGrant[server] = now - ago;
 }
 
-void RenewerBook::forgetAnswers()
+void RenewerBook::clearAnswers()
 {
-    m_words.clear();
+    m_answers.clear();
 }
 
 Instant RenewerBook::freeAt(const ServiceName &service, std::uint64_t sequence,
@@ -61,13 +61,15 @@
 {
     Instant lastGrant = committedAt - m_timings.hold;
     for (const auto &[host, renewer] : m_renewers) {
-        const Word *word = wordOf(renewer, service, sequence);
-        const bool isTold = word && word->lastGrant.contains(server);
-        const Instant heard = std::min(committedAt, renewer.goneSince.value_or(committedAt));
-        lastGrant =
-            std::max(lastGrant, isTold ? word->lastGrant.at(server) : heard + m_timings.silence());
+        const Answer *answer = currentAnswer(renewer, service, sequence);
+        const bool hasAnswered = answer && answer->lastGrant.contains(server);
+        const Instant unchangedUntil =
+            std::min(committedAt, renewer.goneSince.value_or(committedAt));
+        lastGrant = std::max(lastGrant,
+                             hasAnswered ? answer->lastGrant.at(server)
+                                         : unchangedUntil + m_timings.staleGrantPeriod());
     }
-    return lastGrant + m_timings.holdAtMost();
+    return lastGrant + m_timings.maxHold();
 }
 
 std::vector<Renewer> RenewerBook::lost(Instant now) const
@@ -78,13 +80,14 @@
         if (renewer.goneSince)
             continue;
         ++known;
-        if (renewer.silentSince && now - *renewer.silentSince >= silenceLimit)
+        if (renewer.unansweredSince && now - *renewer.unansweredSince >= lostTimeout)
             silent.push_back(renewer);
     }
-    const bool isDoubtful = silent.size() >= doubtfulCount && silent.size() * doubtfulPart > known;
-    if (isDoubtful) {
+    const bool areManySilent =
+        silent.size() >= massSilenceMinCount && silent.size() * massSilenceDivisor > known;
+    if (areManySilent) {
         std::erase_if(silent, [now](const Renewer &renewer) {
-            return now - *renewer.silentSince < doubtfulSilence;
+            return now - *renewer.unansweredSince < massLostTimeout;
         });
     }
     return silent;
@@ -93,27 +96,28 @@
 bool RenewerBook::isBehind(const HostName &host, const ServiceName &service,
                            std::uint64_t sequence) const
 {
-    const auto word = m_words.find({host, service});
-    return word != m_words.end() && word->second.sequence < sequence;
+    const auto answer = m_answers.find({host, service});
+    return answer != m_answers.end() && answer->second.sequence < sequence;
 }
 
-void RenewerBook::forgetGone(Instant now)
+void RenewerBook::removeExpired(Instant now)
 {
-    const Duration effect = m_timings.silence() + m_timings.holdAtMost();
+    const Duration maxEffect = m_timings.staleGrantPeriod() + m_timings.maxHold();
     std::erase_if(m_renewers, [&](const auto &entry) {
-        return entry.second.goneSince && now - *entry.second.goneSince > effect;
+        return entry.second.goneSince && now - *entry.second.goneSince > maxEffect;
     });
 }
 
-/** \returns what \a renewer said, if it knows the assignment \a sequence. */
-const RenewerBook::Word *RenewerBook::wordOf(const Renewer &renewer, const ServiceName &service,
-                                             std::uint64_t sequence) const
+/** \returns the last answer of this run of \a renewer if it is based on \a sequence or later. */
+const RenewerBook::Answer *RenewerBook::currentAnswer(const Renewer &renewer,
+                                                      const ServiceName &service,
+                                                      std::uint64_t sequence) const
 {
-    const auto word = m_words.find({renewer.host, service});
-    if (word == m_words.end() || word->second.incarnation != renewer.row.incarnation
-        || word->second.sequence < sequence)
+    const auto answer = m_answers.find({renewer.host, service});
+    if (answer == m_answers.end() || answer->second.incarnation != renewer.row.incarnation
+        || answer->second.sequence < sequence)
         return nullptr;
-    return &word->second;
+    return &answer->second;
 }
 
 } // namespace bulrush
--- a/src/libbulrush/process/renewerbook.h
+++ b/src/libbulrush/process/renewerbook.h
@@ -18,130 +18,132 @@
 struct DaemonRow
 {
     Incarnation incarnation;
-    /** Where it takes messages of other daemons. */
+    /** Receives messages of other daemons. */
     Endpoint address;
     DomainName domain = {};
-    /** What its host has of processors, in cores. */
+    /** CPU capacity of its host, in cores. */
     double processors = 1.0;
 
     bool operator==(const DaemonRow &) const = default;
 };
 
-/** A daemon that may renew grants, by its row. */
+/** A daemon that may renew grants, and its row. */
 struct Renewer
 {
     HostName host;
     DaemonRow row;
     std::uint64_t version = 0;
-    /** Since when it has no row; it may not have heard of that yet. */
+    /** Set once its row is removed, which the daemon itself may not have received yet. */
     std::optional<Instant> goneSince;
-    /** Since when it has not answered, if it was asked. */
-    std::optional<Instant> silentSince;
+    /** Time of the first query since its last answer, if there is one. */
+    std::optional<Instant> unansweredSince;
 };
 
-/** A daemon's word on the grants that it may have sent to some servers. */
+/** The answer of a daemon about the grants that it may have sent to some servers. */
 struct RenewerAnswer
 {
     HostName host;
     Incarnation incarnation;
     ServiceName service;
-    /** Of the assignment that it goes by from now on. */
+    /** Sequence of the assignment that the daemon uses from now on. */
     std::uint64_t sequence = 0;
     /**
-     * How long ago the last grant to each server came there at the latest; negative while one may
-     * still come. At most since this daemon's start, as earlier runs on its host may have sent one
-     * until then.
+     * Minimum age of the last grant that arrived at each server; negative while one may still
+     * arrive. Never longer than the time since the daemon's start, as an earlier run on its host
+     * may have sent a grant until then.
      */
     std::map<ServerName, Duration> lastGrantAgo;
 };
 
 /**
- * Who may renew grants, and what they said: from which the planner knows how long a server that
- * does not answer can hold keys. A daemon that knows a later assignment grants the ranges that were
- * taken no more; one that says nothing stops after a while by itself, as it hears nothing of the
- * store.
+ * The daemons that may renew grants, and their answers. From these the planner computes how long a
+ * server that does not answer can hold keys. A daemon that has the later assignment no longer
+ * grants the ranges that were taken from the server. A daemon that does not answer stops granting
+ * by itself after a while, as it gets no answers from the store.
  *
- * Not thread safe. Instants never go back.
+ * Not thread safe. Instants never decrease.
  */
 class RenewerBook
 {
 public:
-    /** Three questions in a row without an answer. */
-    static constexpr Duration silenceLimit = std::chrono::milliseconds{2000};
+    /** A daemon without an answer for this long is lost. Corresponds to three queries in a row. */
+    static constexpr Duration lostTimeout = std::chrono::milliseconds{2000};
     /**
-     * The same where many are silent at once: the cause is then more likely with who asks.
+     * The same if many daemons are silent at once: the cause is then more likely at the daemon that
+     * sends the queries.
      */
-    static constexpr Duration doubtfulSilence = std::chrono::milliseconds{6000};
-    /** Many: this part of all, one in so many, and at least so many. */
-    static constexpr std::size_t doubtfulPart = 4;
-    static constexpr std::size_t doubtfulCount = 3;
+    static constexpr Duration massLostTimeout = std::chrono::milliseconds{6000};
+    /** Many: more than one in massSilenceDivisor of all, and at least massSilenceMinCount. */
+    static constexpr std::size_t massSilenceDivisor = 4;
+    static constexpr std::size_t massSilenceMinCount = 3;
     /**
-     * Whoever looks less often than this was held up, and may have answers that it has not read:
-     * daemons look at what is due every 100 ms.
+     * A daemon whose checks are at least this far apart was stalled, and may have unread answers:
+     * daemons normally check for due actions every 100 ms.
      */
-    static constexpr Duration heldUp = std::chrono::milliseconds{300};
+    static constexpr Duration stallThreshold = std::chrono::milliseconds{300};
 
     explicit RenewerBook(const KeyTimings &timings);
 
-    /** Takes in the row of \a host. */
-    void rowSeen(const HostName &host, const DaemonRow &row, std::uint64_t version);
+    /** Applies the row of \a host. */
+    void applyRow(const HostName &host, const DaemonRow &row, std::uint64_t version);
 
-    /** Notes that \a host has no row any more; it is still reckoned with for a while. */
-    void rowGone(const HostName &host, Instant now);
+    /** Applies the removal of the row of \a host; the daemon is still considered for a while. */
+    void applyRowRemoval(const HostName &host, Instant now);
 
     /**
-     * Notes that answers are being taken in at \a now: what passes between two calls beyond heldUp
-     * is not counted as anybody's silence. To be called before lost().
+     * Records a check at \a now. A gap between two checks of at least stallThreshold does not count
+     * as silence of any daemon. To be called before lost().
      */
-    void looked(Instant now);
+    void recordCheck(Instant now);
 
-    /** Notes that \a host is asked. */
-    void asked(const HostName &host, Instant now);
+    /** Records that a query is sent to \a host. */
+    void recordQuery(const HostName &host, Instant now);
 
-    /** Takes in what a daemon said, in an answer that came at \a now. */
-    void answered(const RenewerAnswer &answer, Instant now);
+    /** Records the answer of a daemon, which arrived at \a now. */
+    void recordAnswer(const RenewerAnswer &answer, Instant now);
 
-    /** Forgets what was said, when this daemon stops planning. */
-    void forgetAnswers();
+    /** Discards all answers; for when this daemon starts or stops planning. */
+    void clearAnswers();
 
     /**
-     * \returns from when on \a server can't hold keys of \a service that the assignment \a sequence
-     * took from it, which was committed by \a committedAt. It may get earlier as daemons answer.
+     * \returns the instant from which \a server can no longer hold keys of \a service that the
+     * assignment \a sequence took from it, which was committed at \a committedAt or earlier.
+     * Answers of daemons may make the instant earlier.
      */
     Instant freeAt(const ServiceName &service, std::uint64_t sequence, const ServerName &server,
                    Instant committedAt) const;
 
     /**
-     * \returns the daemons that have not answered for silenceLimit, or for doubtfulSilence if they
-     * are many: their rows only make everybody wait. One that lives sees that it has none, and
-     * writes another.
+     * \returns the daemons that have not answered for lostTimeout, or for massLostTimeout if they
+     * are many. Their rows only delay moves. A running daemon notices that its row was removed, and
+     * writes a new one.
      */
     std::vector<Renewer> lost(Instant now) const;
 
-    /** \returns whether \a host said last that it goes by an assignment before \a sequence. */
+    /** \returns whether the last answer of \a host is based on an assignment before \a sequence. */
     bool isBehind(const HostName &host, const ServiceName &service, std::uint64_t sequence) const;
 
-    /** Forgets daemons that have no row and can't have any effect any more. */
-    void forgetGone(Instant now);
+    /** Erases daemons that have no row and whose grants can no longer have any effect. */
+    void removeExpired(Instant now);
 
     const std::map<HostName, Renewer> &renewers() const;
 
 private:
-    struct Word
+    struct Answer
     {
         Incarnation incarnation;
         std::uint64_t sequence = 0;
-        /** Never earlier than the last grant came to the server. */
+        /** Latest possible arrival of the last grant at each server. */
         std::map<ServerName, Instant> lastGrant;
     };
 
-    const Word *wordOf(const Renewer &renewer, const ServiceName &service,
-                       std::uint64_t sequence) const;
+    const Answer *currentAnswer(const Renewer &renewer, const ServiceName &service,
+                                std::uint64_t sequence) const;
 
     KeyTimings m_timings;
     std::map<HostName, Renewer> m_renewers;
-    std::map<std::pair<HostName, ServiceName>, Word> m_words;
-    Instant m_lookedAt;
+    std::map<std::pair<HostName, ServiceName>, Answer> m_answers;
+    Instant m_checkedAt;
 };
 
 inline const std::map<HostName, Renewer> &RenewerBook::renewers() const
--- a/src/libbulrush/process/serverdirectory.cpp
+++ b/src/libbulrush/process/serverdirectory.cpp
@@ -29,11 +29,11 @@
     KnownServer &server = place->second;
     if (isNew) {
         server.firstSeen = now;
-        endEarlierRuns(record, now);
+        supersedeEarlierRuns(record, now);
     }
     server.record = record;
-    if (server.hasEnded || server.laterRun)
-        return; // a record that is late
+    if (server.hasStopped || server.laterRun)
+        return; // an outdated record
     server.goneSince.reset();
     server.missingSince.reset();
     if (!record.isDraining)
@@ -42,8 +42,8 @@
         server.drainsAfter = unchangedUntil;
 }
 
-/** Of a server one run is up at a time. */
-void ServerDirectory::endEarlierRuns(const ServerRecord &record, Instant now)
+/** Marks earlier runs as superseded: only one run of a server is up at a time. */
+void ServerDirectory::supersedeEarlierRuns(const ServerRecord &record, Instant now)
 {
     for (auto &[id, server] : m_servers) {
         if (!server.record.isOtherRunOf(record))
@@ -77,9 +77,9 @@
 bool ServerDirectory::noteEnded(const ServerName &id, Instant now)
 {
     const auto place = m_servers.find(id);
-    if (place == m_servers.end() || place->second.hasEnded)
+    if (place == m_servers.end() || place->second.hasStopped)
         return false;
-    place->second.hasEnded = true;
+    place->second.hasStopped = true;
     if (!place->second.goneSince)
         place->second.goneSince = now;
     return true;
@@ -89,13 +89,14 @@
 {
     bool hasChanged = false;
     for (auto &[id, server] : m_servers) {
-        if (server.goneSince || !server.missingSince || now - *server.missingSince < reappearance)
+        if (server.goneSince || !server.missingSince
+            || now - *server.missingSince < reappearanceTimeout)
             continue;
         server.goneSince = now;
         hasChanged = true;
     }
     std::erase_if(m_servers, [now](const auto &entry) {
-        return entry.second.goneSince && now - *entry.second.goneSince > memory;
+        return entry.second.goneSince && now - *entry.second.goneSince > removedRetention;
     });
     return hasChanged;
 }
--- a/src/libbulrush/process/serverdirectory.h
+++ b/src/libbulrush/process/serverdirectory.h
@@ -9,32 +9,35 @@
 
 namespace bulrush {
 
-/** A backend server as this daemon knows it. */
+/** A backend server and its state as far as this daemon has received it. */
 struct KnownServer
 {
     ServerRecord record;
     Instant firstSeen;
-    /** Set while it drains: the last instant at which it was known not to. */
+    /** Set while it drains: the last instant at which it was known not to drain. */
     std::optional<Instant> drainsAfter;
-    /** Since when its record is gone; it may still serve, but gets nothing any more. */
+    /** Set once its record is removed; it may still serve, but gets no more work or keys. */
     std::optional<Instant> goneSince;
-    /** Another server answers at its address, which is given away only after its server has ended.
+    /**
+     * Another server answers at its address, which is reassigned only after a server has stopped.
      */
-    bool hasEnded = false;
+    bool hasStopped = false;
     /**
-     * A later run of the same server has a record, so that this one has ended. Orders that were
-     * meant for this run may have come to the later one, which can't tell.
+     * Set once a later run of the same server has a record, which means that this run has stopped.
+     * Calls meant for this run may have reached the later one, which cannot distinguish them.
      */
     std::optional<ServerName> laterRun;
-    /** Missing since the store came back; gone for good unless it reports in time. */
+    /**
+     * Set while its record is missing after a store outage; removed unless it reappears in time.
+     */
     std::optional<Instant> missingSince;
 
-    /** \returns whether it may be given work and keys. */
+    /** \returns whether it may get work and keys. */
     bool isReady() const;
 };
 
 /**
- * The backend servers by the records that they keep in the store.
+ * The backend servers according to the records that they maintain in the store.
  *
  * Not thread safe.
  */
@@ -42,53 +45,53 @@
 {
 public:
     /**
-     * How long a record may stay missing after an outage of the store: servers that live write
-     * theirs anew within about two seconds.
+     * A record may be missing for this long after an outage of the store: running servers rewrite
+     * their records within about two seconds.
      */
-    static constexpr Duration reappearance = std::chrono::milliseconds{2200};
-    /** How long a server whose record is gone is remembered, so that its keys can be released. */
-    static constexpr Duration memory = std::chrono::seconds{30};
+    static constexpr Duration reappearanceTimeout = std::chrono::milliseconds{2200};
+    /** Servers without a record are retained for this long, so that their keys can be released. */
+    static constexpr Duration removedRetention = std::chrono::seconds{30};
 
     /**
-     * Takes in all records there are. \a isAfterOutage tells that the store was away, so that
-     * records may have lapsed of servers that live. At \a unchangedUntil they were all as they
-     * were known before.
+     * Applies the complete set of records. \a isAfterOutage means that the store was unavailable,
+     * so that records of running servers may have expired. Until \a unchangedUntil all records were
+     * as applied before.
      */
     void takeAll(std::span<const ServerRecord> records, bool isAfterOutage, Instant now,
                  Instant unchangedUntil);
 
     /**
-     * Takes in one new or changed record, which had not changed at \a unchangedUntil. Earlier runs
-     * of the same server have ended.
+     * Applies a new or changed record, which had not changed until \a unchangedUntil. Earlier runs
+     * of the same server have stopped.
      */
     void take(const ServerRecord &record, Instant now, Instant unchangedUntil);
 
-    /** Notes that the record that bears \a recordName was removed, or can't be read any more. */
+    /** Applies that the record named \a recordName was removed, or is no longer readable. */
     void remove(const ServerName &recordName, Instant now);
 
     /**
-     * Notes that the server \a id has ended, though its record may still be there: another answers
-     * at its address. \returns whether that is news.
+     * Records that the server \a id has stopped, because another one answers at its address, even
+     * if its record still exists. \returns whether this was not recorded before.
      */
     bool noteEnded(const ServerName &id, Instant now);
 
-    /** Ends the waits that are over. \returns whether a server is gone by that. */
+    /** Handles expired timeouts. \returns whether a server was removed by that. */
     bool advance(Instant now);
 
-    /** \returns the server \a id, gone or not, or null. Valid until the next change. */
+    /** \returns the server \a id, removed or not, or null. Valid until the next change. */
     const KnownServer *find(const ServerName &id) const;
 
     /**
-     * \returns the run of the server \a id that is up now, as far as that is known: that one, or
-     * the latest; null if it is not known. Valid until the next change.
+     * \returns the latest known run of the server whose run is \a id, which may be that run itself;
+     * null if \a id is unknown. Valid until the next change.
      */
     const KnownServer *latestRunOf(const ServerName &id) const;
 
-    /** \returns all servers by id, those among them whose records are gone. */
+    /** \returns all servers by id, including those whose records are removed. */
     const std::map<ServerName, KnownServer> &servers() const;
 
 private:
-    void endEarlierRuns(const ServerRecord &record, Instant now);
+    void supersedeEarlierRuns(const ServerRecord &record, Instant now);
 
     std::map<ServerName, KnownServer> m_servers;
 };
--- a/tests/keydecisions/test_daemonrows.cpp
+++ b/tests/keydecisions/test_daemonrows.cpp
@@ -29,7 +29,7 @@
     return 10 + index;
 }
 
-/** One daemon's part, with the other daemons' rows. */
+/** A coordinator and the rows that it receives. */
 struct Fixture
 {
     KeyCoordinator coordinator{{self, run, DomainName{"a"}, {"10.0.0.1", 80}, 0ms}, start};
@@ -37,13 +37,13 @@
     std::vector<ServiceName> keyed{service};
     Instant now = start;
 
-    std::vector<KeyAction> advance(Duration span)
+    std::vector<KeyAction> advance(Duration duration)
     {
-        now += span;
+        now += duration;
         return coordinator.advance(servers, keyed, now);
     }
 
-    void takeRows()
+    void applyRows()
     {
         coordinator.plannerRowSeen(0, {}, now);
         coordinator.rowsSeen(rowsVersion);
@@ -59,7 +59,7 @@
         return nullptr;
     }
 
-    /** Writes the daemon's row, as \a version. */
+    /** Lets the daemon write its row, as \a version. */
     void registerSelf(std::uint64_t version)
     {
         const std::vector<KeyAction> actions = advance(100ms);
@@ -71,14 +71,14 @@
     }
 };
 
-/** The planner of \a daemons other daemons, which waits for a server that does not answer. */
+/** A planner with \a daemons other daemons that waits for a server without an answer. */
 struct PlannerFixture : Fixture
 {
     std::size_t daemons = 80;
 
-    void plan()
+    void startPlanning()
     {
-        takeRows();
+        applyRows();
         for (std::size_t i = 0; i < daemons; ++i)
             coordinator.daemonRowSeen(
                 hostOf(i), versionOf(i),
@@ -104,7 +104,7 @@
                                     now);
     }
 
-    /** Renews the planner's lease if it is due, as the store would grant it. */
+    /** Confirms the renewal of the planner's lease if one is among \a actions. */
     void renewLease(const std::vector<KeyAction> &actions)
     {
         for (const KeyAction &action : actions) {
@@ -114,11 +114,13 @@
         }
     }
 
-    /** Plays \a span in which the first \a answering daemons answer. \returns all removals. */
-    std::vector<RemoveDaemonRows> removalsWithin(Duration span, std::size_t answering)
+    /**
+     * Simulates \a duration, while the first \a answering daemons answer. \returns all removals.
+     */
+    std::vector<RemoveDaemonRows> removalsWithin(Duration duration, std::size_t answering)
     {
         std::vector<RemoveDaemonRows> removals;
-        for (const Instant end = now + span; now < end;) {
+        for (const Instant end = now + duration; now < end;) {
             const std::vector<KeyAction> actions = advance(100ms);
             renewLease(actions);
             for (const KeyAction &action : actions) {
@@ -134,9 +136,9 @@
 
 } // namespace
 
-BOOST_FIXTURE_TEST_CASE(whoLostItsRowWritesItAnewWithOneCall, Fixture)
+BOOST_FIXTURE_TEST_CASE(rewritesALostRowWithOneCall, Fixture)
 {
-    takeRows();
+    applyRows();
     registerSelf(50);
     coordinator.daemonRowSeen(self, 60, std::nullopt, now);
     const std::vector<KeyAction> actions = advance(5s);
@@ -145,27 +147,28 @@
     BOOST_TEST(write->expectedVersion == 0U);
 }
 
-BOOST_FIXTURE_TEST_CASE(aRowThatCantBeWrittenIsTriedMoreAndMoreSeldom, Fixture)
+BOOST_FIXTURE_TEST_CASE(backsOffWhenTheRowCannotBeWritten, Fixture)
 {
-    takeRows();
-    int tries = 0;
+    applyRows();
+    int attempts = 0;
     for (int i = 0; i < 300; ++i) {
         const std::vector<KeyAction> actions = advance(100ms);
         if (!registration(actions))
             continue;
-        ++tries;
+        ++attempts;
         coordinator.daemonRowWritten(RowWriteEnd::Refused, 0, now);
     }
-    // Half a second at first, then twice as long each time up to 8 s: 6 to 8 in half a minute.
-    BOOST_TEST(tries <= 9);
-    BOOST_TEST(tries >= 5);
+    // The delay starts at 0.5 s and doubles up to 8 s, which gives 6 to 8 attempts in half a
+    // minute.
+    BOOST_TEST(attempts <= 9);
+    BOOST_TEST(attempts >= 5);
 }
 
-BOOST_FIXTURE_TEST_CASE(aPlannerThatWasHeldUpTakesNobodyForLost, PlannerFixture)
+BOOST_FIXTURE_TEST_CASE(stalledPlannerConsidersNoDaemonLost, PlannerFixture)
 {
-    plan();
+    startPlanning();
     BOOST_TEST(removalsWithin(500ms, daemons).empty());
-    // Questions are out; then the planner's host stands still, and answers wait unread.
+    // Queries are in flight when the planner's host freezes, so that answers stay unread.
     removalsWithin(500ms, daemons - 15);
     const std::vector<KeyAction> actions = advance(1900ms);
     BOOST_TEST(coordinator.isPlanning());
@@ -175,27 +178,27 @@
     BOOST_TEST(removalsWithin(5s, daemons).empty());
 }
 
-BOOST_FIXTURE_TEST_CASE(thatManyAreSilentAtOnceIsDoubted, PlannerFixture)
+BOOST_FIXTURE_TEST_CASE(doesNotRemoveManySilentDaemonsSoon, PlannerFixture)
 {
-    plan();
-    // More likely the planner's own way is blocked: that lasts longer than it takes to be sure of
-    // one daemon.
+    startPlanning();
+    // The planner's own connection is the more likely cause, so the timeout is longer than for a
+    // single daemon.
     BOOST_TEST(removalsWithin(4s, daemons / 2).empty());
 }
 
-BOOST_FIXTURE_TEST_CASE(rowsOfTheLostAreRemovedInOneCall, PlannerFixture)
+BOOST_FIXTURE_TEST_CASE(removesRowsOfLostDaemonsInOneCall, PlannerFixture)
 {
-    plan();
+    startPlanning();
     const std::vector<RemoveDaemonRows> removals = removalsWithin(3500ms, daemons - 15);
     BOOST_REQUIRE(removals.size() == 1U);
     BOOST_TEST(removals.front().rows.size() == 15U);
     BOOST_TEST(removals.front().plannerVersion > rowsVersion);
 }
 
-BOOST_FIXTURE_TEST_CASE(removalsThatFailAreTriedMoreAndMoreSeldom, PlannerFixture)
+BOOST_FIXTURE_TEST_CASE(backsOffWhenRemovalsFail, PlannerFixture)
 {
-    plan();
-    int tries = 0;
+    startPlanning();
+    int attempts = 0;
     for (const Instant end = now + 20s; now < end;) {
         const std::vector<KeyAction> actions = advance(100ms);
         renewLease(actions);
@@ -204,10 +207,10 @@
         for (const KeyAction &action : actions) {
             if (!std::holds_alternative<RemoveDaemonRows>(action))
                 continue;
-            ++tries;
+            ++attempts;
             coordinator.daemonRowsRemoved(RowWriteEnd::Refused, now);
         }
     }
-    BOOST_TEST(tries >= 3);
-    BOOST_TEST(tries <= 8);
+    BOOST_TEST(attempts >= 3);
+    BOOST_TEST(attempts <= 8);
 }
--- a/tests/keydecisions/test_keyrenewal.cpp
+++ b/tests/keydecisions/test_keyrenewal.cpp
@@ -15,7 +15,7 @@
 const ServiceName service{"s"};
 constexpr std::size_t servers = 40;
 
-/** Servers of the own domain, and a few of another one. */
+/** Servers of the daemon's own failure domain, and a few of another one. */
 struct Fixture
 {
     ServerDirectory directory;
@@ -34,7 +34,7 @@
             assignment.ranges.push_back({{first, first + 99}, id, 1, {}, {}, 0});
         }
         renewal.setAssignment(assignment);
-        // Connected for long, with a store that answers.
+        // All servers are connected for a long time, and the store answers.
         for (Duration before = 9s; before >= 1s; before -= 1s)
             renewal.storeAnswered(now - before);
         for (const OwnedRange &owned : assignment.ranges)
@@ -42,19 +42,19 @@
         renewal.storeAnswered(now);
     }
 
-    /** \returns how many ranges are granted within \a span while the store answers. */
-    std::size_t grantedWithin(Duration from, Duration span)
+    /** \returns the number of grants sent within \a duration while the store answers. */
+    std::size_t grantsWithin(Duration from, Duration duration)
     {
         std::size_t count = 0;
-        for (Duration passed = from; passed < from + span; passed += 100ms) {
+        for (Duration passed = from; passed < from + duration; passed += 100ms) {
             renewal.storeAnswered(now + passed);
             count += renewal.due(directory, now + passed).size();
         }
         return count;
     }
 
-    /** Leaves the first server of the own domain alone in the assignment. */
-    ServerName onlyOne()
+    /** Reduces the assignment to the range of the first server of the own domain. */
+    ServerName keepOneServer()
     {
         assignment.ranges = {assignment.ranges[1]};
         renewal.setAssignment(assignment);
@@ -64,73 +64,73 @@
 
 } // namespace
 
-BOOST_FIXTURE_TEST_CASE(theServersOfTheOwnDomainAreRenewed, Fixture)
+BOOST_FIXTURE_TEST_CASE(renewsServersOfTheOwnDomain, Fixture)
 {
     BOOST_TEST(renewal.due(directory, now).size() == 30U);
 }
 
-BOOST_FIXTURE_TEST_CASE(thePlannerRenewsAll, Fixture)
+BOOST_FIXTURE_TEST_CASE(plannerRenewsAllServers, Fixture)
 {
     renewal.setPlanner(true);
     BOOST_TEST(renewal.due(directory, now).size() == servers);
 }
 
-BOOST_FIXTURE_TEST_CASE(allIsGrantedOnceMoreBeforeTheRightEnds, Fixture)
+BOOST_FIXTURE_TEST_CASE(grantsAllRangesOnceMoreBeforeTheRightExpires, Fixture)
 {
     Instant last;
     for (Duration passed{}; passed < 6s; passed += 100ms) {
         if (!renewal.due(directory, now + passed).empty())
             last = now + passed;
     }
-    const Instant end = now + timings.renewalRight;
+    const Instant end = now + timings.renewalValidity;
     BOOST_TEST((last < end));
-    BOOST_TEST((last >= end - KeyRenewal::lastRound));
+    BOOST_TEST((last >= end - KeyRenewal::finalRenewalPeriod));
 }
 
-BOOST_FIXTURE_TEST_CASE(aServerWhoseConnectionWasLostIsGrantedOnceItsRecordHasStood, Fixture)
+BOOST_FIXTURE_TEST_CASE(grantsOverANewConnectionOnceTheRecordIsConfirmed, Fixture)
 {
-    const ServerName server = onlyOne();
+    const ServerName server = keepOneServer();
     renewal.connectionLost(server);
-    BOOST_TEST(grantedWithin(0s, 1s) == 0U);
+    BOOST_TEST(grantsWithin(0s, 1s) == 0U);
     renewal.connectionMade(server, now + 1s);
-    BOOST_TEST(grantedWithin(1s, timings.recordLapse) == 0U);
-    BOOST_TEST(grantedWithin(1s + timings.recordLapse, 1s) == 1U);
+    BOOST_TEST(grantsWithin(1s, timings.recordExpiry) == 0U);
+    BOOST_TEST(grantsWithin(1s + timings.recordExpiry, 1s) == 1U);
 }
 
-BOOST_FIXTURE_TEST_CASE(aGrantWithoutAnAnswerCastsAShortDoubt, Fixture)
+BOOST_FIXTURE_TEST_CASE(unansweredGrantMakesTheConnectionBrieflySuspect, Fixture)
 {
-    const ServerName server = onlyOne();
+    const ServerName server = keepOneServer();
     renewal.connectionGivenUp(server);
     renewal.connectionMade(server, now);
-    BOOST_TEST(grantedWithin(0s, timings.recordNotice) == 0U);
-    BOOST_TEST(grantedWithin(timings.recordNotice, 1s) == 1U);
+    BOOST_TEST(grantsWithin(0s, timings.recordUpdateDelay) == 0U);
+    BOOST_TEST(grantsWithin(timings.recordUpdateDelay, 1s) == 1U);
 }
 
-BOOST_FIXTURE_TEST_CASE(whatAnOutageOfTheStoreHidesIsWaitedFor, Fixture)
+BOOST_FIXTURE_TEST_CASE(storeOutageExtendsTheSuspectPeriod, Fixture)
 {
-    const ServerName server = onlyOne();
+    const ServerName server = keepOneServer();
     renewal.connectionLost(server);
     renewal.connectionMade(server, now);
-    // No answer for 3 s: a run that started meanwhile could not write its record.
-    BOOST_TEST(grantedWithin(3s, timings.recordLapse) == 0U);
-    BOOST_TEST(grantedWithin(3s + timings.recordLapse, 1s) == 1U);
+    // The store does not answer for 3 s, so that a run started meanwhile cannot write its record.
+    BOOST_TEST(grantsWithin(3s, timings.recordExpiry) == 0U);
+    BOOST_TEST(grantsWithin(3s + timings.recordExpiry, 1s) == 1U);
 }
 
-BOOST_FIXTURE_TEST_CASE(aFenceThatNoOtherRunCanHaveIsGrantedAtOnce, Fixture)
+BOOST_FIXTURE_TEST_CASE(grantsAFenceThatNoOtherRunCanHaveAtOnce, Fixture)
 {
-    const ServerName server = onlyOne();
+    const ServerName server = keepOneServer();
     renewal.connectionLost(server);
     renewal.connectionMade(server, now);
-    BOOST_TEST(grantedWithin(0s, 200ms) == 0U);
+    BOOST_TEST(grantsWithin(0s, 200ms) == 0U);
     assignment.sequence = 2;
     assignment.ranges[0].fence = 2;
     renewal.setAssignment(assignment);
-    BOOST_TEST(grantedWithin(200ms, 200ms) == 1U);
+    BOOST_TEST(grantsWithin(200ms, 200ms) == 1U);
 }
 
-BOOST_FIXTURE_TEST_CASE(aConnectionThatTheServerOnlyClosedCastsNoDoubt, Fixture)
+BOOST_FIXTURE_TEST_CASE(reconnectWithoutLossIsNotSuspect, Fixture)
 {
-    const ServerName server = onlyOne();
+    const ServerName server = keepOneServer();
     renewal.connectionMade(server, now);
-    BOOST_TEST(grantedWithin(0s, 200ms) == 1U);
+    BOOST_TEST(grantsWithin(0s, 200ms) == 1U);
 }
--- a/tests/keydecisions/test_plannerlease.cpp
+++ b/tests/keydecisions/test_plannerlease.cpp
@@ -15,123 +15,123 @@
 const Incarnation self{"me"};
 const Incarnation other{"other"};
 const Endpoint address{"10.0.0.1", 80};
-constexpr Duration patience = 100ms;
+constexpr Duration takeoverDelay = 100ms;
 
 struct Fixture
 {
-    PlannerLease lease{self, address, patience};
+    PlannerLease lease{self, address, takeoverDelay};
 
-    void take(Instant now)
+    void takeLease(Instant now)
     {
-        lease.rowSeen(0, {}, now - patience);
+        lease.applyRow(0, {}, now - takeoverDelay);
         const auto write = lease.advance(now);
         BOOST_REQUIRE(write.has_value());
         BOOST_TEST(write->expectedVersion == 0U);
-        lease.writeEnded(RowWriteEnd::Done, 5, now + 5ms);
+        lease.handleWriteResult(RowWriteEnd::Done, 5, now + 5ms);
     }
 };
 
 } // namespace
 
-BOOST_FIXTURE_TEST_CASE(nothingIsWrittenBeforeTheRowIsKnown, Fixture)
+BOOST_FIXTURE_TEST_CASE(doesNotWriteBeforeTheRowIsKnown, Fixture)
 {
     BOOST_TEST(!lease.advance(start).has_value());
 }
 
-BOOST_FIXTURE_TEST_CASE(aMissingRowIsTakenAndRenewed, Fixture)
+BOOST_FIXTURE_TEST_CASE(takesAndRenewsAMissingRow, Fixture)
 {
-    take(start);
+    takeLease(start);
     BOOST_TEST(lease.isHeld(start + 1s));
     BOOST_TEST(lease.version() == 5U);
     BOOST_TEST(!lease.advance(start + 1s).has_value());
-    const auto renewal = lease.advance(start + PlannerLease::renewEvery + 10ms);
+    const auto renewal = lease.advance(start + PlannerLease::renewalInterval + 10ms);
     BOOST_REQUIRE(renewal.has_value());
     BOOST_TEST(renewal->expectedVersion == 5U);
     BOOST_TEST(renewal->row.renewals == 2U);
 }
 
-BOOST_FIXTURE_TEST_CASE(theTenureCountsFromTheSendingAndEnds, Fixture)
+BOOST_FIXTURE_TEST_CASE(leaseExpiresCountedFromTheSendTime, Fixture)
 {
-    take(start);
-    BOOST_TEST(lease.isHeld(start + PlannerLease::tenure - 1ms));
-    BOOST_TEST(!lease.isHeld(start + PlannerLease::tenure));
+    takeLease(start);
+    BOOST_TEST(lease.isHeld(start + PlannerLease::leaseDuration - 1ms));
+    BOOST_TEST(!lease.isHeld(start + PlannerLease::leaseDuration));
 }
 
-BOOST_FIXTURE_TEST_CASE(anotherHoldersRowIsLeftAloneWhileItChanges, Fixture)
+BOOST_FIXTURE_TEST_CASE(doesNotTakeOverARowThatChanges, Fixture)
 {
     Instant now = start;
     for (std::uint64_t version = 1; version < 10; ++version) {
-        lease.rowSeen(version, {other, address, version}, now);
-        now += PlannerLease::takeover - 1ms;
+        lease.applyRow(version, {other, address, version}, now);
+        now += PlannerLease::takeoverTimeout - 1ms;
         BOOST_TEST(!lease.advance(now).has_value());
     }
-    const auto write = lease.advance(now + patience + 1ms);
+    const auto write = lease.advance(now + takeoverDelay + 1ms);
     BOOST_REQUIRE(write.has_value());
     BOOST_TEST(write->expectedVersion == 9U);
 }
 
-BOOST_FIXTURE_TEST_CASE(aLeaseThatWasGivenUpIsTakenAfterTheOwnPatience, Fixture)
+BOOST_FIXTURE_TEST_CASE(takesAResignedLeaseAfterTheTakeoverDelay, Fixture)
 {
-    lease.rowSeen(1, {{}, address, 4}, start);
-    BOOST_TEST(!lease.advance(start + patience - 1ms).has_value());
-    BOOST_TEST(lease.advance(start + patience).has_value());
+    lease.applyRow(1, {{}, address, 4}, start);
+    BOOST_TEST(!lease.advance(start + takeoverDelay - 1ms).has_value());
+    BOOST_TEST(lease.advance(start + takeoverDelay).has_value());
 }
 
-BOOST_FIXTURE_TEST_CASE(anUnansweredWriteShowsByItsRow, Fixture)
+BOOST_FIXTURE_TEST_CASE(detectsAnUnansweredWriteByItsRow, Fixture)
 {
-    lease.rowSeen(0, {}, start - patience);
+    lease.applyRow(0, {}, start - takeoverDelay);
     const auto write = lease.advance(start);
     BOOST_REQUIRE(write.has_value());
-    lease.rowSeen(7, write->row, start + 300ms);
+    lease.applyRow(7, write->row, start + 300ms);
     BOOST_TEST(lease.isHeld(start + 1s));
-    lease.writeEnded(RowWriteEnd::Unknown, 0, start + 1500ms);
+    lease.handleWriteResult(RowWriteEnd::Unknown, 0, start + 1500ms);
     BOOST_TEST(lease.isHeld(start + 2s));
 }
 
-BOOST_FIXTURE_TEST_CASE(whoeverIsDeposedDoesNotHoldIt, Fixture)
+BOOST_FIXTURE_TEST_CASE(replacedHolderDoesNotHoldTheLease, Fixture)
 {
-    take(start);
-    lease.rowSeen(6, {other, address, 3}, start + 500ms);
+    takeLease(start);
+    lease.applyRow(6, {other, address, 3}, start + 500ms);
     BOOST_TEST(!lease.isHeld(start + 600ms));
 }
 
-BOOST_FIXTURE_TEST_CASE(rowsNeverGoBack, Fixture)
+BOOST_FIXTURE_TEST_CASE(ignoresOlderRows, Fixture)
 {
-    take(start);
-    lease.rowSeen(4, {other, address, 3}, start + 500ms);
+    takeLease(start);
+    lease.applyRow(4, {other, address, 3}, start + 500ms);
     BOOST_TEST(lease.isHeld(start + 600ms));
 }
 
-BOOST_FIXTURE_TEST_CASE(whoeverResignsWritesSoOnceAndTakesNoneAgain, Fixture)
+BOOST_FIXTURE_TEST_CASE(resigningWritesOnceAndIsPermanent, Fixture)
 {
-    take(start);
+    takeLease(start);
     lease.resign();
     BOOST_TEST(!lease.isHeld(start + 100ms));
     const auto write = lease.advance(start + 100ms);
     BOOST_REQUIRE(write.has_value());
     BOOST_TEST(write->row.holder.isEmpty());
-    lease.writeEnded(RowWriteEnd::Done, 8, start + 110ms);
+    lease.handleWriteResult(RowWriteEnd::Done, 8, start + 110ms);
     BOOST_TEST(!lease.advance(start + 60s).has_value());
 }
 
-BOOST_FIXTURE_TEST_CASE(aWriteThatWasNotDoneIsNotRepeatedAtOnce, Fixture)
+BOOST_FIXTURE_TEST_CASE(retriesAFailedWriteAfterADelay, Fixture)
 {
-    take(start);
-    Instant now = start + PlannerLease::renewEvery + 10ms;
+    takeLease(start);
+    Instant now = start + PlannerLease::renewalInterval + 10ms;
     int writes = 0;
     for (const Instant end = now + 4s; now < end; now += 5ms) {
         if (!lease.advance(now))
             continue;
         BOOST_TEST(lease.isWriting());
         ++writes;
-        lease.writeEnded(RowWriteEnd::Refused, 0, now + 4ms);
+        lease.handleWriteResult(RowWriteEnd::Refused, 0, now + 4ms);
         BOOST_TEST(!lease.isWriting());
     }
     BOOST_TEST(writes >= 9);
     BOOST_TEST(writes <= 10);
 }
 
-BOOST_AUTO_TEST_CASE(weakHostsTryForTheLeaseAfterAllOthers)
+BOOST_AUTO_TEST_CASE(weakHostsTakeTheLeaseLast)
 {
     Duration longest{};
     for (std::uint64_t hash = 0; hash < 1000; ++hash)
--- a/tests/keydecisions/test_renewerbook.cpp
+++ b/tests/keydecisions/test_renewerbook.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 const Instant start{100s};
-constexpr Duration longestCall = 500ms;
+constexpr Duration maxCallDuration = 500ms;
 const ServiceName service{"s"};
 const ServerName lost{"lost"};
 const HostName one{"one"};
@@ -31,95 +31,95 @@
 struct Fixture
 {
     KeyTimings timings;
-    RenewerBook book{timings};
+    RenewerBook registry{timings};
 
     Fixture()
     {
-        book.rowSeen(one, row("one/1"), 1);
-        book.rowSeen(two, row("two/1"), 2);
+        registry.applyRow(one, row("one/1"), 1);
+        registry.applyRow(two, row("two/1"), 2);
     }
 
     Instant freeAt() const
     {
-        return book.freeAt(service, 5, lost, start);
+        return registry.freeAt(service, 5, lost, start);
     }
 };
 
 } // namespace
 
-BOOST_FIXTURE_TEST_CASE(whoSaysNothingMayGrantUntilItHearsNothingOfTheStore, Fixture)
+BOOST_FIXTURE_TEST_CASE(daemonWithoutAnswerMayGrantUntilItsRightExpires, Fixture)
 {
-    BOOST_TEST((freeAt() == start + timings.silence() + timings.holdAtMost()));
-    book.answered(answer(one, "one/1", 5, 2s), start + 100ms);
-    BOOST_TEST((freeAt() == start + timings.silence() + timings.holdAtMost()));
+    BOOST_TEST((freeAt() == start + timings.staleGrantPeriod() + timings.maxHold()));
+    registry.recordAnswer(answer(one, "one/1", 5, 2s), start + 100ms);
+    BOOST_TEST((freeAt() == start + timings.staleGrantPeriod() + timings.maxHold()));
 }
 
-BOOST_FIXTURE_TEST_CASE(onceAllHaveAnsweredTheLastGrantCounts, Fixture)
+BOOST_FIXTURE_TEST_CASE(lastGrantCountsOnceAllHaveAnswered, Fixture)
 {
-    book.answered(answer(one, "one/1", 5, 2s), start + 100ms);
-    book.answered(answer(two, "two/1", 6, 1s), start + 200ms);
-    BOOST_TEST((freeAt() == start - 800ms + timings.holdAtMost()));
+    registry.recordAnswer(answer(one, "one/1", 5, 2s), start + 100ms);
+    registry.recordAnswer(answer(two, "two/1", 6, 1s), start + 200ms);
+    BOOST_TEST((freeAt() == start - 800ms + timings.maxHold()));
 }
 
-BOOST_FIXTURE_TEST_CASE(anAnswerByAnEarlierAssignmentSaysNothing, Fixture)
+BOOST_FIXTURE_TEST_CASE(ignoresAnswersBasedOnAnEarlierAssignment, Fixture)
 {
-    book.answered(answer(one, "one/1", 5, 2s), start + 100ms);
-    book.answered(answer(two, "two/1", 4, 2s), start + 100ms);
-    BOOST_TEST((freeAt() == start + timings.silence() + timings.holdAtMost()));
+    registry.recordAnswer(answer(one, "one/1", 5, 2s), start + 100ms);
+    registry.recordAnswer(answer(two, "two/1", 4, 2s), start + 100ms);
+    BOOST_TEST((freeAt() == start + timings.staleGrantPeriod() + timings.maxHold()));
 }
 
-BOOST_FIXTURE_TEST_CASE(anAnswerOfAnEarlierRunSaysNothing, Fixture)
+BOOST_FIXTURE_TEST_CASE(ignoresAnswersOfAnEarlierRun, Fixture)
 {
-    book.answered(answer(one, "one/1", 5, 2s), start + 100ms);
-    book.answered(answer(two, "two/1", 5, 2s), start + 100ms);
-    book.rowSeen(two, row("two/2"), 9);
-    BOOST_TEST((freeAt() == start + timings.silence() + timings.holdAtMost()));
+    registry.recordAnswer(answer(one, "one/1", 5, 2s), start + 100ms);
+    registry.recordAnswer(answer(two, "two/1", 5, 2s), start + 100ms);
+    registry.applyRow(two, row("two/2"), 9);
+    BOOST_TEST((freeAt() == start + timings.staleGrantPeriod() + timings.maxHold()));
 }
 
-BOOST_FIXTURE_TEST_CASE(whoHasNoRowAnyMoreIsReckonedWithForAWhile, Fixture)
+BOOST_FIXTURE_TEST_CASE(considersADaemonForAWhileAfterItsRowIsRemoved, Fixture)
 {
-    book.answered(answer(one, "one/1", 5, 2s), start + 100ms);
-    book.rowGone(two, start - 3s);
-    BOOST_TEST((freeAt() == start - 3s + timings.silence() + timings.holdAtMost()));
-    book.forgetGone(start + 20s);
-    BOOST_TEST((freeAt() == start - 1900ms + timings.holdAtMost()));
+    registry.recordAnswer(answer(one, "one/1", 5, 2s), start + 100ms);
+    registry.applyRowRemoval(two, start - 3s);
+    BOOST_TEST((freeAt() == start - 3s + timings.staleGrantPeriod() + timings.maxHold()));
+    registry.removeExpired(start + 20s);
+    BOOST_TEST((freeAt() == start - 1900ms + timings.maxHold()));
 }
 
-BOOST_FIXTURE_TEST_CASE(whoStaysSilentIsLost, Fixture)
+BOOST_FIXTURE_TEST_CASE(silentDaemonIsLost, Fixture)
 {
-    book.asked(one, start);
-    book.asked(two, start);
-    book.answered(answer(one, "one/1", 5, 2s), start + 100ms);
-    book.asked(two, start + 700ms);
-    BOOST_TEST(book.lost(start + 1s).empty());
-    const auto lostOnes = book.lost(start + RenewerBook::silenceLimit);
-    BOOST_REQUIRE(lostOnes.size() == 1U);
-    BOOST_TEST(lostOnes.front().host.value() == "two");
+    registry.recordQuery(one, start);
+    registry.recordQuery(two, start);
+    registry.recordAnswer(answer(one, "one/1", 5, 2s), start + 100ms);
+    registry.recordQuery(two, start + 700ms);
+    BOOST_TEST(registry.lost(start + 1s).empty());
+    const auto lostDaemons = registry.lost(start + RenewerBook::lostTimeout);
+    BOOST_REQUIRE(lostDaemons.size() == 1U);
+    BOOST_TEST(lostDaemons.front().host.value() == "two");
 }
 
-BOOST_AUTO_TEST_CASE(grantsThatFoundNoConnectionDidNotCome)
+BOOST_AUTO_TEST_CASE(grantWithoutAConnectionDidNotArrive)
 {
-    GrantLog log{start, longestCall};
-    log.sent(lost, start + 1s);
-    log.ended(lost, true, start + 1020ms);
-    log.sent(lost, start + 3s);
-    // It may come as long as its call lasts.
+    GrantLog log{start, maxCallDuration};
+    log.recordSent(lost, start + 1s);
+    log.recordResult(lost, true, start + 1020ms);
+    log.recordSent(lost, start + 3s);
+    // It may arrive until its call ends.
     BOOST_TEST((log.lastAgo(lost, start + 3100ms) == -400ms));
-    log.ended(lost, false, start + 3200ms);
+    log.recordResult(lost, false, start + 3200ms);
     BOOST_TEST((log.lastAgo(lost, start + 4s) == 2980ms));
 }
 
-BOOST_AUTO_TEST_CASE(aGrantWithoutAnswerMayHaveComeUpToTheEndOfItsCall)
+BOOST_AUTO_TEST_CASE(unansweredGrantMayHaveArrivedUntilItsCallEnded)
 {
-    GrantLog log{start, longestCall};
-    log.sent(lost, start + 1s);
-    // The daemon was frozen, and hears of the end of the call late.
-    log.ended(lost, true, start + 9s);
+    GrantLog log{start, maxCallDuration};
+    log.recordSent(lost, start + 1s);
+    // The daemon was frozen and gets the result of the call late.
+    log.recordResult(lost, true, start + 9s);
     BOOST_TEST((log.lastAgo(lost, start + 10s) == 8500ms));
 }
 
-BOOST_AUTO_TEST_CASE(anEarlierRunMayHaveGrantedUntilTheStart)
+BOOST_AUTO_TEST_CASE(earlierRunMayHaveGrantedUntilTheStart)
 {
-    const GrantLog log{start, longestCall};
+    const GrantLog log{start, maxCallDuration};
     BOOST_TEST((log.lastAgo(lost, start + 4s) == 4s));
 }
--- a/tests/keyworld/test_keysessions.cpp
+++ b/tests/keyworld/test_keysessions.cpp
@@ -1,6 +1,6 @@
 #define BOOST_TEST_MODULE KeySessions
 
-#include "keyworld.h"
+#include "keysimulation.h"
 #include "support/goldentext.h"
 
 #include <boost/test/unit_test.hpp>
@@ -13,16 +13,16 @@
 
 namespace {
 
-/** By then all keys have owners and the first planner has settled. */
-constexpr Duration settled = 5s;
+/** By then all keys have owners and the first planner is stable. */
+constexpr Duration settlingTime = 5s;
 
 struct Session
 {
-    KeyWorld world{1, Planted::Nothing};
+    KeySimulation simulation{1, PlantedFault::None};
 
     void finish(const std::string &name, Duration span = 20s)
     {
-        const std::string trace = world.playScript(settled + span);
+        const std::string trace = simulation.runScript(settlingTime + span);
         checkGolden("keysessions/" + name + ".txt", trace);
         BOOST_TEST(trace.ends_with("one owner throughout\n"));
     }
@@ -30,150 +30,153 @@
 
 } // namespace
 
-BOOST_FIXTURE_TEST_CASE(aServerDrains, Session)
+BOOST_FIXTURE_TEST_CASE(serverDrains, Session)
 {
-    world.at(settled, [this] { world.drainServer(0); });
+    simulation.at(settlingTime, [this] { simulation.drainServer(0); });
     finish("server-drains");
 }
 
-BOOST_FIXTURE_TEST_CASE(aServerCrashes, Session)
+BOOST_FIXTURE_TEST_CASE(serverCrashes, Session)
 {
-    world.at(settled, [this] { world.crashServer(0); });
+    simulation.at(settlingTime, [this] { simulation.crashServer(0); });
     finish("server-crashes");
 }
 
-BOOST_FIXTURE_TEST_CASE(aServerIsLostInAPlannedMove, Session)
+BOOST_FIXTURE_TEST_CASE(serverIsLostInAPlannedMove, Session)
 {
-    world.at(settled, [this] {
-        // Nobody can ask it for its keys.
+    simulation.at(settlingTime, [this] {
+        // No daemon can request the release of its keys.
         for (std::size_t i = 0; i < 4; ++i)
-            world.cutFromServers(i, 60ms);
-        world.drainServer(0);
+            simulation.partitionFromServers(i, 60ms);
+        simulation.drainServer(0);
     });
-    world.at(settled + 50ms, [this] { world.crashServer(0); });
+    simulation.at(settlingTime + 50ms, [this] { simulation.crashServer(0); });
     finish("server-lost-in-planned-move");
 }
 
-BOOST_FIXTURE_TEST_CASE(aServerCutFromTheStoreStillServes, Session)
+BOOST_FIXTURE_TEST_CASE(serverWithoutRecordStillServes, Session)
 {
-    world.at(settled, [this] { world.hideServer(0); });
+    simulation.at(settlingTime, [this] { simulation.removeServerRecord(0); });
     finish("server-without-record");
 }
 
-BOOST_FIXTURE_TEST_CASE(thePlannerIsKilled, Session)
+BOOST_FIXTURE_TEST_CASE(plannerIsKilled, Session)
 {
-    world.at(settled, [this] { world.killDaemon(world.planner()); });
-    world.at(settled + 1s, [this] { world.crashServer(0); });
+    simulation.at(settlingTime, [this] { simulation.killDaemon(simulation.planner()); });
+    simulation.at(settlingTime + 1s, [this] { simulation.crashServer(0); });
     finish("planner-killed");
 }
 
-BOOST_FIXTURE_TEST_CASE(thePlannerFreezesWhileItsRenewalIsAnswered, Session)
+BOOST_FIXTURE_TEST_CASE(plannerFreezesWhileItsRenewalIsAnswered, Session)
 {
     // Renewals of the lease are 1.7 s apart; the freeze starts when one has been sent.
-    world.at(settled, [this] { world.freezeDaemon(world.planner(), 9s); });
-    world.at(settled + 500ms, [this] { world.drainServer(0); });
+    simulation.at(settlingTime, [this] { simulation.freezeDaemon(simulation.planner(), 9s); });
+    simulation.at(settlingTime + 500ms, [this] { simulation.drainServer(0); });
     finish("planner-frozen");
 }
 
-BOOST_FIXTURE_TEST_CASE(thePlannerIsCutFromTheStoreOnlyAndComesBack, Session)
+BOOST_FIXTURE_TEST_CASE(plannerIsPartitionedFromTheStoreOnlyAndReturns, Session)
 {
-    world.at(settled, [this] { world.cutFromStore(world.planner(), 9s); });
-    world.at(settled + 5s, [this] { world.drainServer(0); });
+    simulation.at(settlingTime,
+                  [this] { simulation.partitionFromStore(simulation.planner(), 9s); });
+    simulation.at(settlingTime + 5s, [this] { simulation.drainServer(0); });
     finish("planner-cut-from-store");
 }
 
-BOOST_FIXTURE_TEST_CASE(thePlannerIsCutFromServersOnly, Session)
+BOOST_FIXTURE_TEST_CASE(plannerIsPartitionedFromServersOnly, Session)
 {
-    world.at(settled, [this] { world.cutFromServers(world.planner(), 6s); });
-    world.at(settled + 500ms, [this] { world.drainServer(0); });
+    simulation.at(settlingTime,
+                  [this] { simulation.partitionFromServers(simulation.planner(), 6s); });
+    simulation.at(settlingTime + 500ms, [this] { simulation.drainServer(0); });
     finish("planner-cut-from-servers");
 }
 
-BOOST_FIXTURE_TEST_CASE(grantsAreCarriedOutLateAfterTheMove, Session)
+BOOST_FIXTURE_TEST_CASE(grantsAreExecutedLateAfterTheMove, Session)
 {
-    world.at(settled, [this] { world.delayGrants(20, 5s); });
-    world.at(settled + 100ms, [this] { world.hideServer(0); });
+    simulation.at(settlingTime, [this] { simulation.delayGrants(20, 5s); });
+    simulation.at(settlingTime + 100ms, [this] { simulation.removeServerRecord(0); });
     finish("grants-late");
 }
 
-BOOST_FIXTURE_TEST_CASE(commitsAreCarriedOutLate, Session)
+BOOST_FIXTURE_TEST_CASE(commitsAreExecutedLate, Session)
 {
-    world.at(settled, [this] {
-        world.delayCommits(2, 3s);
-        world.drainServer(0);
+    simulation.at(settlingTime, [this] {
+        simulation.delayCommits(2, 3s);
+        simulation.drainServer(0);
     });
     finish("commits-late");
 }
 
 BOOST_FIXTURE_TEST_CASE(allDaemonsLosePowerRightAfterAMoveWasCommitted, Session)
 {
-    world.at(settled, [this] { world.drainServer(0); });
-    world.at(settled + 520ms, [this] {
+    simulation.at(settlingTime, [this] { simulation.drainServer(0); });
+    simulation.at(settlingTime + 520ms, [this] {
         for (std::size_t i = 0; i < 4; ++i)
-            world.killDaemon(i);
+            simulation.killDaemon(i);
     });
-    world.at(settled + 2s, [this] {
+    simulation.at(settlingTime + 2s, [this] {
         for (std::size_t i = 0; i < 4; ++i)
-            world.startDaemon(i);
+            simulation.startDaemon(i);
     });
     finish("power-lost-in-a-move");
 }
 
-BOOST_FIXTURE_TEST_CASE(theStoreIsAwayForLong, Session)
+BOOST_FIXTURE_TEST_CASE(storeIsUnavailableForLong, Session)
 {
-    world.at(settled, [this] { world.takeStoreAway(12s); });
-    world.at(settled + 2s, [this] { world.crashServer(0); });
+    simulation.at(settlingTime, [this] { simulation.makeStoreUnavailable(12s); });
+    simulation.at(settlingTime + 2s, [this] { simulation.crashServer(0); });
     finish("store-away", 30s);
 }
 
-BOOST_FIXTURE_TEST_CASE(feedsAreDeafWhileAServerDrains, Session)
+BOOST_FIXTURE_TEST_CASE(feedsStallWhileAServerDrains, Session)
 {
-    world.at(settled, [this] {
-        world.makeFeedsDeaf();
-        world.drainServer(0);
+    simulation.at(settlingTime, [this] {
+        simulation.stallFeeds();
+        simulation.drainServer(0);
     });
     finish("feeds-deaf");
 }
 
-BOOST_FIXTURE_TEST_CASE(aRenewerThatIsCutOffIsWaitedFor, Session)
+BOOST_FIXTURE_TEST_CASE(waitsForAPartitionedRenewer, Session)
 {
-    // It renews what it knows until it may not any more; nobody can ask it.
-    world.at(settled, [this] {
-        const std::size_t other = (world.planner() + 1) % 4;
-        world.cutFromStore(other, 12s);
-        world.cutFromPeers(other, 12s);
+    // The daemon renews by its last assignment until its right expires, and no daemon can query it.
+    simulation.at(settlingTime, [this] {
+        const std::size_t other = (simulation.planner() + 1) % 4;
+        simulation.partitionFromStore(other, 12s);
+        simulation.partitionFromPeers(other, 12s);
     });
-    world.at(settled + 100ms, [this] { world.crashServer(0); });
+    simulation.at(settlingTime + 100ms, [this] { simulation.crashServer(0); });
     finish("renewer-cut-off", 25s);
 }
 
-BOOST_FIXTURE_TEST_CASE(aServerStartsAgainUnderItsName, Session)
+BOOST_FIXTURE_TEST_CASE(serverRestartsUnderItsName, Session)
 {
-    world.at(settled, [this] { world.restartServer(0, 300ms, 400ms); });
+    simulation.at(settlingTime, [this] { simulation.restartServer(0, 300ms, 400ms); });
     finish("server-restarts");
 }
 
-BOOST_FIXTURE_TEST_CASE(aServerStartsAgainTwiceInASecondAtOtherAddresses, Session)
+BOOST_FIXTURE_TEST_CASE(serverRestartsTwiceInASecondAtOtherAddresses, Session)
 {
-    world.at(settled, [this] { world.restartServer(0, 200ms, 500ms, true); });
-    world.at(settled + 500ms, [this] { world.restartServer(0, 200ms, 500ms, true); });
+    simulation.at(settlingTime, [this] { simulation.restartServer(0, 200ms, 500ms, true); });
+    simulation.at(settlingTime + 500ms,
+                  [this] { simulation.restartServer(0, 200ms, 500ms, true); });
     finish("server-restarts-twice");
 }
 
-BOOST_FIXTURE_TEST_CASE(aServerStartsAgainBetweenItsReleaseAndTheGrant, Session)
+BOOST_FIXTURE_TEST_CASE(serversRestartBetweenReleaseAndGrant, Session)
 {
-    // Both the previous and the next owner of the keys that move.
-    world.at(settled, [this] { world.drainServer(0); });
-    world.at(settled + 160ms, [this] {
-        world.restartServer(1, 100ms, 300ms);
-        world.restartServer(2, 100ms, 300ms);
+    // Restarts both the previous and the new owner of the moving keys.
+    simulation.at(settlingTime, [this] { simulation.drainServer(0); });
+    simulation.at(settlingTime + 160ms, [this] {
+        simulation.restartServer(1, 100ms, 300ms);
+        simulation.restartServer(2, 100ms, 300ms);
     });
     finish("servers-restart-in-a-move");
 }
 
-BOOST_FIXTURE_TEST_CASE(aServerStartsAgainWhileTheStoreIsAway, Session)
+BOOST_FIXTURE_TEST_CASE(serverRestartsWhileTheStoreIsUnavailable, Session)
 {
-    world.at(settled, [this] { world.takeStoreAway(5s); });
-    world.at(settled + 1s, [this] { world.restartServer(0, 300ms, 300ms); });
+    simulation.at(settlingTime, [this] { simulation.makeStoreUnavailable(5s); });
+    simulation.at(settlingTime + 1s, [this] { simulation.restartServer(0, 300ms, 300ms); });
     finish("server-restarts-without-store");
 }
--- a/tests/keyworld/test_keyworld.cpp
+++ b/tests/keyworld/test_keyworld.cpp
@@ -1,6 +1,6 @@
-#define BOOST_TEST_MODULE KeyWorld
+#define BOOST_TEST_MODULE KeySimulation
 
-#include "keyworld.h"
+#include "keysimulation.h"
 
 #include <boost/test/data/test_case.hpp>
 #include <boost/test/unit_test.hpp>
@@ -14,20 +14,20 @@
 
 namespace {
 
-/** Few enough to run each time; BULRUSH_SEARCH_SEEDS sets another number, for a long search. */
-constexpr std::uint64_t usualSeeds = 100;
-/** The search for a planted bug ends with the first seed that finds it. */
-constexpr std::uint64_t mostSeeds = 600;
+/** Few enough for each test run; BULRUSH_SEARCH_SEEDS sets another number for a long search. */
+constexpr std::uint64_t defaultSeeds = 100;
+/** Limit of the search for a planted bug, which stops at the first seed that finds it. */
+constexpr std::uint64_t maxSeeds = 600;
 
-std::uint64_t searchedSeeds()
+std::uint64_t seedCount()
 {
     const char *text = std::getenv("BULRUSH_SEARCH_SEEDS");
-    return text ? std::stoull(text) : usualSeeds;
+    return text ? std::stoull(text) : defaultSeeds;
 }
 
 struct PlantedBug
 {
-    Planted planted;
+    PlantedFault planted;
     const char *name;
 };
 
@@ -37,20 +37,20 @@
 }
 
 constexpr std::array plantedBugs = {
-    PlantedBug{Planted::ReleaseWithOldFence, "release with the old fence"},
-    PlantedBug{Planted::MoveWithoutWaiting, "move without waiting"},
-    PlantedBug{Planted::HoldFromAnswer, "right to renew counted from later"},
-    PlantedBug{Planted::NoLookAfterThaw, "no look at the clock after a thaw"},
-    PlantedBug{Planted::ForgetsItsGrants, "a daemon forgets its grants"},
-    PlantedBug{Planted::FenceStays, "fence stays"},
-    PlantedBug{Planted::HeldUpBytesCome, "held up bytes come"},
-    PlantedBug{Planted::RenewsOtherRun, "another run is renewed under the old fence"},
+    PlantedBug{PlantedFault::ReleaseWithOldFence, "release with the old fence"},
+    PlantedBug{PlantedFault::MoveWithoutWaiting, "move without waiting"},
+    PlantedBug{PlantedFault::RenewalRightFromLater, "right to renew counted from later"},
+    PlantedBug{PlantedFault::NoCheckAfterFreeze, "no check of the clock after a freeze"},
+    PlantedBug{PlantedFault::ForgetsGrants, "a daemon forgets its grants"},
+    PlantedBug{PlantedFault::FenceNotRaised, "fencing token is not raised"},
+    PlantedBug{PlantedFault::DelayedBytesArrive, "bytes delayed by a partition arrive"},
+    PlantedBug{PlantedFault::RenewsOtherRun, "another run is renewed under the old fence"},
 };
 
-std::optional<std::uint64_t> firstBroken(Planted planted, std::uint64_t count)
+std::optional<std::uint64_t> firstViolatingSeed(PlantedFault planted, std::uint64_t count)
 {
     for (std::uint64_t seed = 1; seed <= count; ++seed) {
-        if (!KeyWorld{seed, planted}.run().broken.empty())
+        if (!KeySimulation{seed, planted}.run().violation.empty())
             return seed;
     }
     return std::nullopt;
@@ -58,22 +58,22 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(aKeyHasOneOwnerThroughAllFaults)
+BOOST_AUTO_TEST_CASE(keyHasOneOwnerThroughAllFaults)
 {
     int moves = 0;
-    const std::uint64_t seeds = searchedSeeds();
+    const std::uint64_t seeds = seedCount();
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
-        const WorldEnd end = KeyWorld{seed, Planted::Nothing}.run();
-        BOOST_TEST(end.broken == "", "seed " << seed << ": " << end.broken);
-        BOOST_TEST(end.servedAtEnd == 1.0, "seed " << seed << " serves " << end.servedAtEnd);
-        moves += end.moves;
+        const SimulationResult result = KeySimulation{seed, PlantedFault::None}.run();
+        BOOST_TEST(result.violation == "", "seed " << seed << ": " << result.violation);
+        BOOST_TEST(result.servedAtEnd == 1.0, "seed " << seed << " serves " << result.servedAtEnd);
+        moves += result.moves;
     }
     BOOST_TEST(moves > 10 * static_cast<int>(seeds));
 }
 
-BOOST_DATA_TEST_CASE(aPlantedBugIsFound, boost::unit_test::data::make(plantedBugs), bug)
+BOOST_DATA_TEST_CASE(searchFindsPlantedBug, boost::unit_test::data::make(plantedBugs), bug)
 {
-    const std::optional<std::uint64_t> seed = firstBroken(bug.planted, mostSeeds);
+    const std::optional<std::uint64_t> seed = firstViolatingSeed(bug.planted, maxSeeds);
     BOOST_TEST(seed.has_value());
     if (seed)
         BOOST_TEST_MESSAGE(bug.name << " found by seed " << *seed);
--- a/tests/routing/test_serverdirectory.cpp
+++ b/tests/routing/test_serverdirectory.cpp
@@ -26,7 +26,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(aServerThatDrainsIsNotReadySinceThen)
+BOOST_AUTO_TEST_CASE(drainingServerIsNotReady)
 {
     ServerDirectory directory;
     directory.take(record("one"), start, start);
@@ -37,7 +37,7 @@
     BOOST_TEST((directory.find(ServerName{"one"})->drainsAfter == start + 900ms));
 }
 
-BOOST_AUTO_TEST_CASE(aServerWithoutARecordIsRememberedForItsKeys)
+BOOST_AUTO_TEST_CASE(retainsAServerAfterItsRecordIsRemoved)
 {
     ServerDirectory directory;
     directory.take(record("one"), start, start);
@@ -50,7 +50,7 @@
     BOOST_TEST(directory.find(ServerName{"one"}) == nullptr);
 }
 
-BOOST_AUTO_TEST_CASE(recordsThatLapsedInAnOutageMayComeBack)
+BOOST_AUTO_TEST_CASE(recordsThatExpiredInAnOutageMayReappear)
 {
     ServerDirectory directory;
     directory.take(record("one"), start, start);
@@ -64,7 +64,7 @@
     BOOST_TEST(!isReady(directory, "two"));
 }
 
-BOOST_AUTO_TEST_CASE(aServerInWhosePlaceAnotherAnswersHasEndedWhateverItsRecordSays)
+BOOST_AUTO_TEST_CASE(serverWhoseAddressAnswersForAnotherHasStopped)
 {
     ServerDirectory directory;
     directory.take(record("one"), start, start);
@@ -75,7 +75,7 @@
     BOOST_TEST(!directory.noteEnded(ServerName{"nobody"}, start));
 }
 
-BOOST_AUTO_TEST_CASE(withoutAnOutageWhatIsMissingIsGoneAtOnce)
+BOOST_AUTO_TEST_CASE(withoutAnOutageAMissingServerIsRemovedAtOnce)
 {
     ServerDirectory directory;
     directory.take(record("one"), start, start);
@@ -85,12 +85,12 @@
     BOOST_TEST(isReady(directory, "two"));
 }
 
-BOOST_AUTO_TEST_CASE(aLaterRunOfAServerEndsTheEarlierOne)
+BOOST_AUTO_TEST_CASE(laterRunOfAServerSupersedesTheEarlierOne)
 {
     const auto run = [](const std::string &id) {
-        ServerRecord made = record(id);
-        made.recordName = ServerName{"one"};
-        return made;
+        ServerRecord result = record(id);
+        result.recordName = ServerName{"one"};
+        return result;
     };
     ServerDirectory directory;
     directory.take(record("two"), start, start);
@@ -102,7 +102,7 @@
     BOOST_TEST(directory.latestRunOf(ServerName{"one@1"})->record.id.value() == "one@2");
     directory.take(run("one@3"), start + 2s, start + 2s);
     BOOST_TEST(directory.latestRunOf(ServerName{"one@1"})->record.id.value() == "one@3");
-    // A record of the first run that comes late changes nothing.
+    // An outdated record of the first run changes nothing.
     directory.take(run("one@1"), start + 3s, start + 3s);
     BOOST_TEST(!isReady(directory, "one@1"));
     BOOST_TEST(isReady(directory, "one@3"));
