--- a/src/libbulrush/process/followplan.h
+++ b/src/libbulrush/process/followplan.h
@@ -33,7 +33,10 @@
 struct FollowedTable
 {
     bool hasRows = false;
-    /** Its rows must not become outdated, so its requests do not probe a failing store. */
+    /**
+     * Its rows must not become outdated, so while another daemon serves them its requests do not
+     * probe a failing store.
+     */
     bool isUrgent = false;
 };
 
--- a/src/libbulrush/process/keymoves.h
+++ b/src/libbulrush/process/keymoves.h
@@ -55,7 +55,7 @@
     /**
      * The rows of daemons have been applied up to \a appliedVersion. Unless that reaches the commit
      * that took a range, a daemon whose row is older than the commit may still be unknown, and the
-     * range does not settle.
+     * range settles only if it was released or its previous owner has stopped.
      * \returns the assignment in which all ranges of \a service that are free at \a now are settled
      * for their owners, or nothing if there is no such range. The sequence is incremented, the
      * fencing tokens stay.
--- a/src/libbulrush/process/plannerlease.h
+++ b/src/libbulrush/process/plannerlease.h
@@ -130,9 +130,9 @@
 }
 
 /**
- * \returns the takeover delay of a daemon on a host with \a processors cores, whose name has \a
- * hash. The delays make daemons try to take the lease one after the other, those on weak hosts
- * last. Thread safe.
+ * \returns the takeover delay of a daemon on a host with \a processors cores. \a hash is the hash
+ * of the host's name. The delays make daemons try to take the lease one after the other, those on
+ * weak hosts last. Thread safe.
  */
 Duration plannerPatience(std::uint64_t hash, double processors);
 
--- a/src/libbulrush/process/readerchoice.h
+++ b/src/libbulrush/process/readerchoice.h
@@ -86,8 +86,8 @@
     std::optional<RowsReader> reader(ReaderPlace place, Instant now) const;
 
     /**
-     * \returns those of the first storeRetryRanks daemons that serve, without this one and \a
-     * other.
+     * \returns those of the first storeRetryRanks daemons that serve, except this one and the
+     * daemon \a other.
      */
     std::vector<RowsReader> readersBeside(const HostName &other, Instant now) const;
 
--- a/src/libbulrush/process/storeclock.h
+++ b/src/libbulrush/process/storeclock.h
@@ -22,9 +22,9 @@
     static constexpr Duration resolution = std::chrono::milliseconds{20};
 
     /**
-     * \returns the latest instant, not before \a sentAt, that by the bounds is certainly not later
-     * than the instant at which an answer was given. Its call was sent at \a sentAt; the answer
-     * arrived at \a receivedAt and was given at \a storeTime of the store's clock.
+     * \returns a lower bound of the instant at which an answer was given: not before \a sentAt, and
+     * as late as the known bounds allow. Its call was sent at \a sentAt. The answer was given at
+     * \a storeTime of the store's clock, and arrived at \a receivedAt.
      */
     Instant givenAt(Instant sentAt, Instant receivedAt, Duration storeTime);
 
--- a/src/libbulrush/version/keyplanner.cpp
+++ b/src/libbulrush/version/keyplanner.cpp
@@ -222,9 +222,9 @@
 {
     if (m_shares.size() < 2)
         return;
-    const std::size_t most =
-        std::max(KeyPlanner::minBalanceMoves, m_shares.size() / KeyPlanner::serversPerMove);
-    for (std::size_t i = 0; i < most; ++i) {
+    const std::size_t moveLimit =
+        std::max(KeyPlanner::minMoveLimit, m_shares.size() / KeyPlanner::serversPerMove);
+    for (std::size_t i = 0; i < moveLimit; ++i) {
         if (!fillNewServer() && !moveHotKey() && !moveFromMostLoaded())
             return;
     }
--- a/src/libbulrush/version/keyplanner.h
+++ b/src/libbulrush/version/keyplanner.h
@@ -33,10 +33,10 @@
     static constexpr double busyFraction = 0.55;
     /** ... and exceeds its share by this many standard deviations of the counted load. */
     static constexpr double significantDeviations = 2.0;
-    /** Lower bound of the balancing moves per round. */
-    static constexpr std::size_t minBalanceMoves = 6;
+    /** Limit of the balancing moves per round if there are few servers. */
+    static constexpr std::size_t minMoveLimit = 6;
     /**
-     * With more servers, a round makes one balancing move per this many servers. Each round is one
+     * With more servers, the limit is one balancing move per this many servers. Each round is one
      * commit, and rounds are half a second apart, so that load which appears on 157 servers at once
      * is balanced within three seconds.
      */
--- a/tests/keyworld/keysimulation.cpp
+++ b/tests/keyworld/keysimulation.cpp
@@ -148,7 +148,7 @@
     m_start = m_now;
     m_tracedHolders.resize(cells);
     runUntil(m_start + span);
-    note(m_result.violation.empty() ? "one owner throughout" : m_result.violation);
+    addToTrace(m_result.violation.empty() ? "one owner throughout" : m_result.violation);
     return m_trace;
 }
 
@@ -166,7 +166,7 @@
     return 0;
 }
 
-void KeySimulation::note(const std::string &what)
+void KeySimulation::addToTrace(const std::string &what)
 {
     if (!m_isScripted)
         return;
@@ -198,8 +198,9 @@
         while (last + 1 < cells && isSameGroup(last + 1))
             ++last;
         if (holders[first] != m_tracedHolders[first])
-            note("cells " + std::to_string(first) + '-' + std::to_string(last) + ": "
-                 + displayName(m_tracedHolders[first]) + " -> " + displayName(holders[first]));
+            addToTrace("cells " + std::to_string(first) + '-' + std::to_string(last) + ": "
+                       + displayName(m_tracedHolders[first]) + " -> "
+                       + displayName(holders[first]));
         first = last + 1;
     }
     m_tracedHolders = std::move(holders);
@@ -207,56 +208,56 @@
 
 void KeySimulation::killDaemon(std::size_t index)
 {
-    note("d" + std::to_string(index) + " is killed");
+    addToTrace("d" + std::to_string(index) + " is killed");
     m_daemons[index]->isUp = false;
 }
 
 void KeySimulation::freezeDaemon(std::size_t index, Duration span)
 {
-    note("d" + std::to_string(index) + " freezes");
+    addToTrace("d" + std::to_string(index) + " freezes");
     m_daemons[index]->frozenUntil = m_now + span;
 }
 
 void KeySimulation::partitionFromStore(std::size_t index, Duration span)
 {
-    note("d" + std::to_string(index) + " is cut from the store");
+    addToTrace("d" + std::to_string(index) + " is cut from the store");
     m_daemons[index]->partitionedFromStoreUntil = m_now + span;
 }
 
 void KeySimulation::partitionFromServers(std::size_t index, Duration span)
 {
-    note("d" + std::to_string(index) + " is cut from servers");
+    addToTrace("d" + std::to_string(index) + " is cut from servers");
     m_daemons[index]->partitionedFromServersUntil = m_now + span;
 }
 
 void KeySimulation::partitionFromPeers(std::size_t index, Duration span)
 {
-    note("d" + std::to_string(index) + " is cut from daemons");
+    addToTrace("d" + std::to_string(index) + " is cut from daemons");
     m_daemons[index]->partitionedFromPeersUntil = m_now + span;
 }
 
 void KeySimulation::makeStoreUnavailable(Duration span)
 {
-    note("the store is away");
+    addToTrace("the store is away");
     m_storeUnavailableUntil = m_now + span;
 }
 
 void KeySimulation::stallFeeds()
 {
-    note("feeds hear nothing");
+    addToTrace("feeds hear nothing");
     m_feedsStalledUntil = m_now + KeyTimings{}.maxFeedLag;
 }
 
 void KeySimulation::delayCommits(int count, Duration delay)
 {
-    note("commits are carried out late, their answers lost");
+    addToTrace("commits are carried out late, their answers lost");
     m_commitsToDelay = count;
     m_commitDelay = delay;
 }
 
 void KeySimulation::delayGrants(int count, Duration delay)
 {
-    note("grants are carried out late, unanswered");
+    addToTrace("grants are carried out late, unanswered");
     m_grantsToDelay = count;
     m_grantDelay = delay;
 }
@@ -425,8 +426,9 @@
         if (m_plannerVersion != write.expectedVersion)
             return 0;
         if (m_planner.holder != write.row.holder)
-            note("planner is "
-                 + (write.row.holder.isEmpty() ? std::string{"nobody"} : write.row.holder.value()));
+            addToTrace(
+                "planner is "
+                + (write.row.holder.isEmpty() ? std::string{"nobody"} : write.row.holder.value()));
         m_planner = write.row;
         return m_plannerVersion = ++m_version;
     };
@@ -452,8 +454,8 @@
             return 0;
         m_assignment = next;
         ++m_result.moves;
-        note("assignment " + std::to_string(next.sequence) + ", moving "
-             + std::to_string(std::ranges::count_if(next.ranges, &OwnedRange::isMoving)));
+        addToTrace("assignment " + std::to_string(next.sequence) + ", moving "
+                   + std::to_string(std::ranges::count_if(next.ranges, &OwnedRange::isMoving)));
         return m_assignmentVersion = ++m_version;
     };
     commit(index, apply, [this, index, next](RowWriteEnd end, std::uint64_t version) {
@@ -535,9 +537,9 @@
 {
     Daemon &daemon = *m_daemons[index];
     const auto known = daemon.connectedRuns.find(action.owned.owner);
-    const bool isOld = known != daemon.connectedRuns.end() && known->second != server.starts
+    const bool isEarlierRun = known != daemon.connectedRuns.end() && known->second != server.starts
         && m_planted != PlantedFault::RenewsOtherRun;
-    if (!isOld)
+    if (!isEarlierRun)
         return false;
     daemon.connectedRuns.erase(action.owned.owner);
     after(transit(), [this, index, incarnation, action] {
@@ -565,8 +567,8 @@
             && target->leases.cellsOf(action.owned.range).first < cells)
             fence = target->leases.fenceOf(target->leases.cellsOf(action.owned.range).first);
         target->leases.release(action.owned.range, fence);
-        note(name.value() + " gives up " + std::to_string(action.owned.range.first) + '-'
-             + std::to_string(action.owned.range.last) + " under " + std::to_string(fence));
+        addToTrace(name.value() + " gives up " + std::to_string(action.owned.range.first) + '-'
+                   + std::to_string(action.owned.range.last) + " under " + std::to_string(fence));
         if (m_hasFaults && happens(0.1))
             return;
         after(transit() + 1ms * randomBelow(300), [this, index, incarnation, action] {
@@ -663,8 +665,8 @@
         return;
     const bool isStalled = m_now < m_feedsStalledUntil;
     const bool hasChanges = daemon.appliedVersion != m_version && !isStalled;
-    const bool isOver = m_now - sentAt >= maxStoreWait;
-    if (!canReachStore(daemon) || (!hasChanges && !isOver)) {
+    const bool hasTimedOut = m_now - sentAt >= maxStoreWait;
+    if (!canReachStore(daemon) || (!hasChanges && !hasTimedOut)) {
         const Instant next = canReachStore(daemon) ? sentAt : m_now + 20ms;
         after(20ms, [this, index, incarnation, next] { followRows(index, incarnation, next); });
         return;
@@ -798,7 +800,7 @@
 void KeySimulation::crashServer(std::size_t index)
 {
     Server &server = *m_servers[index];
-    note(server.name.value() + " crashes");
+    addToTrace(server.name.value() + " crashes");
     after(recordLifetime,
           [this, name = ServerName{wireNameOf(server.name)}] { m_directory.remove(name, m_now); });
     replaceServer(server);
@@ -807,7 +809,7 @@
 void KeySimulation::drainServer(std::size_t index)
 {
     Server &server = *m_servers[index];
-    note(server.name.value() + " drains");
+    addToTrace(server.name.value() + " drains");
     ServerRecord record = m_directory.find(server.name)->record;
     record.isDraining = true;
     m_directory.take(record, m_now, m_now);
@@ -819,7 +821,7 @@
 
 void KeySimulation::removeServerRecord(std::size_t index)
 {
-    note(m_servers[index]->name.value() + " has no record any more");
+    addToTrace(m_servers[index]->name.value() + " has no record any more");
     m_directory.remove(ServerName{wireNameOf(m_servers[index]->name)}, m_now);
 }
 
@@ -840,7 +842,7 @@
 void KeySimulation::restartServer(std::size_t index, Duration pause, Duration lag, bool isMoved)
 {
     Server &server = *m_servers[index];
-    note(server.name.value() + " ends");
+    addToTrace(server.name.value() + " ends");
     server.isUp = false;
     const std::uint64_t run = ++server.starts;
     closeConnections(server);
@@ -857,7 +859,7 @@
         server.leases = standins::LeaseTable{cells};
         server.name = ServerName{wireNameOf(server.name) + '@' + std::to_string(run)};
         server.port = static_cast<std::uint16_t>(server.port + (isMoved ? serverCount : 0));
-        note(server.name.value() + " starts");
+        addToTrace(server.name.value() + " starts");
         after(lag, [this, &server, run] { writeRecord(server, run); });
     });
 }
@@ -917,18 +919,18 @@
     const KnownServer *known = m_directory.find(server.name);
     if (!server.isUp || !known || !known->isReady())
         return;
-    const std::size_t only = server.index % domainCount + domainCount * randomBelow(2);
+    const std::size_t reachingDaemon = server.index % domainCount + domainCount * randomBelow(2);
     const Instant until = m_now + 11s + 1ms * randomBelow(5000);
     for (std::size_t i = 0; i < daemonCount; ++i) {
-        if (i != only)
+        if (i != reachingDaemon)
             m_daemons[i]->partitionedFromServerUntil[server.index] = until;
     }
     if (happens(0.3))
-        m_daemons[only]->partitionedFromPeersUntil = until;
+        m_daemons[reachingDaemon]->partitionedFromPeersUntil = until;
     if (happens(0.5))
-        m_daemons[only]->partitionedFromStoreUntil = until;
+        m_daemons[reachingDaemon]->partitionedFromStoreUntil = until;
     else
-        m_daemons[only]->frozenUntil = m_now + 9s + 1ms * randomBelow(4000);
+        m_daemons[reachingDaemon]->frozenUntil = m_now + 9s + 1ms * randomBelow(4000);
     m_directory.remove(ServerName{wireNameOf(server.name)}, m_now);
     after(17s, [this, &server] { replaceServer(server); });
 }
--- a/tests/keyworld/keysimulation.h
+++ b/tests/keyworld/keysimulation.h
@@ -140,7 +140,7 @@
     void injectStoreFault();
     void injectViewFault();
     void check();
-    void note(const std::string &what);
+    void addToTrace(const std::string &what);
     void traceHolders();
     Server *serverOf(const ServerName &name);
 
