--- a/tests/keyworld/test_leasetable.cpp
+++ b/tests/keyworld/test_leasetable.cpp
@@ -16,7 +16,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(theSameGrantRenews)
+BOOST_AUTO_TEST_CASE(repeatedGrantRenewsTheLease)
 {
     LeaseTable server{cells};
     BOOST_TEST(server.grant(keys, 1, 4s, start, start));
@@ -25,7 +25,7 @@
     BOOST_TEST(!server.holds(0, start + 8s));
 }
 
-BOOST_AUTO_TEST_CASE(aReleaseUnderAHigherFenceKeepsRenewalsOut)
+BOOST_AUTO_TEST_CASE(releaseUnderAHigherFenceRejectsRenewals)
 {
     LeaseTable server{cells};
     server.grant(keys, 1, 4s, start, start);
@@ -35,7 +35,7 @@
     BOOST_TEST(server.grant(keys, 2, 4s, start, start));
 }
 
-BOOST_AUTO_TEST_CASE(aReleaseUnderTheSameFenceLetsALateRenewalTakeTheKeysBack)
+BOOST_AUTO_TEST_CASE(releaseUnderTheSameFenceAcceptsALateRenewal)
 {
     LeaseTable server{cells};
     server.grant(keys, 1, 4s, start, start);
@@ -45,7 +45,7 @@
     BOOST_TEST(server.holds(0, start));
 }
 
-BOOST_AUTO_TEST_CASE(aGrantThatIsTakenLateCountsFromItsArrival)
+BOOST_AUTO_TEST_CASE(delayedGrantCountsFromItsArrival)
 {
     LeaseTable server{cells};
     server.grant(keys, 1, 4s, start, start + 3s);
@@ -53,7 +53,7 @@
     BOOST_TEST(!server.holds(0, start + 4001ms));
 }
 
-BOOST_AUTO_TEST_CASE(aSlowClockHoldsLonger)
+BOOST_AUTO_TEST_CASE(slowClockHoldsLonger)
 {
     LeaseTable server{cells, 20'000};
     server.grant(keys, 1, 4s, start, start);
@@ -61,7 +61,7 @@
     BOOST_TEST(!server.holds(0, start + 4081ms));
 }
 
-BOOST_AUTO_TEST_CASE(anExactTableKeepsEachKeyByItself)
+BOOST_AUTO_TEST_CASE(exactTableTracksEachKeySeparately)
 {
     LeaseTable server{keyPlaces};
     server.grant({10, 20}, 1, 4s, start, start);
