--- a/bench/requestpath/requestpath.cpp
+++ b/bench/requestpath/requestpath.cpp
@@ -96,7 +96,7 @@
         target.isFreshConnection = m_isFreshConnection;
         auto exchange = std::make_shared<ProxyExchange>(
             m_client, std::move(request), writer, std::move(target),
-            [this, id, writer](const ExchangeEnd &) { m_exchanges.erase(id); });
+            [this, id, writer](const ExchangeResult &) { m_exchanges.erase(id); });
         m_exchanges.emplace(id, exchange);
         exchange->start();
     }
--- a/src/bulrushctl/commandline.cpp
+++ b/src/bulrushctl/commandline.cpp
@@ -372,7 +372,8 @@
         ->required()
         ->type_name("NAME")
         ->check([](const std::string &text) {
-            return io::isName(text) ? std::string{} : "allowed: " + std::string{io::allowedName};
+            return io::isValidName(text) ? std::string{}
+                                         : "allowed: " + std::string{io::validNameDescription};
         });
 }
 
--- a/src/bulrushctl/contracttext.cpp
+++ b/src/bulrushctl/contracttext.cpp
@@ -61,8 +61,8 @@
     changed.replace(part->begin, part->length, std::to_string(version));
 
     // The line may have been part of a longer text, so the outcome is read to be sure.
-    const io::ContractReading before = io::readContract(text, "before");
-    io::ContractReading after = io::readContract(changed, "after");
+    const io::ContractResult before = io::readContract(text, "before");
+    io::ContractResult after = io::readContract(changed, "after");
     if (before.error || after.error || after.contract.version != version)
         return std::nullopt;
     after.contract.version = before.contract.version;
--- a/src/bulrushswitchd/attempt.cpp
+++ b/src/bulrushswitchd/attempt.cpp
@@ -52,7 +52,7 @@
         return FailurePoint::WrittenAndSilent;
     if (error == io::TransportError::AnswerMismatched)
         return FailurePoint::AnswerNotMatching;
-    if (error == io::TransportError::CallerGone)
+    if (error == io::TransportError::CallerDisconnected)
         return FailurePoint::CancelledAfterWrite;
     return error == io::TransportError::ConnectionLost ? FailurePoint::ResetAfterWrite
                                                        : FailurePoint::AnswerCut;
@@ -69,7 +69,7 @@
 }
 
 /** What the end says of the server's load. */
-WorkEnd workEndOf(const io::ExchangeEnd &end, std::optional<FailurePoint> failure)
+WorkEnd workEndOf(const io::ExchangeResult &end, std::optional<FailurePoint> failure)
 {
     if (!failure || failure == FailurePoint::AnswerWithoutRan)
         return WorkEnd::Answered;
@@ -90,12 +90,12 @@
     }
 }
 
-AttemptEnd attemptEndOf(const io::ExchangeEnd &end)
+AttemptEnd attemptEndOf(const io::ExchangeResult &end)
 {
     AttemptEnd result;
     result.failure = bulrush::failurePointOf(end);
     result.hasBegunAnswer = end.hasBegunAnswer;
-    result.isBodyIntact = end.isBodyIntact;
+    result.isBodyResendable = end.isBodyResendable;
     result.status = end.status;
     result.capturedBody = end.capturedBody;
     result.contentType = end.contentType;
@@ -131,7 +131,7 @@
     return fence;
 }
 
-std::optional<FailurePoint> failurePointOf(const io::ExchangeEnd &end)
+std::optional<FailurePoint> failurePointOf(const io::ExchangeResult &end)
 {
     if (!end.error)
         return std::nullopt;
@@ -141,7 +141,7 @@
         return named;
 
     const Outcome outcome =
-        outcomeOfAnswer(end.status, io::ranStatementOf(end.ran), end.reason, Duration{});
+        outcomeOfAnswer(end.status, io::parseRanStatement(end.ran), end.reason, Duration{});
     if (const auto *notRun = std::get_if<NotRun>(&outcome))
         return notRun->reason;
     return FailurePoint::AnswerWithoutRan;
@@ -160,7 +160,7 @@
 {
     const auto self = shared_from_this();
     m_work = m_lane.submit(
-        m_order.policy, !m_ends.request->isBodyWhole(), m_context.loop,
+        m_order.policy, !m_ends.request->isBodyBuffered(), m_context.loop,
         [self](const LaneDecision &decision) { self->decided(decision); }, io::hostNow());
 }
 
@@ -214,7 +214,7 @@
     m_context.counters.add(Counter::AttemptsSent);
     m_exchange = std::make_shared<io::ProxyExchange>(
         m_context.http, m_ends.request, m_ends.writer, *proxyTarget,
-        [self = shared_from_this()](const io::ExchangeEnd &end) { self->exchanged(end); });
+        [self = shared_from_this()](const io::ExchangeResult &end) { self->exchanged(end); });
     m_exchange->start();
 }
 
@@ -250,7 +250,7 @@
     result.requestId = m_order.requestId;
     result.timeout = m_order.policy.deadline - now;
     result.isFreshConnection = !m_order.policy.isIdempotent;
-    result.passesOwnFields = m_order.isRelayed;
+    result.relaysBulrushFields = m_order.isRelayed;
     result.captureLimit = m_order.captureLimit;
     addKeyFields(result.addedHeaders, m_order);
     if (m_flight)
@@ -259,13 +259,13 @@
     return result;
 }
 
-void ServerAttempt::exchanged(const io::ExchangeEnd &end)
+void ServerAttempt::exchanged(const io::ExchangeResult &end)
 {
     endFlight(end);
     finish(attemptEndOf(end));
 }
 
-void ServerAttempt::endFlight(const io::ExchangeEnd &end)
+void ServerAttempt::endFlight(const io::ExchangeResult &end)
 {
     const auto failure = failurePointOf(end);
     m_lane.ended(m_work, workEndOf(end, failure), io::hostNow());
@@ -299,7 +299,7 @@
     m_context.counters.add(Counter::RequestsRelayed);
     m_exchange = std::make_shared<io::ProxyExchange>(
         m_context.http, m_ends.request, m_ends.writer, target(io::hostNow()),
-        [self = shared_from_this()](const io::ExchangeEnd &end) {
+        [self = shared_from_this()](const io::ExchangeResult &end) {
             if (const auto handler = std::exchange(self->m_handler, nullptr))
                 handler(attemptEndOf(end));
         });
--- a/src/bulrushswitchd/attempt.h
+++ b/src/bulrushswitchd/attempt.h
@@ -50,7 +50,7 @@
     /** Nothing if the whole answer went to the caller. */
     std::optional<FailurePoint> failure;
     bool hasBegunAnswer = false;
-    bool isBodyIntact = true;
+    bool isBodyResendable = true;
     /** Status of the answer that was passed on; 0 if none was. */
     int status = 0;
     /** What was kept of the answer. */
@@ -91,8 +91,8 @@
     void send();
     std::optional<FailurePoint> passGate(Instant now);
     std::optional<io::ProxyTarget> target(Instant now) const;
-    void exchanged(const io::ExchangeEnd &end);
-    void endFlight(const io::ExchangeEnd &end);
+    void exchanged(const io::ExchangeResult &end);
+    void endFlight(const io::ExchangeResult &end);
     void finish(const AttemptEnd &end);
 
     TrafficContext &m_context;
@@ -135,7 +135,7 @@
 };
 
 /** \returns where an exchange failed, or nothing if its whole answer went to the caller. */
-std::optional<FailurePoint> failurePointOf(const io::ExchangeEnd &end);
+std::optional<FailurePoint> failurePointOf(const io::ExchangeResult &end);
 
 /** Fields between daemons that relay requests, beside those of the backend servers' interface. */
 namespace relayfields {
--- a/src/bulrushswitchd/callerexchange.cpp
+++ b/src/bulrushswitchd/callerexchange.cpp
@@ -81,7 +81,7 @@
     json["status"] = end.status;
     json["contentType"] = end.contentType;
     json["body"] = end.capturedBody;
-    return io::compactText(json);
+    return io::toCompactJson(json);
 }
 
 ServiceOutcome serviceOutcomeOf(const Outcome &outcome, int status)
@@ -250,7 +250,7 @@
 
 void CallerExchange::answerStored(const std::string &storedAnswer)
 {
-    const Json::Value stored = io::parsedJson(storedAnswer);
+    const Json::Value stored = io::parseJson(storedAnswer);
     io::JsonReader reader{stored};
     io::HttpResponse answer;
     answer.status = static_cast<int>(reader.number("status"));
@@ -267,7 +267,7 @@
 
 void CallerExchange::watchCaller()
 {
-    m_ends.request->setGoneHandler([weak = weak_from_this()] {
+    m_ends.request->setDisconnectHandler([weak = weak_from_this()] {
         if (const auto self = weak.lock())
             self->callerGone();
     });
@@ -393,7 +393,7 @@
 bool CallerExchange::mayRetry(const AttemptEnd &end)
 {
     const Instant now = io::hostNow();
-    const bool isIntact = end.isBodyIntact && !end.hasBegunAnswer;
+    const bool isIntact = end.isBodyResendable && !end.hasBegunAnswer;
     // Waiting for the key's next owner sends nothing, so the budget has no part in it.
     if (isIntact && waitsForOwner(*end.failure) && isCertainlyNotRun(*end.failure))
         return m_attemptCount < ownerWaitLimit && now + ownerWait < m_policy.deadline;
@@ -402,7 +402,7 @@
     failed.point = *end.failure;
     failed.attemptCount = m_attemptCount;
     failed.hasAnswerBegun = end.hasBegunAnswer;
-    failed.isBodyReplayable = end.isBodyIntact;
+    failed.isBodyReplayable = end.isBodyResendable;
     failed.hasOtherServer = m_resolved.key.empty();
     return takeRetry(failed, m_policy, {}, m_context.retries, now);
 }
--- a/src/bulrushswitchd/controlplane.cpp
+++ b/src/bulrushswitchd/controlplane.cpp
@@ -47,7 +47,7 @@
 {
     io::JsonReader reader{parameters};
     DomainName domain{reader.text("domain")};
-    if (!reader.isGood())
+    if (!reader.isValid())
         throw std::invalid_argument("domain: a failure domain's name is missing");
     return domain;
 }
@@ -301,7 +301,7 @@
 
 void ControlPlane::performAction(const OutgoingMessage &action)
 {
-    const Json::Value parameters = io::parsedJson(io::encodePeerMessage(action.message));
+    const Json::Value parameters = io::parseJson(io::encodePeerMessage(action.message));
     m_context.peers.call(action.to, "members.message", parameters, peerCallTimeout,
                          [](const io::RpcReply &) {});
 }
@@ -352,7 +352,7 @@
 
 void ControlPlane::applyContract(const VersionedItem &item)
 {
-    io::ContractReading reading = io::readContract(*item.body, item.header.key.name);
+    io::ContractResult reading = io::readContract(*item.body, item.header.key.name);
     if (reading.error) {
         // The one in force stays; the operators' client checks before it writes.
         io::logEvent(LogLevel::Error, "contract-unusable",
@@ -373,7 +373,7 @@
 
 void ControlPlane::applyAssignment(const VersionedItem &item)
 {
-    const auto assignment = io::decodeAssignment(io::parsedJson(*item.body));
+    const auto assignment = io::decodeAssignment(io::parseJson(*item.body));
     if (assignment)
         adopt(*assignment);
 }
@@ -410,7 +410,7 @@
 Json::Value ControlPlane::onMemberMessage(const Json::Value &parameters)
 {
     PeerMessage message;
-    const std::error_code error = io::decodePeerMessage(io::compactText(parameters), message);
+    const std::error_code error = io::decodePeerMessage(io::toCompactJson(parameters), message);
     if (error)
         throw std::invalid_argument(error.message());
     perform(m_membership.onMessage(io::hostNow(), message));
@@ -454,7 +454,7 @@
     io::JsonReader reader{parameters};
     const DomainName domain{reader.text("domain")};
     const KnownSteward steward{reader.text("steward"), reader.number("epoch")};
-    if (!reader.isGood())
+    if (!reader.isValid())
         throw std::invalid_argument("announcement: domain, steward or epoch is missing");
     m_leases.stewardKnown(domain, steward);
     m_leases.setConcerned(domain, isInOwnDomain(steward.address));
@@ -469,7 +469,7 @@
     const std::string steward = reader.text("steward");
     const std::uint64_t epoch = reader.number("epoch");
     const DomainName domain = domainIn(parameters);
-    if (!order || !reader.isGood())
+    if (!order || !reader.isValid())
         throw std::invalid_argument("order: a field is missing or of another type");
 
     m_servers.execute({domain, epoch}, *order,
@@ -498,7 +498,7 @@
     const std::uint64_t epoch = reader.number("epoch");
     const OrderId order = reader.number("order");
     const auto steward = m_stewards.find(domainIn(parameters));
-    if (steward != m_stewards.end() && steward->second->epoch() == epoch && reader.isGood())
+    if (steward != m_stewards.end() && steward->second->epoch() == epoch && reader.isValid())
         steward->second->orderEnded(order, end);
     return true;
 }
@@ -519,7 +519,7 @@
     const Incarnation daemon{reader.text("daemon")};
     auto reports = io::decodeLoadReports(reader.object("services"));
     const auto steward = m_stewards.find(domainIn(parameters));
-    if (!reports || !reader.isGood())
+    if (!reports || !reader.isValid())
         throw std::invalid_argument("load report: a field is missing, unsorted or too long");
     if (steward == m_stewards.end())
         return false;
@@ -567,10 +567,10 @@
     };
     hooks.inForce = [this](const Assignment &assignment) {
         adopt(assignment);
-        perform(m_membership.publish(io::hostNow(),
-                                     makeItem({ItemKind::Assignment, assignment.domain.value()},
-                                              assignment.version,
-                                              io::compactText(io::encodeAssignment(assignment)))));
+        perform(m_membership.publish(
+            io::hostNow(),
+            makeItem({ItemKind::Assignment, assignment.domain.value()}, assignment.version,
+                     io::toCompactJson(io::encodeAssignment(assignment)))));
     };
     hooks.ownView = [this, domain] {
         const auto found = m_assignments.find(domain);
--- a/src/bulrushswitchd/daemon.cpp
+++ b/src/bulrushswitchd/daemon.cpp
@@ -111,15 +111,16 @@
     const auto handlePeer = [this](const std::shared_ptr<io::IncomingRequest> &request,
                                    const std::shared_ptr<io::ResponseWriter> &writer) {
         // An assignment at the users' sizes is longer than what is held whole.
-        io::readWholeBody(request, [this, writer](std::error_code error, const std::string &body) {
-            if (error)
-                return; // letting go of the writer closes the connection
-            io::HttpResponse response;
-            response.status = 200;
-            response.headers = {{"Content-Type", "application/json"}};
-            response.body = m_control->answerCall(body);
-            writer->send(response);
-        });
+        io::readCompleteBody(request,
+                             [this, writer](std::error_code error, const std::string &body) {
+                                 if (error)
+                                     return; // letting go of the writer closes the connection
+                                 io::HttpResponse response;
+                                 response.status = 200;
+                                 response.headers = {{"Content-Type", "application/json"}};
+                                 response.body = m_control->answerCall(body);
+                                 writer->send(response);
+                             });
     };
     io::CallerServerSettings peers;
     peers.address = m_settings.addresses.peers.address;
--- a/src/bulrushswitchd/main.cpp
+++ b/src/bulrushswitchd/main.cpp
@@ -37,14 +37,14 @@
     return codeOf(ExitCode::Ok);
 }
 
-ExitCode codeOf(EntryEnd end)
+ExitCode codeOf(EntryResult end)
 {
     switch (end) {
-    case EntryEnd::Drained:
+    case EntryResult::Drained:
         return ExitCode::Ok;
-    case EntryEnd::ListenFailed:
+    case EntryResult::ListenFailed:
         return ExitCode::Listen;
-    case EntryEnd::CutOff:
+    case EntryResult::CutOff:
         break;
     }
     return ExitCode::CutOff;
@@ -53,13 +53,13 @@
 /** Runs an entry daemon on a metadata store. */
 int runEntry(const std::string &settingsPath, bool isCheckOnly)
 {
-    const io::EntrySettingsReading reading = io::readEntrySettings(settingsPath);
+    const io::EntrySettingsResult reading = io::readEntrySettings(settingsPath);
     if (reading.error)
         return reportProblems(reading.problems, reading.error);
     if (isCheckOnly)
         return reportUsable(settingsPath);
     io::startLogging(reading.settings.logLevel, reading.settings.host.value());
-    const EntryEnd end = EntryDaemon{reading.settings}.run();
+    const EntryResult end = EntryDaemon{reading.settings}.run();
     io::stopLogging();
     return codeOf(codeOf(end));
 }
@@ -84,7 +84,7 @@
     if (io::hasStore(settingsPath))
         return runEntry(settingsPath, isCheckOnly);
 
-    const io::SettingsReading reading = io::readSettings(settingsPath);
+    const io::SettingsResult reading = io::readSettings(settingsPath);
     if (reading.error)
         return reportProblems(reading.problems, reading.error);
     if (isCheckOnly)
--- a/src/bulrushswitchd/relayedexchange.cpp
+++ b/src/bulrushswitchd/relayedexchange.cpp
@@ -70,7 +70,7 @@
     m_attempt = std::make_shared<ServerAttempt>(
         m_context, m_ends, *std::move(order),
         [self = shared_from_this()](const AttemptEnd &end) { self->ended(end); });
-    m_ends.request->setGoneHandler([weak = weak_from_this()] {
+    m_ends.request->setDisconnectHandler([weak = weak_from_this()] {
         const auto self = weak.lock();
         if (self && self->m_attempt)
             std::exchange(self->m_attempt, nullptr)->abandon();
--- a/src/bulrushswitchd/stewardservice.cpp
+++ b/src/bulrushswitchd/stewardservice.cpp
@@ -90,7 +90,7 @@
 
 Json::Value StewardService::answerQuestion(const Json::Value &question)
 {
-    const auto asked = io::decodePromiseQuestion(question);
+    const auto asked = io::decodePromiseRequest(question);
     if (!asked || question["to"].asString() != m_context.self.incarnation.value())
         return {};
 
@@ -157,7 +157,7 @@
 {
     m_context.counters.add(Counter::PromisesAsked);
     m_context.peers.call(action.to.address, "steward.promise",
-                         io::encodePromiseQuestion(m_domain, m_context.self.incarnation, action),
+                         io::encodePromiseRequest(m_domain, m_context.self.incarnation, action),
                          peerCallTimeout, [this](const io::RpcReply &reply) {
                              const auto answer =
                                  reply.error ? std::nullopt : io::decodePromiseAnswer(reply.result);
--- a/src/libbulrush/process/configbudget.h
+++ b/src/libbulrush/process/configbudget.h
@@ -16,10 +16,10 @@
 {
 public:
     /** The shortest bound of all known deployments. */
-    static constexpr Duration shortestBound = std::chrono::seconds{2};
+    static constexpr Duration minBound = std::chrono::seconds{2};
 
     /** \pre \a bound is positive */
-    explicit constexpr ConfigBudget(Duration bound = shortestBound)
+    explicit constexpr ConfigBudget(Duration bound = minBound)
         : m_bound(bound)
     { }
 
@@ -30,7 +30,7 @@
     }
 
     /** Routing data of this age is also requested from daemons other than the one waited for. */
-    constexpr Duration askBesideAfter() const
+    constexpr Duration askAlternatesAfter() const
     {
         return part(65);
     }
@@ -45,13 +45,13 @@
     }
 
     /** Timeout of that confirmation; without it the store counts as unreachable for this daemon. */
-    constexpr Duration confirmWithin() const
+    constexpr Duration confirmTimeout() const
     {
         return part(20);
     }
 
     /** Routing data of this age no longer proves that a route does not exist. */
-    constexpr Duration doubtAfter() const
+    constexpr Duration maxReliableAge() const
     {
         return m_bound;
     }
@@ -65,7 +65,7 @@
     Duration m_bound;
 };
 
-static_assert(ConfigBudget{}.confirmAfter() + ConfigBudget{}.confirmWithin()
-              < ConfigBudget{}.doubtAfter());
+static_assert(ConfigBudget{}.confirmAfter() + ConfigBudget{}.confirmTimeout()
+              < ConfigBudget{}.maxReliableAge());
 
 } // namespace bulrush
--- a/src/libbulrush/process/crashledger.cpp
+++ b/src/libbulrush/process/crashregistry.cpp
@@ -1,4 +1,4 @@
-#include "process/crashledger.h"
+#include "process/crashregistry.h"
 
 #include <xxhash.h>
 
@@ -6,13 +6,13 @@
 
 namespace bulrush {
 
-CrashLedger::CrashLedger(const HostName &self)
+CrashRegistry::CrashRegistry(const HostName &self)
     : m_self(self)
     , m_pause(minWriteBackoff, maxWriteBackoff, self.value())
     , m_probes(self)
 { }
 
-void CrashLedger::reported(std::span<const CrashReport> reports, Instant now)
+void CrashRegistry::reported(std::span<const CrashReport> reports, Instant now)
 {
     suspects();
     for (const CrashReport &report : reports) {
@@ -33,13 +33,13 @@
     }
 }
 
-void CrashLedger::answered(const RequestFingerprint &request, Instant now)
+void CrashRegistry::answered(const RequestFingerprint &request, Instant now)
 {
     if (retractSuspect(request) && publishedCrashCount(request) >= answerPublishThreshold)
         m_publishAt.try_emplace(request, publicationTime(request, now));
 }
 
-bool CrashLedger::lift(const RequestFingerprint &request)
+bool CrashRegistry::lift(const RequestFingerprint &request)
 {
     const bool isKnown = retractSuspect(request);
     m_hasUnpublished = m_hasUnpublished || isKnown;
@@ -47,7 +47,7 @@
 }
 
 /** Retracts all reports that count against \a request. \returns whether there were any. */
-bool CrashLedger::retractSuspect(const RequestFingerprint &request)
+bool CrashRegistry::retractSuspect(const RequestFingerprint &request)
 {
     const auto suspect = suspects().find(request);
     if (suspect == m_suspects.end())
@@ -56,7 +56,8 @@
     return true;
 }
 
-void CrashLedger::retract(const RequestFingerprint &request, const std::vector<ServerName> &servers)
+void CrashRegistry::retract(const RequestFingerprint &request,
+                            const std::vector<ServerName> &servers)
 {
     auto found = std::ranges::find(m_retractions, request, &CrashRetraction::request);
     if (found == m_retractions.end()) {
@@ -71,8 +72,8 @@
     invalidate();
 }
 
-void CrashLedger::rowSeen(const HostName &host, std::uint64_t version, std::optional<CrashRow> row,
-                          Instant now)
+void CrashRegistry::applyRow(const HostName &host, std::uint64_t version,
+                             std::optional<CrashRow> row, Instant now)
 {
     if (host == m_self) {
         applyOwnRow(version, row, now);
@@ -91,8 +92,8 @@
     invalidate();
 }
 
-void CrashLedger::applyOwnRow(std::uint64_t version, const std::optional<CrashRow> &row,
-                              Instant now)
+void CrashRegistry::applyOwnRow(std::uint64_t version, const std::optional<CrashRow> &row,
+                                Instant now)
 {
     if (version < m_ownVersion)
         return; // read before the last write
@@ -107,18 +108,18 @@
     m_hasUnpublished = hadUnpublished;
 }
 
-void CrashLedger::setDaemons(std::vector<HostName> daemons)
+void CrashRegistry::setDaemons(std::vector<HostName> daemons)
 {
     if (m_probes.setDaemons(std::move(daemons)) && !suspects().empty())
         m_isChanged = true;
 }
 
-void CrashLedger::rowsSeen()
+void CrashRegistry::markRowsComplete()
 {
     m_hasRows = true;
 }
 
-std::vector<HostName> CrashLedger::hosts() const
+std::vector<HostName> CrashRegistry::hosts() const
 {
     std::vector<HostName> known;
     for (const auto &[host, row] : m_others)
@@ -126,7 +127,7 @@
     return known;
 }
 
-std::optional<CrashRowWrite> CrashLedger::dueWrite(Instant now)
+std::optional<CrashRowWrite> CrashRegistry::startDueWrite(Instant now)
 {
     removeExpired(now);
     m_hasUnpublished = isPublicationDue(now) || m_hasUnpublished;
@@ -141,7 +142,7 @@
 }
 
 /** \returns whether an answer is due for publication that no other daemon has published yet. */
-bool CrashLedger::isPublicationDue(Instant now)
+bool CrashRegistry::isPublicationDue(Instant now)
 {
     std::vector<RequestFingerprint> due;
     for (const auto &[request, at] : m_publishAt) {
@@ -158,7 +159,7 @@
 }
 
 /** \returns the number of servers that crashed under \a request according to the published rows. */
-std::size_t CrashLedger::publishedCrashCount(const RequestFingerprint &request) const
+std::size_t CrashRegistry::publishedCrashCount(const RequestFingerprint &request) const
 {
     Retracted published = retractedByOthers();
     addTo(published, m_written.retractions);
@@ -170,10 +171,10 @@
     return servers.size();
 }
 
-void CrashLedger::written(RowWriteEnd end, std::uint64_t version, Instant now)
+void CrashRegistry::handleWriteResult(RowWriteResult end, std::uint64_t version, Instant now)
 {
     m_isWriting = false;
-    if (end == RowWriteEnd::Done) {
+    if (end == RowWriteResult::Done) {
         m_ownVersion = version;
         m_pause.succeeded();
         return;
@@ -182,7 +183,7 @@
     m_pause.failed(now);
 }
 
-std::shared_ptr<const Quarantine> CrashLedger::changed(Instant now)
+std::shared_ptr<const Quarantine> CrashRegistry::takeUpdate(Instant now)
 {
     if (!std::exchange(m_isChanged, false) && !m_probes.hasExpiredProbe(now))
         return nullptr;
@@ -190,7 +191,7 @@
                                               m_probes.probedElsewhere(suspects(), now));
 }
 
-void CrashLedger::removeExpired(Instant now)
+void CrashRegistry::removeExpired(Instant now)
 {
     const auto removedCount = std::erase_if(
         m_reports, [now](const OwnReport &own) { return now - own.since > reportRetention; });
@@ -208,7 +209,7 @@
 }
 
 /** Removes own reports that were retracted, and retractions that match no other daemon's report. */
-void CrashLedger::removeRedundant()
+void CrashRegistry::removeRedundant()
 {
     suspects();
     std::erase_if(m_reports, [this](const OwnReport &own) {
@@ -223,20 +224,20 @@
     });
 }
 
-void CrashLedger::invalidate()
+void CrashRegistry::invalidate()
 {
     m_isEvaluated = false;
     m_isChanged = true;
 }
 
-const CrashLedger::Suspects &CrashLedger::suspects()
+const CrashRegistry::Suspects &CrashRegistry::suspects()
 {
     if (!std::exchange(m_isEvaluated, true))
         evaluate();
     return m_suspects;
 }
 
-void CrashLedger::evaluate()
+void CrashRegistry::evaluate()
 {
     m_retracted = retractedByOthers();
     addTo(m_retracted, m_retractions);
@@ -260,7 +261,7 @@
     }
 }
 
-std::vector<const CrashReport *> CrashLedger::allReports() const
+std::vector<const CrashReport *> CrashRegistry::allReports() const
 {
     std::vector<const CrashReport *> reports;
     for (const OwnReport &own : m_reports)
@@ -272,7 +273,7 @@
     return reports;
 }
 
-CrashLedger::Retracted CrashLedger::retractedByOthers() const
+CrashRegistry::Retracted CrashRegistry::retractedByOthers() const
 {
     Retracted retracted;
     for (const auto &[host, other] : m_others)
@@ -280,7 +281,7 @@
     return retracted;
 }
 
-void CrashLedger::addTo(Retracted &retracted, const std::vector<CrashRetraction> &retractions)
+void CrashRegistry::addTo(Retracted &retracted, const std::vector<CrashRetraction> &retractions)
 {
     for (const CrashRetraction &retraction : retractions) {
         for (const ServerName &server : retraction.servers)
@@ -288,7 +289,7 @@
     }
 }
 
-Instant CrashLedger::publicationTime(const RequestFingerprint &request, Instant now) const
+Instant CrashRegistry::publicationTime(const RequestFingerprint &request, Instant now) const
 {
     constexpr std::uint64_t steps = 1000;
     const std::string name = m_self.value() + request.toString();
@@ -296,7 +297,7 @@
     return now + maxPublishDelay * step / static_cast<std::int64_t>(steps);
 }
 
-CrashRow CrashLedger::ownRow() const
+CrashRow CrashRegistry::ownRow() const
 {
     CrashRow row{{}, m_retractions};
     for (const OwnReport &own : m_reports)
--- a/src/libbulrush/process/crashledger.h
+++ b/src/libbulrush/process/crashregistry.h
@@ -4,7 +4,7 @@
 #include "process/crashrecord.h"
 #include "process/plannerlease.h"
 #include "process/quarantine.h"
-#include "process/retrypause.h"
+#include "process/retrybackoff.h"
 #include "process/suspectprobes.h"
 
 #include <cstddef>
@@ -33,7 +33,7 @@
  *
  * Not thread safe. Instants never decrease.
  */
-class CrashLedger
+class CrashRegistry
 {
 public:
     /**
@@ -60,7 +60,7 @@
     static constexpr Duration minWriteBackoff = std::chrono::milliseconds{150};
     static constexpr Duration maxWriteBackoff = std::chrono::seconds{2};
 
-    explicit CrashLedger(const HostName &self);
+    explicit CrashRegistry(const HostName &self);
 
     /** Records crashes that this daemon has detected. */
     void reported(std::span<const CrashReport> reports, Instant now);
@@ -75,26 +75,26 @@
     bool lift(const RequestFingerprint &request);
 
     /** Applies the row of \a host as of \a version of the store; no value if there is no row. */
-    void rowSeen(const HostName &host, std::uint64_t version, std::optional<CrashRow> row,
-                 Instant now);
+    void applyRow(const HostName &host, std::uint64_t version, std::optional<CrashRow> row,
+                  Instant now);
 
     /** Sets the daemons that have rows of any kind. */
     void setDaemons(std::vector<HostName> daemons);
 
     /** Records that all existing rows have been applied. */
-    void rowsSeen();
+    void markRowsComplete();
 
     /** \returns the other hosts whose rows are stored here. */
     std::vector<HostName> hosts() const;
 
     /** \returns a write of this daemon's row if one is due, and records that it has started. */
-    std::optional<CrashRowWrite> dueWrite(Instant now);
+    std::optional<CrashRowWrite> startDueWrite(Instant now);
 
-    /** Handles the result of the last write. \pre a write from dueWrite() has no result yet */
-    void written(RowWriteEnd end, std::uint64_t version, Instant now);
+    /** Handles the result of the last write. \pre a write from startDueWrite() has no result yet */
+    void handleWriteResult(RowWriteResult end, std::uint64_t version, Instant now);
 
     /** \returns the quarantine if it differs from that of the last call, or null. */
-    std::shared_ptr<const Quarantine> changed(Instant now);
+    std::shared_ptr<const Quarantine> takeUpdate(Instant now);
 
 private:
     struct OwnReport
@@ -139,7 +139,7 @@
     std::map<RequestFingerprint, Instant> m_publishAt;
     /** Version of this daemon's own row; 0 if there is none. */
     std::uint64_t m_ownVersion = 0;
-    RetryPause m_pause;
+    RetryBackoff m_pause;
     /** There are changes that this daemon's row does not contain yet. */
     bool m_hasUnpublished = false;
     bool m_isWriting = false;
--- a/src/libbulrush/process/crashwatch.cpp
+++ b/src/libbulrush/process/crashwatch.cpp
@@ -41,7 +41,7 @@
     m_crashedAt.erase(server);
 }
 
-bool CrashWatch::takeLook(const ServerName &server, Instant now)
+bool CrashWatch::startLivenessCheck(const ServerName &server, Instant now)
 {
     const auto entries = m_entries.find(server);
     if (entries == m_entries.end() || entries->second.empty())
@@ -53,7 +53,7 @@
     return true;
 }
 
-std::vector<ServerName> CrashWatch::doubted() const
+std::vector<ServerName> CrashWatch::suspectedServers() const
 {
     std::vector<ServerName> servers;
     for (const auto &[server, entries] : m_entries) {
--- a/src/libbulrush/process/crashwatch.h
+++ b/src/libbulrush/process/crashwatch.h
@@ -52,10 +52,10 @@
      * \returns whether to check now if \a server still listens, and records that check. A check is
      * due if requests got no answer there and the last check was at least one interval ago.
      */
-    bool takeLook(const ServerName &server, Instant now);
+    bool startLivenessCheck(const ServerName &server, Instant now);
 
     /** \returns the servers at which the connections of requests broke. */
-    std::vector<ServerName> doubted() const;
+    std::vector<ServerName> suspectedServers() const;
 
     /** Removes expired entries. To be called periodically. */
     void forget(Instant now);
--- a/src/libbulrush/process/drainbudget.h
+++ b/src/libbulrush/process/drainbudget.h
@@ -21,21 +21,21 @@
 {
 public:
     /** The shortest bound of any known deployment. */
-    static constexpr Duration shortestBound = std::chrono::seconds{2};
+    static constexpr Duration minBound = std::chrono::seconds{2};
 
     /** \pre \a bound is positive */
-    explicit constexpr DrainBudget(Duration bound = shortestBound)
+    explicit constexpr DrainBudget(Duration bound = minBound)
         : m_bound(bound)
     { }
 
     /** Interval between two answers to the store's reader, so that one brings several changes. */
-    constexpr Duration readerPause() const
+    constexpr Duration minReadInterval() const
     {
         return part(10);
     }
 
     /** Maximum time that the store may hold a reader's call, so that a silent store is detected. */
-    constexpr Duration readerWait() const
+    constexpr Duration readerPollTimeout() const
     {
         return part(20);
     }
@@ -45,7 +45,7 @@
      * the request to the reader is pending. If the reader hangs, the store thus receives one call
      * instead of one from each daemon.
      */
-    constexpr Duration askBesideAfter() const
+    constexpr Duration askAlternatesAfter() const
     {
         return part(40);
     }
@@ -57,7 +57,7 @@
     }
 
     /** Timeout of that confirmation, after which the store is considered unreachable from here. */
-    constexpr Duration confirmWithin() const
+    constexpr Duration confirmTimeout() const
     {
         return part(15);
     }
@@ -69,7 +69,7 @@
     }
 
     /** The same for a server that is not known to drain, if the routing data could be renewed. */
-    constexpr Duration unconfirmedUse() const
+    constexpr Duration maxUnconfirmedAge() const
     {
         return part(70);
     }
@@ -78,7 +78,7 @@
      * Requests that wait for a connection are sent until then. The rest of the bound is for the
      * transfer: on a link of 10 Mbit/s, bytes wait up to 0.6 s behind uploads.
      */
-    constexpr Duration lastSend() const
+    constexpr Duration maxSendAge() const
     {
         return part(75);
     }
@@ -92,7 +92,7 @@
     Duration m_bound;
 };
 
-static_assert(DrainBudget{}.confirmAfter() + DrainBudget{}.confirmWithin()
-              < DrainBudget{}.unconfirmedUse());
+static_assert(DrainBudget{}.confirmAfter() + DrainBudget{}.confirmTimeout()
+              < DrainBudget{}.maxUnconfirmedAge());
 
 } // namespace bulrush
--- a/src/libbulrush/process/entrysettings.h
+++ b/src/libbulrush/process/entrysettings.h
@@ -29,16 +29,16 @@
     /** Time that a graceful shutdown gives to requests in flight. */
     Duration drainTime = std::chrono::milliseconds{5500};
     /** Time after its announcement during which a backend server that leaves may get requests. */
-    Duration serverDrain = DrainBudget::shortestBound;
+    Duration serverDrain = DrainBudget::minBound;
     /** Maximum time from the acknowledgement of a configuration until it is in force. */
-    Duration configInForce = ConfigBudget::shortestBound;
+    Duration configInForce = ConfigBudget::minBound;
     CallerLimits limits;
     /** Number of processor cores of the host. */
     double processors = 1.0;
     /** Bandwidth of the host's network link, in megabits per second. */
     double linkMegabits = 1000.0;
     /** Retries that all daemons together may send. */
-    RetryTerms retries;
+    RetryAllowance retries;
     LogLevel logLevel = LogLevel::Info;
 
     bool operator==(const EntrySettings &) const = default;
--- a/src/libbulrush/process/followplan.cpp
+++ b/src/libbulrush/process/followplan.cpp
@@ -21,7 +21,7 @@
 FollowStep FollowPlan::next(const FollowedTable &table, Instant now)
 {
     if (isWaitingForOthers(table, now))
-        return AskLater{waitInterval};
+        return RetryLater{waitInterval};
     std::optional<RowsReader> reader;
     const bool isStandalone = now < m_standaloneUntil || (!table.hasRows && isRestarting(now));
     if (!isStandalone || m_isStoreFailing)
@@ -33,41 +33,41 @@
         // wait for a timeout of its own, and a configuration would reach the complete failure
         // domain too late.
         if (haveFirstRefused && mayBeFollowed())
-            return AskStore{};
+            return QueryStore{};
         if (reader)
-            return AskReader{std::move(*reader)};
+            return QueryReader{std::move(*reader)};
         if (!haveFirstRefused)
-            return AskStore{};
+            return QueryStore{};
         // No daemon that may be followed reaches the store: further attempts are useless.
         m_isStoreFailing = true;
         delayStoreProbe(now);
-        return AskLater{waitInterval};
+        return RetryLater{waitInterval};
     }
     const bool isProbeDue = !m_isProbing && now >= m_probeStoreAt;
     if (isProbeDue && (!reader || !table.isUrgent)) {
         m_isProbing = true;
-        return AskStore{};
+        return QueryStore{};
     }
     if (reader)
-        return AskReader{std::move(*reader)};
-    return AskLater{waitInterval};
+        return QueryReader{std::move(*reader)};
+    return RetryLater{waitInterval};
 }
 
-std::vector<RowsReader> FollowPlan::readersBeside(const HostName &source, Instant now) const
+std::vector<RowsReader> FollowPlan::alternateReaders(const HostName &source, Instant now) const
 {
     if (isStoreRetrying())
         return {};
-    return m_readers.readersBeside(source, now);
+    return m_readers.alternateReaders(source, now);
 }
 
-void FollowPlan::readerServed(const HostName &host)
+void FollowPlan::recordReaderSuccess(const HostName &host)
 {
     m_readers.recordSuccess(host);
     m_searchingSince.reset();
     m_standaloneUntil = {};
 }
 
-void FollowPlan::readerFailed(const HostName &host, ReaderFailure failure, Instant now)
+void FollowPlan::recordReaderFailure(const HostName &host, ReaderFailure failure, Instant now)
 {
     m_readers.recordFailure(host, failure, now);
     if (failure != ReaderFailure::Silent)
@@ -80,7 +80,7 @@
     m_standaloneUntil = now + standaloneDuration;
 }
 
-void FollowPlan::storeAnswered()
+void FollowPlan::recordStoreAnswer()
 {
     m_isStoreFailing = false;
     m_isProbing = false;
@@ -89,7 +89,7 @@
     m_probeStoreAt = {};
 }
 
-void FollowPlan::storeFailed(Instant now)
+void FollowPlan::recordStoreFailure(Instant now)
 {
     // Calls for several tables that fail together count as one failure.
     const bool isNewFailure = !m_isStoreFailing || m_isProbing;
@@ -119,10 +119,10 @@
 /** \returns whether others may follow this daemon. */
 bool FollowPlan::mayBeFollowed() const
 {
-    return m_readers.rank() < ReaderChoice::mostReaders;
+    return m_readers.rank() < ReaderChoice::maxReaders;
 }
 
-bool FollowPlan::mayAskStore(Instant now) const
+bool FollowPlan::mayCallStore(Instant now) const
 {
     return !m_isStoreFailing || now >= m_probeStoreAt;
 }
--- a/src/libbulrush/process/followplan.h
+++ b/src/libbulrush/process/followplan.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "process/readerchoice.h"
-#include "process/retrypause.h"
+#include "process/retrybackoff.h"
 
 #include <optional>
 #include <span>
@@ -11,23 +11,23 @@
 namespace bulrush {
 
 /** Request rows from the store. */
-struct AskStore
+struct QueryStore
 { };
 
 /** Request changes of rows from another daemon. */
-struct AskReader
+struct QueryReader
 {
     RowsReader reader;
 };
 
 /** Send no request for a while. */
-struct AskLater
+struct RetryLater
 {
     Duration after;
 };
 
 /** The next step of a daemon to get changes of rows. */
-using FollowStep = std::variant<AskStore, AskReader, AskLater>;
+using FollowStep = std::variant<QueryStore, QueryReader, RetryLater>;
 
 /** The properties of a followed table that determine where to request its rows. */
 struct FollowedTable
@@ -91,8 +91,8 @@
     void setDaemons(std::span<const Renewer> daemons);
 
     /**
-     * \returns the next step for \a table. The result of an AskStore has to be reported by
-     * storeAnswered() or storeFailed().
+     * \returns the next step for \a table. The result of an QueryStore has to be reported by
+     * recordStoreAnswer() or recordStoreFailure().
      */
     FollowStep next(const FollowedTable &table, Instant now);
 
@@ -100,25 +100,25 @@
      * \returns the daemons to query in addition to \a source, which is silent. Empty if this daemon
      * is one of those that read the store in this case to inform the others.
      */
-    std::vector<RowsReader> readersBeside(const HostName &source, Instant now) const;
+    std::vector<RowsReader> alternateReaders(const HostName &source, Instant now) const;
 
     /** Records that \a host served rows. */
-    void readerServed(const HostName &host);
+    void recordReaderSuccess(const HostName &host);
 
     /** Records that \a host did not serve rows. */
-    void readerFailed(const HostName &host, ReaderFailure failure, Instant now);
+    void recordReaderFailure(const HostName &host, ReaderFailure failure, Instant now);
 
     /** Records that the store answered a call. */
-    void storeAnswered();
+    void recordStoreAnswer();
 
     /** Records that a call to the store failed. */
-    void storeFailed(Instant now);
+    void recordStoreFailure(Instant now);
 
     /** \returns whether the last call to the store failed: this daemon then serves no other. */
     bool isStoreFailing() const;
 
     /** \returns whether a call to the store other than those of next() may be made. */
-    bool mayAskStore(Instant now) const;
+    bool mayCallStore(Instant now) const;
 
 private:
     ReaderPlace place() const;
@@ -130,8 +130,8 @@
 
     ReaderChoice m_readers;
     Instant m_start;
-    RetryPause m_backoff;
-    RetryPause m_backoffOfOthers;
+    RetryBackoff m_backoff;
+    RetryBackoff m_backoffOfOthers;
     /** Whether the host had a row when this daemon started; empty until rows were received. */
     std::optional<bool> m_hadRow;
     Instant m_probeStoreAt;
--- a/src/libbulrush/process/keyaction.h
+++ b/src/libbulrush/process/keyaction.h
@@ -2,7 +2,7 @@
 
 #include "process/endpoint.h"
 #include "process/plannerlease.h"
-#include "process/renewerbook.h"
+#include "process/renewerregistry.h"
 #include "version/keyassignment.h"
 
 #include <cstdint>
@@ -45,7 +45,7 @@
 };
 
 /** Query a daemon about its last grants to \a servers. */
-struct AskRenewer
+struct QueryRenewer
 {
     Renewer renewer;
     ServiceName service;
@@ -82,6 +82,6 @@
 
 /** An action of a daemon in the assignment of keys. */
 using KeyAction = std::variant<WritePlannerRow, CommitKeyAssignment, SendGrant, SendRelease,
-                               AskRenewer, WriteDaemonRow, RemoveDaemonRows>;
+                               QueryRenewer, WriteDaemonRow, RemoveDaemonRows>;
 
 } // namespace bulrush
--- a/src/libbulrush/process/keycoordinator.cpp
+++ b/src/libbulrush/process/keycoordinator.cpp
@@ -17,7 +17,7 @@
 
 } // namespace
 
-KeyCoordinator::KeyCoordinator(const KeySelf &self, Instant start, const KeyTimings &timings)
+KeyCoordinator::KeyCoordinator(const DaemonIdentity &self, Instant start, const KeyTimings &timings)
     : m_self(self)
     , m_lease(self.incarnation, self.address, self.takeoverDelay)
     , m_renewal(self.domain, start, timings)
@@ -27,13 +27,13 @@
     , m_removeBackoff(removeRetryDelay, maxRemoveBackoff, self.host.value())
 { }
 
-void KeyCoordinator::plannerRowSeen(std::uint64_t version, const PlannerRow &row, Instant now)
+void KeyCoordinator::applyPlannerRow(std::uint64_t version, const PlannerRow &row, Instant now)
 {
     m_lease.applyRow(version, row, now);
 }
 
-bool KeyCoordinator::assignmentSeen(const KeyAssignment &assignment, std::uint64_t version,
-                                    Instant now)
+bool KeyCoordinator::applyAssignment(const KeyAssignment &assignment, std::uint64_t version,
+                                     Instant now)
 {
     StoredAssignment &stored = m_assignments[assignment.service];
     if (version <= stored.version)
@@ -44,8 +44,8 @@
     return true;
 }
 
-void KeyCoordinator::daemonRowSeen(const HostName &host, std::uint64_t version,
-                                   const std::optional<DaemonRow> &row, Instant now)
+void KeyCoordinator::applyDaemonRow(const HostName &host, std::uint64_t version,
+                                    const std::optional<DaemonRow> &row, Instant now)
 {
     if (row)
         m_renewers.applyRow(host, *row, version);
@@ -57,34 +57,35 @@
     m_ownVersion = isOwn ? version : 0;
 }
 
-void KeyCoordinator::rowsSeen(std::uint64_t version)
+void KeyCoordinator::markRowsApplied(std::uint64_t version)
 {
     m_hasRows = true;
     m_appliedVersion = std::max(m_appliedVersion, version);
 }
 
-void KeyCoordinator::storeAnswered(Instant givenAt)
+void KeyCoordinator::recordStoreAnswer(Instant givenAt)
 {
-    m_renewal.storeAnswered(givenAt);
+    m_renewal.recordStoreAnswer(givenAt);
 }
 
-void KeyCoordinator::plannerRowWritten(RowWriteEnd result, std::uint64_t version, Instant now)
+void KeyCoordinator::handlePlannerRowResult(RowWriteResult result, std::uint64_t version,
+                                            Instant now)
 {
     m_lease.handleWriteResult(result, version, now);
 }
 
-bool KeyCoordinator::assignmentCommitted(const KeyAssignment &next, RowWriteEnd result,
-                                         std::uint64_t version, Instant now)
+bool KeyCoordinator::handleCommitResult(const KeyAssignment &next, RowWriteResult result,
+                                        std::uint64_t version, Instant now)
 {
     m_committing.erase(next.service);
     // The commit failed or may have been carried out: plan again from the row that the store feed
     // delivers.
-    if (result != RowWriteEnd::Done) {
+    if (result != RowWriteResult::Done) {
         m_commitRetryAt[next.service] = now + commitRetryDelay;
         return false;
     }
     m_commitRetryAt.erase(next.service);
-    return assignmentSeen(next, version, now);
+    return applyAssignment(next, version, now);
 }
 
 void KeyCoordinator::released(const SendRelease &release, std::string handover, Instant now)
@@ -92,7 +93,7 @@
     m_moves.released(release.service, release.owned, std::move(handover), now);
 }
 
-void KeyCoordinator::grantSent(const SendGrant &grant, Instant now)
+void KeyCoordinator::recordGrantSent(const SendGrant &grant, Instant now)
 {
     m_grants.recordSent(grant.owned.owner, now);
 }
@@ -109,30 +110,31 @@
     return wanted;
 }
 
-void KeyCoordinator::connectionMade(const ServerName &server, Instant now)
+void KeyCoordinator::recordConnection(const ServerName &server, Instant now)
 {
-    m_renewal.connectionMade(server, now);
+    m_renewal.recordConnection(server, now);
 }
 
-void KeyCoordinator::connectionLost(const ServerName &server)
+void KeyCoordinator::recordConnectionLost(const ServerName &server)
 {
-    m_renewal.connectionLost(server);
+    m_renewal.recordConnectionLost(server);
 }
 
-void KeyCoordinator::connectionGivenUp(const ServerName &server)
+void KeyCoordinator::recordConnectionReset(const ServerName &server)
 {
-    m_renewal.connectionGivenUp(server);
+    m_renewal.recordConnectionReset(server);
 }
 
-void KeyCoordinator::grantEnded(const SendGrant &grant, bool mayHaveArrived, Instant now)
+void KeyCoordinator::recordGrantResult(const SendGrant &grant, bool mayHaveArrived, Instant now)
 {
     m_grants.recordResult(grant.owned.owner, mayHaveArrived, now);
 }
 
-void KeyCoordinator::daemonRowWritten(RowWriteEnd result, std::uint64_t version, Instant now)
+void KeyCoordinator::handleDaemonRowResult(RowWriteResult result, std::uint64_t version,
+                                           Instant now)
 {
     m_isRegistering = false;
-    if (result != RowWriteEnd::Done) {
+    if (result != RowWriteResult::Done) {
         m_registerBackoff.failed(now);
         return;
     }
@@ -141,17 +143,18 @@
         m_ownVersion = version;
 }
 
-void KeyCoordinator::daemonRowsRemoved(RowWriteEnd result, Instant now)
+void KeyCoordinator::handleRemovalResult(RowWriteResult result, Instant now)
 {
     m_isRemoving = false;
-    if (result == RowWriteEnd::Done)
+    if (result == RowWriteResult::Done)
         m_removeBackoff.succeeded();
     else
         m_removeBackoff.failed(now);
 }
 
-RenewerAnswer KeyCoordinator::answerOn(const ServiceName &service,
-                                       std::span<const ServerName> servers, Instant now) const
+RenewerAnswer KeyCoordinator::makeRenewerAnswer(const ServiceName &service,
+                                                std::span<const ServerName> servers,
+                                                Instant now) const
 {
     RenewerAnswer answer;
     answer.host = m_self.host;
@@ -164,7 +167,7 @@
     return answer;
 }
 
-void KeyCoordinator::renewerAnswered(const RenewerAnswer &answer, Instant now)
+void KeyCoordinator::recordRenewerAnswer(const RenewerAnswer &answer, Instant now)
 {
     m_renewers.recordAnswer(answer, now);
 }
@@ -238,7 +241,7 @@
         return WriteDaemonRow{std::exchange(m_ownVersion, 0), std::nullopt};
     // A removed row stays in the registry for a while, but cannot be replaced.
     const auto known = m_renewers.renewers().find(m_self.host);
-    const bool hasRow = known != m_renewers.renewers().end() && !known->second.goneSince;
+    const bool hasRow = known != m_renewers.renewers().end() && !known->second.removedSince;
     return WriteDaemonRow{
         hasRow ? known->second.version : 0,
         DaemonRow{m_self.incarnation, m_self.address, m_self.domain, m_self.processors}};
@@ -268,9 +271,9 @@
 {
     for (SendRelease &release : m_moves.dueReleases(servers, now))
         actions.emplace_back(std::move(release));
-    for (AskRenewer &query : m_moves.dueQueries(servers, m_renewers, now)) {
+    for (QueryRenewer &query : m_moves.dueQueries(servers, m_renewers, now)) {
         if (query.renewer.host == m_self.host) {
-            m_renewers.recordAnswer(answerOn(query.service, query.servers, now), now);
+            m_renewers.recordAnswer(makeRenewerAnswer(query.service, query.servers, now), now);
             continue;
         }
         m_renewers.recordQuery(query.renewer.host, now);
@@ -298,7 +301,7 @@
                                 Instant now) const
 {
     const KnownServer *server = servers.find(grant.owned.owner);
-    if (!server || server->goneSince)
+    if (!server || server->removedSince)
         return false;
     const KeyAssignment *known = assignment(grant.service);
     if (!known || !isRegistered() || !m_renewal.mayGrant(grant.service, grant.owned, now))
--- a/src/libbulrush/process/keycoordinator.h
+++ b/src/libbulrush/process/keycoordinator.h
@@ -6,8 +6,8 @@
 #include "process/keyrenewal.h"
 #include "process/keytimings.h"
 #include "process/plannerlease.h"
-#include "process/renewerbook.h"
-#include "process/retrypause.h"
+#include "process/renewerregistry.h"
+#include "process/retrybackoff.h"
 #include "process/serverdirectory.h"
 #include "version/keyadmission.h"
 #include "version/keyplanner.h"
@@ -23,7 +23,7 @@
 namespace bulrush {
 
 /** Identity and properties of this daemon as other daemons see them. */
-struct KeySelf
+struct DaemonIdentity
 {
     HostName host;
     /** Of this run of the daemon. */
@@ -97,41 +97,41 @@
     static constexpr std::size_t maxRowsPerRemoval = 90;
 
     /** \a start is the start of this run of the daemon. */
-    KeyCoordinator(const KeySelf &self, Instant start, const KeyTimings &timings = {});
+    KeyCoordinator(const DaemonIdentity &self, Instant start, const KeyTimings &timings = {});
 
     /** Applies the planner's row; version 0 and an empty row mean that there is none. */
-    void plannerRowSeen(std::uint64_t version, const PlannerRow &row, Instant now);
+    void applyPlannerRow(std::uint64_t version, const PlannerRow &row, Instant now);
 
     /** Applies the row of an assignment. \returns whether it is newer than the stored one. */
-    bool assignmentSeen(const KeyAssignment &assignment, std::uint64_t version, Instant now);
+    bool applyAssignment(const KeyAssignment &assignment, std::uint64_t version, Instant now);
 
     /** Applies the row of a daemon; \a row is empty if the daemon no longer has one. */
-    void daemonRowSeen(const HostName &host, std::uint64_t version,
-                       const std::optional<DaemonRow> &row, Instant now);
+    void applyDaemonRow(const HostName &host, std::uint64_t version,
+                        const std::optional<DaemonRow> &row, Instant now);
 
     /** Records that all rows up to \a version of the store have been applied. */
-    void rowsSeen(std::uint64_t version);
+    void markRowsApplied(std::uint64_t version);
 
     /** Records that the store confirmed, at \a givenAt or later, that the rows are unchanged. */
-    void storeAnswered(Instant givenAt);
+    void recordStoreAnswer(Instant givenAt);
 
     /** Handles the result of a WritePlannerRow. */
-    void plannerRowWritten(RowWriteEnd result, std::uint64_t version, Instant now);
+    void handlePlannerRowResult(RowWriteResult result, std::uint64_t version, Instant now);
 
     /**
      * Handles the result of the CommitKeyAssignment of \a next. \returns whether it is in force.
      */
-    bool assignmentCommitted(const KeyAssignment &next, RowWriteEnd result, std::uint64_t version,
-                             Instant now);
+    bool handleCommitResult(const KeyAssignment &next, RowWriteResult result, std::uint64_t version,
+                            Instant now);
 
     /** Records that the previous owner has released a range. */
     void released(const SendRelease &release, std::string handover, Instant now);
 
     /** Records that \a grant is being sent. \pre isStillDue() of it */
-    void grantSent(const SendGrant &grant, Instant now);
+    void recordGrantSent(const SendGrant &grant, Instant now);
 
     /** Records the end of the call of \a grant and whether its server may have received it. */
-    void grantEnded(const SendGrant &grant, bool mayHaveArrived, Instant now);
+    void recordGrantResult(const SendGrant &grant, bool mayHaveArrived, Instant now);
 
     /**
      * \returns the servers of the services \a keyed to which a connection has to be kept: grants
@@ -141,29 +141,29 @@
                                              std::span<const ServiceName> keyed) const;
 
     /** Records a new connection to \a server. */
-    void connectionMade(const ServerName &server, Instant now);
+    void recordConnection(const ServerName &server, Instant now);
 
     /** Records that the last connection to \a server was closed, or could not be made. */
-    void connectionLost(const ServerName &server);
+    void recordConnectionLost(const ServerName &server);
 
     /** Records that the connection to \a server was reset because a grant got no answer. */
-    void connectionGivenUp(const ServerName &server);
+    void recordConnectionReset(const ServerName &server);
 
     /** Handles the result of a WriteDaemonRow. */
-    void daemonRowWritten(RowWriteEnd result, std::uint64_t version, Instant now);
+    void handleDaemonRowResult(RowWriteResult result, std::uint64_t version, Instant now);
 
     /** Handles the result of a RemoveDaemonRows. */
-    void daemonRowsRemoved(RowWriteEnd result, Instant now);
+    void handleRemovalResult(RowWriteResult result, Instant now);
 
     /**
      * \returns the answer to a planner that requests the last grants to \a servers. The assignment
      * that came with the request must be applied first.
      */
-    RenewerAnswer answerOn(const ServiceName &service, std::span<const ServerName> servers,
-                           Instant now) const;
+    RenewerAnswer makeRenewerAnswer(const ServiceName &service, std::span<const ServerName> servers,
+                                    Instant now) const;
 
     /** Records the answer of a daemon, which arrived at \a now. */
-    void renewerAnswered(const RenewerAnswer &answer, Instant now);
+    void recordRenewerAnswer(const RenewerAnswer &answer, Instant now);
 
     /** Adds load samples of a daemon; ignored unless this daemon is the planner. */
     void addLoads(std::span<const LoadSample> samples, Instant now);
@@ -198,7 +198,7 @@
     std::uint64_t assignmentVersion(const ServiceName &service) const;
 
     /** \returns the daemons that have rows. */
-    const RenewerBook &renewers() const;
+    const RenewerRegistry &renewers() const;
 
     const PlannerLease &lease() const;
 
@@ -223,11 +223,11 @@
     std::vector<KeyServer> readyServers(const ServiceName &service, const ServerDirectory &servers,
                                         Instant now) const;
 
-    KeySelf m_self;
+    DaemonIdentity m_self;
     PlannerLease m_lease;
     KeyRenewal m_renewal;
     KeyMoves m_moves;
-    RenewerBook m_renewers;
+    RenewerRegistry m_renewers;
     GrantLog m_grants;
     std::map<ServiceName, StoredAssignment> m_assignments;
     /** Empty unless this daemon is the planner. */
@@ -243,9 +243,9 @@
     std::uint64_t m_appliedVersion = 0;
     /** Version of this daemon's own row; 0 while no such row is known. */
     std::uint64_t m_ownVersion = 0;
-    RetryPause m_registerBackoff;
+    RetryBackoff m_registerBackoff;
     bool m_isRegistering = false;
-    RetryPause m_removeBackoff;
+    RetryBackoff m_removeBackoff;
     /** A RemoveDaemonRows is in flight. */
     bool m_isRemoving = false;
     bool m_hasRows = false;
@@ -258,7 +258,7 @@
     return m_isPlanning;
 }
 
-inline const RenewerBook &KeyCoordinator::renewers() const
+inline const RenewerRegistry &KeyCoordinator::renewers() const
 {
     return m_renewers;
 }
--- a/src/libbulrush/process/keymoves.cpp
+++ b/src/libbulrush/process/keymoves.cpp
@@ -47,7 +47,7 @@
             // If the owner has restarted, its later run may have been granted the keys instead.
             const KnownServer *previous = servers.latestRunOf(owned.previous);
             const std::optional<Instant> sentAt = move->second.releaseSentAt;
-            if (!previous || (sentAt && now - *sentAt < askAgain))
+            if (!previous || (sentAt && now - *sentAt < requestRetryDelay))
                 continue;
             move->second.releaseSentAt = now;
             releases.push_back({service, owned, previous->record.address});
@@ -56,10 +56,10 @@
     return releases;
 }
 
-std::vector<AskRenewer> KeyMoves::dueQueries(const ServerDirectory &servers,
-                                             const RenewerBook &renewers, Instant now)
+std::vector<QueryRenewer> KeyMoves::dueQueries(const ServerDirectory &servers,
+                                               const RenewerRegistry &renewers, Instant now)
 {
-    std::vector<AskRenewer> queries;
+    std::vector<QueryRenewer> queries;
     for (const auto &[service, assignment] : m_assignments) {
         std::set<ServerName> unanswered;
         for (const OwnedRange &owned : assignment.ranges) {
@@ -67,7 +67,7 @@
             if (!owned.isMoving() || move == m_moves.end() || move->second.handover)
                 continue;
             const KnownServer *previous = servers.find(owned.previous);
-            const bool isRemoved = !previous || previous->goneSince;
+            const bool isRemoved = !previous || previous->removedSince;
             if (isRemoved || now - move->second.committedAt >= ownerTimeout)
                 unanswered.insert(owned.previous);
         }
@@ -75,9 +75,9 @@
             continue;
         for (const auto &[host, renewer] : renewers.renewers()) {
             const auto queried = m_queriedAt.find({service, host});
-            if (queried != m_queriedAt.end() && now - queried->second < askAgain)
+            if (queried != m_queriedAt.end() && now - queried->second < requestRetryDelay)
                 continue;
-            if (renewer.goneSince)
+            if (renewer.removedSince)
                 continue;
             m_queriedAt[{service, host}] = now;
             queries.push_back({renewer,
@@ -101,7 +101,7 @@
 
 std::optional<KeyAssignment> KeyMoves::settled(const ServiceName &service,
                                                const ServerDirectory &servers,
-                                               const RenewerBook &renewers,
+                                               const RenewerRegistry &renewers,
                                                std::uint64_t appliedVersion, Instant now) const
 {
     const auto assignment = m_assignments.find(service);
@@ -123,7 +123,7 @@
             hasUnsettled = true;
             continue;
         }
-        isDue = isDue || now - *since >= settleTogether;
+        isDue = isDue || now - *since >= settleBatchPeriod;
         owned.previous = {};
         owned.moveSequence = 0;
         owned.handover = move->second.handover.value_or(std::string{});
@@ -136,7 +136,8 @@
 
 /** \returns since when the range is free for its new owner, or nothing if it is not free yet. */
 std::optional<Instant> KeyMoves::settledSince(const Move &move, const ServiceName &service,
-                                              const OwnedRange &owned, const RenewerBook &renewers,
+                                              const OwnedRange &owned,
+                                              const RenewerRegistry &renewers,
                                               std::uint64_t appliedVersion, Instant now)
 {
     if (move.handover)
--- a/src/libbulrush/process/keymoves.h
+++ b/src/libbulrush/process/keymoves.h
@@ -2,7 +2,7 @@
 
 #include "process/clock.h"
 #include "process/keyaction.h"
-#include "process/renewerbook.h"
+#include "process/renewerregistry.h"
 #include "process/serverdirectory.h"
 #include "version/keyassignment.h"
 
@@ -29,9 +29,9 @@
      * Ranges released within this period are settled by one commit, as every daemon reads each
      * commit.
      */
-    static constexpr Duration settleTogether = std::chrono::milliseconds{60};
+    static constexpr Duration settleBatchPeriod = std::chrono::milliseconds{60};
     /** Delay until an unanswered request to an owner or a daemon is repeated. */
-    static constexpr Duration askAgain = std::chrono::milliseconds{700};
+    static constexpr Duration requestRetryDelay = std::chrono::milliseconds{700};
     /** Daemons are queried once an owner has not answered for this long. */
     static constexpr Duration ownerTimeout = std::chrono::milliseconds{250};
 
@@ -45,8 +45,8 @@
     std::vector<SendRelease> dueReleases(const ServerDirectory &servers, Instant now);
 
     /** \returns the queries to daemons about their grants that are due; each counts as sent. */
-    std::vector<AskRenewer> dueQueries(const ServerDirectory &servers, const RenewerBook &renewers,
-                                       Instant now);
+    std::vector<QueryRenewer> dueQueries(const ServerDirectory &servers,
+                                         const RenewerRegistry &renewers, Instant now);
 
     /** Records that the previous owner of \a owned has released it. */
     void released(const ServiceName &service, const OwnedRange &owned, std::string handover,
@@ -61,8 +61,8 @@
      * fencing tokens stay.
      */
     std::optional<KeyAssignment> settled(const ServiceName &service, const ServerDirectory &servers,
-                                         const RenewerBook &renewers, std::uint64_t appliedVersion,
-                                         Instant now) const;
+                                         const RenewerRegistry &renewers,
+                                         std::uint64_t appliedVersion, Instant now) const;
 
 private:
     struct Move
@@ -76,12 +76,13 @@
         std::optional<Instant> releasedAt;
     };
     /** Service, range, and sequence that started the move; a new owner changes none of these. */
-    using MoveKey = std::tuple<ServiceName, KeyPlace, KeyPlace, std::uint64_t>;
+    using MoveKey = std::tuple<ServiceName, KeyPosition, KeyPosition, std::uint64_t>;
 
     static MoveKey moveKey(const ServiceName &service, const OwnedRange &owned);
     const Move *containingMove(const ServiceName &service, const OwnedRange &owned) const;
     static std::optional<Instant> settledSince(const Move &move, const ServiceName &service,
-                                               const OwnedRange &owned, const RenewerBook &renewers,
+                                               const OwnedRange &owned,
+                                               const RenewerRegistry &renewers,
                                                std::uint64_t appliedVersion, Instant now);
 
     std::map<ServiceName, KeyAssignment> m_assignments;
--- a/src/libbulrush/process/keyrenewal.cpp
+++ b/src/libbulrush/process/keyrenewal.cpp
@@ -16,7 +16,7 @@
     m_assignments[assignment.service] = assignment;
 }
 
-void KeyRenewal::storeAnswered(Instant givenAt)
+void KeyRenewal::recordStoreAnswer(Instant givenAt)
 {
     if (!m_lastStoreAnswer || givenAt - *m_lastStoreAnswer > maxStoreAnswerGap)
         m_continuousSince = givenAt;
@@ -25,10 +25,10 @@
 
 bool KeyRenewal::shouldRenew(const KnownServer &server) const
 {
-    return !server.goneSince && (m_isPlanner || server.record.domain == m_ownDomain);
+    return !server.removedSince && (m_isPlanner || server.record.domain == m_ownDomain);
 }
 
-void KeyRenewal::connectionMade(const ServerName &server, Instant now)
+void KeyRenewal::recordConnection(const ServerName &server, Instant now)
 {
     const bool isStarting = now - m_start < m_timings.startupPeriod;
     const auto suspect = m_suspectDurations.find(server);
@@ -40,12 +40,12 @@
     m_connections.try_emplace(server, std::move(connection));
 }
 
-void KeyRenewal::connectionLost(const ServerName &server)
+void KeyRenewal::recordConnectionLost(const ServerName &server)
 {
     dropConnection(server, m_timings.recordExpiry);
 }
 
-void KeyRenewal::connectionGivenUp(const ServerName &server)
+void KeyRenewal::recordConnectionReset(const ServerName &server)
 {
     dropConnection(server, m_timings.recordUpdateDelay);
 }
--- a/src/libbulrush/process/keyrenewal.h
+++ b/src/libbulrush/process/keyrenewal.h
@@ -42,7 +42,7 @@
     void setAssignment(const KeyAssignment &assignment);
 
     /** Records that the store confirmed, at \a givenAt or later, that assignments are unchanged. */
-    void storeAnswered(Instant givenAt);
+    void recordStoreAnswer(Instant givenAt);
 
     /** Sets whether this daemon is the planner, which renews the servers of all domains. */
     void setPlanner(bool isPlanner);
@@ -56,13 +56,13 @@
     bool isConnected(const ServerName &server) const;
 
     /** Records a new connection to \a server. */
-    void connectionMade(const ServerName &server, Instant now);
+    void recordConnection(const ServerName &server, Instant now);
 
     /** Records that the last connection to \a server was closed, or could not be made. */
-    void connectionLost(const ServerName &server);
+    void recordConnectionLost(const ServerName &server);
 
     /** Records that the connection to \a server was reset because a grant got no answer. */
-    void connectionGivenUp(const ServerName &server);
+    void recordConnectionReset(const ServerName &server);
 
     /** \returns the grants that are due; each counts as sent. */
     std::vector<SendGrant> due(const ServerDirectory &servers, Instant now);
@@ -86,7 +86,7 @@
     static constexpr Duration maxStoreAnswerGap = std::chrono::milliseconds{1800};
 
 private:
-    using GrantKey = std::tuple<ServiceName, KeyPlace, KeyPlace, ServerName, std::uint64_t>;
+    using GrantKey = std::tuple<ServiceName, KeyPosition, KeyPosition, ServerName, std::uint64_t>;
 
     /** A connection to one run of a server. */
     struct Connection
--- a/src/libbulrush/process/linkbudget.cpp
+++ b/src/libbulrush/process/linkbudget.cpp
@@ -14,7 +14,7 @@
     : m_bytesPerSecond(megabitsPerSecond * bytesPerMegabit * linkShare)
 { }
 
-bool LinkBudget::take(std::size_t bytes, Instant now)
+bool LinkBudget::tryReserve(std::size_t bytes, Instant now)
 {
     const std::chrono::duration<double> seconds{static_cast<double>(bytes) / m_bytesPerSecond};
     const Instant startAt = std::max(now, m_busyUntil);
--- a/src/libbulrush/process/linkbudget.h
+++ b/src/libbulrush/process/linkbudget.h
@@ -29,7 +29,7 @@
     explicit LinkBudget(double megabitsPerSecond);
 
     /** Reserves the link for an answer of \a bytes. \returns false if it has to be declined. */
-    bool take(std::size_t bytes, Instant now);
+    bool tryReserve(std::size_t bytes, Instant now);
 
 private:
     double m_bytesPerSecond;
--- a/src/libbulrush/process/plannerlease.cpp
+++ b/src/libbulrush/process/plannerlease.cpp
@@ -19,7 +19,7 @@
 
 } // namespace
 
-Duration plannerPatience(std::uint64_t hash, double processors)
+Duration plannerTakeoverDelay(std::uint64_t hash, double processors)
 {
     const Duration delay = std::chrono::milliseconds{hash % takeoverDelaySpreadMs};
     return processors < minProcessors ? delay + weakHostDelay : delay;
@@ -46,12 +46,12 @@
         m_renewedAt = m_sentAt;
 }
 
-void PlannerLease::handleWriteResult(RowWriteEnd result, std::uint64_t version, Instant now)
+void PlannerLease::handleWriteResult(RowWriteResult result, std::uint64_t version, Instant now)
 {
     const std::optional<PlannerRowWrite> write = std::exchange(m_pending, std::nullopt);
-    if (result != RowWriteEnd::Done)
+    if (result != RowWriteResult::Done)
         m_retryAt = now + retryInterval;
-    if (!write || result != RowWriteEnd::Done)
+    if (!write || result != RowWriteResult::Done)
         return;
     if (version > m_version) {
         m_version = version;
--- a/src/libbulrush/process/plannerlease.h
+++ b/src/libbulrush/process/plannerlease.h
@@ -33,7 +33,7 @@
 };
 
 /** Result of a conditional write of a row. */
-enum class RowWriteEnd {
+enum class RowWriteResult {
     Done,
     Refused, ///< nothing was written
     Unknown, ///< the row may have been written, or may still be written later
@@ -70,7 +70,7 @@
     void applyRow(std::uint64_t version, const PlannerRow &row, Instant now);
 
     /** Handles the result of the write that advance() returned. */
-    void handleWriteResult(RowWriteEnd result, std::uint64_t version, Instant now);
+    void handleWriteResult(RowWriteResult result, std::uint64_t version, Instant now);
 
     /** \returns the write to send now, if any; none is due until the result of the last arrives. */
     std::optional<PlannerRowWrite> advance(Instant now);
@@ -134,6 +134,6 @@
  * of the host's name. The delays make daemons try to take the lease one after the other, those on
  * weak hosts last. Thread safe.
  */
-Duration plannerPatience(std::uint64_t hash, double processors);
+Duration plannerTakeoverDelay(std::uint64_t hash, double processors);
 
 } // namespace bulrush
--- a/src/libbulrush/process/quarantine.cpp
+++ b/src/libbulrush/process/quarantine.cpp
@@ -28,7 +28,7 @@
     return found != m_suspects.end() && found->second.isBlocked();
 }
 
-std::span<const ServerName> Quarantine::endedUnder(const RequestFingerprint &request) const
+std::span<const ServerName> Quarantine::crashedServers(const RequestFingerprint &request) const
 {
     const auto found = m_suspects.find(request);
     if (found == m_suspects.end())
--- a/src/libbulrush/process/quarantine.h
+++ b/src/libbulrush/process/quarantine.h
@@ -54,7 +54,7 @@
      * \returns the runs of servers that crashed under \a request since it was last answered. Valid
      * during the lifetime of this object. Thread safe.
      */
-    std::span<const ServerName> endedUnder(const RequestFingerprint &request) const;
+    std::span<const ServerName> crashedServers(const RequestFingerprint &request) const;
 
     /** \returns all suspects. Valid during the lifetime of this object. Thread safe. */
     const Suspects &requests() const;
--- a/src/libbulrush/process/readerchoice.cpp
+++ b/src/libbulrush/process/readerchoice.cpp
@@ -27,7 +27,7 @@
 {
     m_daemons.clear();
     for (const Renewer &daemon : daemons) {
-        if (!daemon.goneSince && daemon.row.domain == m_domain)
+        if (!daemon.removedSince && daemon.row.domain == m_domain)
             m_daemons.push_back(
                 {daemon.host, daemon.row.address, daemon.row.processors, daemon.version});
     }
@@ -73,7 +73,7 @@
     return found == all.end() ? std::nullopt : std::optional{*found};
 }
 
-std::vector<RowsReader> ReaderChoice::readersBeside(const HostName &other, Instant now) const
+std::vector<RowsReader> ReaderChoice::alternateReaders(const HostName &other, Instant now) const
 {
     std::vector<RowsReader> readers;
     std::ranges::copy_if(retryingDaemons(), std::back_inserter(readers),
@@ -117,7 +117,7 @@
 {
     const std::span<const RowsReader> all{m_daemons};
     const std::size_t before = place == ReaderPlace::Last ? all.size() : rank();
-    return all.first(std::min(before, mostReaders));
+    return all.first(std::min(before, maxReaders));
 }
 
 std::span<const RowsReader> ReaderChoice::retryingDaemons() const
--- a/src/libbulrush/process/readerchoice.h
+++ b/src/libbulrush/process/readerchoice.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "process/clock.h"
-#include "process/renewerbook.h"
+#include "process/renewerregistry.h"
 #include "version/identifier.h"
 
 #include <cstddef>
@@ -64,7 +64,7 @@
      * of a failure domain that have all lost the store would each send requests to 38 others every
      * two seconds.
      */
-    static constexpr std::size_t mostReaders = 8;
+    static constexpr std::size_t maxReaders = 8;
     /**
      * This many of them, the first ones, keep retrying the store through all failures, so that one
      * of them can inform the others.
@@ -89,7 +89,7 @@
      * \returns those of the first storeRetryRanks daemons that serve, except this one and the
      * daemon \a other.
      */
-    std::vector<RowsReader> readersBeside(const HostName &other, Instant now) const;
+    std::vector<RowsReader> alternateReaders(const HostName &other, Instant now) const;
 
     /**
      * \returns whether all of the first storeRetryRanks daemons but this one have refused lately.
--- a/src/libbulrush/process/renewerbook.cpp
+++ b/src/libbulrush/process/renewerregistry.cpp
@@ -1,27 +1,27 @@
-#include "process/renewerbook.h"
+#include "process/renewerregistry.h"
 
 #include <algorithm>
 #include <utility>
 
 namespace bulrush {
 
-RenewerBook::RenewerBook(const KeyTimings &timings)
+RenewerRegistry::RenewerRegistry(const KeyTimings &timings)
     : m_timings(timings)
 { }
 
-void RenewerBook::applyRow(const HostName &host, const DaemonRow &row, std::uint64_t version)
+void RenewerRegistry::applyRow(const HostName &host, const DaemonRow &row, std::uint64_t version)
 {
     m_renewers[host] = {host, row, version, std::nullopt, std::nullopt};
 }
 
-void RenewerBook::applyRowRemoval(const HostName &host, Instant now)
+void RenewerRegistry::applyRowRemoval(const HostName &host, Instant now)
 {
     const auto renewer = m_renewers.find(host);
-    if (renewer != m_renewers.end() && !renewer->second.goneSince)
-        renewer->second.goneSince = now;
+    if (renewer != m_renewers.end() && !renewer->second.removedSince)
+        renewer->second.removedSince = now;
 }
 
-void RenewerBook::recordCheck(Instant now)
+void RenewerRegistry::recordCheck(Instant now)
 {
     const Duration gap = now - std::exchange(m_checkedAt, now);
     if (gap < stallThreshold)
@@ -32,14 +32,14 @@
     }
 }
 
-void RenewerBook::recordQuery(const HostName &host, Instant now)
+void RenewerRegistry::recordQuery(const HostName &host, Instant now)
 {
     const auto renewer = m_renewers.find(host);
     if (renewer != m_renewers.end() && !renewer->second.unansweredSince)
         renewer->second.unansweredSince = now;
 }
 
-void RenewerBook::recordAnswer(const RenewerAnswer &answer, Instant now)
+void RenewerRegistry::recordAnswer(const RenewerAnswer &answer, Instant now)
 {
     Answer &stored = m_answers[{answer.host, answer.service}];
     if (const auto renewer = m_renewers.find(answer.host); renewer != m_renewers.end())
@@ -51,20 +51,20 @@
         stored.lastGrant[server] = now - ago;
 }
 
-void RenewerBook::clearAnswers()
+void RenewerRegistry::clearAnswers()
 {
     m_answers.clear();
 }
 
-Instant RenewerBook::freeAt(const ServiceName &service, std::uint64_t sequence,
-                            const ServerName &server, Instant committedAt) const
+Instant RenewerRegistry::freeAt(const ServiceName &service, std::uint64_t sequence,
+                                const ServerName &server, Instant committedAt) const
 {
     Instant lastGrant = committedAt - m_timings.hold;
     for (const auto &[host, renewer] : m_renewers) {
         const Answer *answer = currentAnswer(renewer, service, sequence);
         const bool hasAnswered = answer && answer->lastGrant.contains(server);
         const Instant unchangedUntil =
-            std::min(committedAt, renewer.goneSince.value_or(committedAt));
+            std::min(committedAt, renewer.removedSince.value_or(committedAt));
         lastGrant = std::max(lastGrant,
                              hasAnswered ? answer->lastGrant.at(server)
                                          : unchangedUntil + m_timings.staleGrantPeriod());
@@ -72,12 +72,12 @@
     return lastGrant + m_timings.maxHold();
 }
 
-std::vector<Renewer> RenewerBook::lost(Instant now) const
+std::vector<Renewer> RenewerRegistry::lost(Instant now) const
 {
     std::vector<Renewer> silent;
     std::size_t known = 0;
     for (const auto &[host, renewer] : m_renewers) {
-        if (renewer.goneSince)
+        if (renewer.removedSince)
             continue;
         ++known;
         if (renewer.unansweredSince && now - *renewer.unansweredSince >= lostTimeout)
@@ -93,25 +93,25 @@
     return silent;
 }
 
-bool RenewerBook::isBehind(const HostName &host, const ServiceName &service,
-                           std::uint64_t sequence) const
+bool RenewerRegistry::isBehind(const HostName &host, const ServiceName &service,
+                               std::uint64_t sequence) const
 {
     const auto answer = m_answers.find({host, service});
     return answer != m_answers.end() && answer->second.sequence < sequence;
 }
 
-void RenewerBook::removeExpired(Instant now)
+void RenewerRegistry::removeExpired(Instant now)
 {
     const Duration maxEffect = m_timings.staleGrantPeriod() + m_timings.maxHold();
     std::erase_if(m_renewers, [&](const auto &entry) {
-        return entry.second.goneSince && now - *entry.second.goneSince > maxEffect;
+        return entry.second.removedSince && now - *entry.second.removedSince > maxEffect;
     });
 }
 
 /** \returns the last answer of this run of \a renewer if it is based on \a sequence or later. */
-const RenewerBook::Answer *RenewerBook::currentAnswer(const Renewer &renewer,
-                                                      const ServiceName &service,
-                                                      std::uint64_t sequence) const
+const RenewerRegistry::Answer *RenewerRegistry::currentAnswer(const Renewer &renewer,
+                                                              const ServiceName &service,
+                                                              std::uint64_t sequence) const
 {
     const auto answer = m_answers.find({renewer.host, service});
     if (answer == m_answers.end() || answer->second.incarnation != renewer.row.incarnation
--- a/src/libbulrush/process/renewerbook.h
+++ b/src/libbulrush/process/renewerregistry.h
@@ -34,7 +34,7 @@
     DaemonRow row;
     std::uint64_t version = 0;
     /** Set once its row is removed, which the daemon itself may not have received yet. */
-    std::optional<Instant> goneSince;
+    std::optional<Instant> removedSince;
     /** Time of the first query since its last answer, if there is one. */
     std::optional<Instant> unansweredSince;
 };
@@ -63,7 +63,7 @@
  *
  * Not thread safe. Instants never decrease.
  */
-class RenewerBook
+class RenewerRegistry
 {
 public:
     /** A daemon without an answer for this long is lost. Corresponds to three queries in a row. */
@@ -82,7 +82,7 @@
      */
     static constexpr Duration stallThreshold = std::chrono::milliseconds{300};
 
-    explicit RenewerBook(const KeyTimings &timings);
+    explicit RenewerRegistry(const KeyTimings &timings);
 
     /** Applies the row of \a host. */
     void applyRow(const HostName &host, const DaemonRow &row, std::uint64_t version);
@@ -146,7 +146,7 @@
     Instant m_checkedAt;
 };
 
-inline const std::map<HostName, Renewer> &RenewerBook::renewers() const
+inline const std::map<HostName, Renewer> &RenewerRegistry::renewers() const
 {
     return m_renewers;
 }
--- a/src/libbulrush/process/retrypause.cpp
+++ b/src/libbulrush/process/retrybackoff.cpp
@@ -1,4 +1,4 @@
-#include "process/retrypause.h"
+#include "process/retrybackoff.h"
 
 #include <xxhash.h>
 
@@ -19,14 +19,14 @@
 
 } // namespace
 
-RetryPause::RetryPause(Duration first, Duration max, std::string_view name)
+RetryBackoff::RetryBackoff(Duration first, Duration max, std::string_view name)
     : m_first(first)
     , m_max(max)
     , m_next(first)
     , m_state(XXH3_64bits(name.data(), name.size()))
 { }
 
-Instant RetryPause::failed(Instant now)
+Instant RetryBackoff::failed(Instant now)
 {
     m_state = m_state * multiplier + increment;
     const auto cut = static_cast<std::int64_t>((m_state >> highBitsShift) % (maxCutPercent + 1));
@@ -35,7 +35,7 @@
     return m_until;
 }
 
-void RetryPause::succeeded()
+void RetryBackoff::succeeded()
 {
     m_next = m_first;
     m_until = {};
--- a/src/libbulrush/process/retrypause.h
+++ b/src/libbulrush/process/retrybackoff.h
@@ -14,11 +14,11 @@
  *
  * Not thread safe. Instants never decrease.
  */
-class RetryPause
+class RetryBackoff
 {
 public:
     /** Seeds the jitter with \a name, which differs between daemons. */
-    RetryPause(Duration first, Duration max, std::string_view name);
+    RetryBackoff(Duration first, Duration max, std::string_view name);
 
     /** Records a failure. \returns when the next attempt is due. */
     Instant failed(Instant now);
@@ -38,7 +38,7 @@
     Instant m_until;
 };
 
-inline bool RetryPause::isOver(Instant now) const
+inline bool RetryBackoff::isOver(Instant now) const
 {
     return now >= m_until;
 }
--- a/src/libbulrush/process/retrybudgets.cpp
+++ b/src/libbulrush/process/retrybudgets.cpp
@@ -4,7 +4,7 @@
 
 namespace bulrush {
 
-RetryBudgets::RetryBudgets(const RetryTerms &terms)
+RetryBudgets::RetryBudgets(const RetryAllowance &terms)
     : m_terms(terms)
 { }
 
--- a/src/libbulrush/process/retrybudgets.h
+++ b/src/libbulrush/process/retrybudgets.h
@@ -8,14 +8,14 @@
 namespace bulrush {
 
 /** Retries, beyond the first attempt of each request of a service, that all daemons may send. */
-struct RetryTerms
+struct RetryAllowance
 {
     /** Retries per request; a fraction. */
     double ratio = 0.2;
     /** Additional retries of all daemons together within a few seconds. */
     double slack = 56.0;
 
-    bool operator==(const RetryTerms &) const = default;
+    bool operator==(const RetryAllowance &) const = default;
 };
 
 /**
@@ -38,7 +38,7 @@
     /** With a reserve of less than one retry, a daemon could never send any. */
     static constexpr double minReserve = 1.0;
 
-    explicit RetryBudgets(const RetryTerms &terms);
+    explicit RetryBudgets(const RetryAllowance &terms);
 
     /** Sets how many daemons share the slack; 0 if unknown. */
     void setDaemonCount(std::size_t count);
@@ -52,7 +52,7 @@
 private:
     RetryBudget &budgetOf(const ServiceName &service);
 
-    RetryTerms m_terms;
+    RetryAllowance m_terms;
     double m_reserve = minReserve;
     std::map<ServiceName, RetryBudget> m_budgets;
 };
--- a/src/libbulrush/process/routingknowledge.h
+++ b/src/libbulrush/process/routingdatafreshness.h
@@ -1,17 +1,17 @@
 #pragma once
 
-#include "process/serverknowledge.h"
+#include "process/serverdatafreshness.h"
 
 namespace bulrush {
 
 /** How current the data is by which requests are routed. */
-struct RoutingKnowledge
+struct RoutingDataFreshness
 {
-    ServerKnowledge servers;
+    ServerDataFreshness servers;
     /** At this instant the store had no configuration later than the known one. */
     Instant configAsOf;
 
-    bool operator==(const RoutingKnowledge &) const = default;
+    bool operator==(const RoutingDataFreshness &) const = default;
 };
 
 } // namespace bulrush
--- a/src/libbulrush/process/routingstate.h
+++ b/src/libbulrush/process/routingstate.h
@@ -19,7 +19,7 @@
     /** Null until a configuration has been received. */
     std::shared_ptr<const RouteTable> routes;
     /** When the control thread applied the routes. */
-    Instant routesTakenAt;
+    Instant routesAppliedAt;
     /** Until then the store is known to have had no routes later than the previous ones. */
     Instant routesUnchangedUntil;
     /** The servers that are not removed, by service. */
--- a/src/libbulrush/process/serverknowledge.h
+++ b/src/libbulrush/process/serverdatafreshness.h
@@ -5,7 +5,7 @@
 namespace bulrush {
 
 /** How current the stored data about the backend servers is. */
-struct ServerKnowledge
+struct ServerDataFreshness
 {
     /** At this instant the store contained no records that are missing here. */
     Instant asOf;
@@ -13,9 +13,9 @@
      * The store does not answer this daemon, so that no newer data is available. Servers are then
      * used according to the existing data, whatever its age.
      */
-    bool isStoreAway = true;
+    bool isStoreUnreachable = true;
 
-    bool operator==(const ServerKnowledge &) const = default;
+    bool operator==(const ServerDataFreshness &) const = default;
 };
 
 } // namespace bulrush
--- a/src/libbulrush/process/serverdirectory.cpp
+++ b/src/libbulrush/process/serverdirectory.cpp
@@ -5,25 +5,25 @@
 
 namespace bulrush {
 
-void ServerDirectory::takeAll(std::span<const ServerRecord> records, bool isAfterOutage,
-                              Instant now, Instant unchangedUntil)
+void ServerDirectory::applyAll(std::span<const ServerRecord> records, bool isAfterOutage,
+                               Instant now, Instant unchangedUntil)
 {
     std::set<ServerName> present;
     for (const ServerRecord &record : records) {
-        take(record, now, unchangedUntil);
+        applyRecord(record, now, unchangedUntil);
         present.insert(record.id);
     }
     for (auto &[id, server] : m_servers) {
-        if (present.contains(id) || server.goneSince)
+        if (present.contains(id) || server.removedSince)
             continue;
         if (!isAfterOutage)
-            server.goneSince = now;
+            server.removedSince = now;
         else if (!server.missingSince)
             server.missingSince = now;
     }
 }
 
-void ServerDirectory::take(const ServerRecord &record, Instant now, Instant unchangedUntil)
+void ServerDirectory::applyRecord(const ServerRecord &record, Instant now, Instant unchangedUntil)
 {
     const auto [place, isNew] = m_servers.try_emplace(record.id);
     KnownServer &server = place->second;
@@ -34,7 +34,7 @@
     server.record = record;
     if (server.hasStopped || server.laterRun)
         return; // an outdated record
-    server.goneSince.reset();
+    server.removedSince.reset();
     server.missingSince.reset();
     if (!record.isDraining)
         server.drainsAfter.reset();
@@ -49,8 +49,8 @@
         if (!server.record.isOtherRunOf(record))
             continue;
         server.laterRun = record.id;
-        if (!server.goneSince)
-            server.goneSince = now;
+        if (!server.removedSince)
+            server.removedSince = now;
     }
 }
 
@@ -69,19 +69,19 @@
 void ServerDirectory::remove(const ServerName &recordName, Instant now)
 {
     for (auto &[id, server] : m_servers) {
-        if (server.record.nameInRecord() == recordName && !server.goneSince)
-            server.goneSince = now;
+        if (server.record.nameInRecord() == recordName && !server.removedSince)
+            server.removedSince = now;
     }
 }
 
-bool ServerDirectory::noteEnded(const ServerName &id, Instant now)
+bool ServerDirectory::markStopped(const ServerName &id, Instant now)
 {
     const auto place = m_servers.find(id);
     if (place == m_servers.end() || place->second.hasStopped)
         return false;
     place->second.hasStopped = true;
-    if (!place->second.goneSince)
-        place->second.goneSince = now;
+    if (!place->second.removedSince)
+        place->second.removedSince = now;
     return true;
 }
 
@@ -89,14 +89,14 @@
 {
     bool hasChanged = false;
     for (auto &[id, server] : m_servers) {
-        if (server.goneSince || !server.missingSince
+        if (server.removedSince || !server.missingSince
             || now - *server.missingSince < reappearanceTimeout)
             continue;
-        server.goneSince = now;
+        server.removedSince = now;
         hasChanged = true;
     }
     std::erase_if(m_servers, [now](const auto &entry) {
-        return entry.second.goneSince && now - *entry.second.goneSince > removedRetention;
+        return entry.second.removedSince && now - *entry.second.removedSince > removedRetention;
     });
     return hasChanged;
 }
--- a/src/libbulrush/process/serverdirectory.h
+++ b/src/libbulrush/process/serverdirectory.h
@@ -17,7 +17,7 @@
     /** Set while it drains: the last instant at which it was known not to drain. */
     std::optional<Instant> drainsAfter;
     /** Set once its record is removed; it may still serve, but gets no more work or keys. */
-    std::optional<Instant> goneSince;
+    std::optional<Instant> removedSince;
     /**
      * Another server answers at its address, which is reassigned only after a server has stopped.
      */
@@ -57,14 +57,14 @@
      * so that records of running servers may have expired. Until \a unchangedUntil all records were
      * as applied before.
      */
-    void takeAll(std::span<const ServerRecord> records, bool isAfterOutage, Instant now,
-                 Instant unchangedUntil);
+    void applyAll(std::span<const ServerRecord> records, bool isAfterOutage, Instant now,
+                  Instant unchangedUntil);
 
     /**
      * Applies a new or changed record, which had not changed until \a unchangedUntil. Earlier runs
      * of the same server have stopped.
      */
-    void take(const ServerRecord &record, Instant now, Instant unchangedUntil);
+    void applyRecord(const ServerRecord &record, Instant now, Instant unchangedUntil);
 
     /** Applies that the record named \a recordName was removed, or is no longer readable. */
     void remove(const ServerName &recordName, Instant now);
@@ -73,7 +73,7 @@
      * Records that the server \a id has stopped, because another one answers at its address, even
      * if its record still exists. \returns whether this was not recorded before.
      */
-    bool noteEnded(const ServerName &id, Instant now);
+    bool markStopped(const ServerName &id, Instant now);
 
     /** Handles expired timeouts. \returns whether a server was removed by that. */
     bool advance(Instant now);
@@ -98,7 +98,7 @@
 
 inline bool KnownServer::isReady() const
 {
-    return !record.isDraining && !goneSince;
+    return !record.isDraining && !removedSince;
 }
 
 inline const std::map<ServerName, KnownServer> &ServerDirectory::servers() const
--- a/src/libbulrush/process/servergauges.cpp
+++ b/src/libbulrush/process/servergauges.cpp
@@ -73,7 +73,7 @@
     gauge.lastUsed = now;
 }
 
-void ServerGauges::attemptEnded(const ServerName &server, AttemptSign sign, Duration latency,
+void ServerGauges::attemptEnded(const ServerName &server, AttemptOutcome sign, Duration latency,
                                 const std::optional<ServerLoad> &load, Instant now)
 {
     Gauge &gauge = gaugeOf(server);
@@ -86,13 +86,13 @@
     gauge.lastLatency = latency;
     if (load)
         applyLoad(gauge, *load, now);
-    if (sign == AttemptSign::Abandoned || sign == AttemptSign::NotRun)
+    if (sign == AttemptOutcome::Abandoned || sign == AttemptOutcome::NotRun)
         return;
     gauge.completions = decayed(gauge.completions, now - gauge.completedAt) + 1.0;
     gauge.completedAt = now;
-    const bool isFailure = sign != AttemptSign::Served;
+    const bool isFailure = sign != AttemptOutcome::Served;
     gauge.failureRate += failureWeight * ((isFailure ? 1.0 : 0.0) - gauge.failureRate);
-    if (sign == AttemptSign::Unreached || sign == AttemptSign::Silent) {
+    if (sign == AttemptOutcome::Unreached || sign == AttemptOutcome::Silent) {
         const int doublings = std::min(gauge.consecutiveUnanswered++, 3);
         gauge.window = std::min(gauge.window, 1.0);
         gauge.avoidedUntil = now + std::min(maxAvoidance, initialAvoidance * (1 << doublings));
@@ -102,7 +102,7 @@
     gauge.avoidedUntil = {};
     // If no requests wait at the server, the latency is its service time.
     const bool wasIdle = load ? load->waiting == 0 : gauge.inFlight() == 0;
-    if (sign == AttemptSign::Served && wasIdle) {
+    if (sign == AttemptOutcome::Served && wasIdle) {
         gauge.serviceTime.record(latency);
         ++gauge.measurementCount;
         gauge.workTime += latency;
@@ -216,7 +216,7 @@
     return gauge ? gauge->inFlight() : 0;
 }
 
-void ServerGauges::forgetIdle(Instant now)
+void ServerGauges::removeIdle(Instant now)
 {
     std::erase_if(m_gauges, [now](const auto &entry) {
         return entry.second.inFlight() == 0 && now - entry.second.lastUsed > idleRetention;
--- a/src/libbulrush/process/servergauges.h
+++ b/src/libbulrush/process/servergauges.h
@@ -15,7 +15,7 @@
 namespace bulrush {
 
 /** Outcome of an attempt at a server, as far as it indicates the state of the server. */
-enum class AttemptSign {
+enum class AttemptOutcome {
     Served,    ///< the server answered
     Failed,    ///< the server answered with an error of its own
     NotRun,    ///< the server rejected the request without executing it
@@ -67,7 +67,7 @@
     void attemptStarted(const ServerName &server, Instant now);
 
     /** Records the outcome of an attempt that took \a latency, with the load from its answer. */
-    void attemptEnded(const ServerName &server, AttemptSign sign, Duration latency,
+    void attemptEnded(const ServerName &server, AttemptOutcome sign, Duration latency,
                       const std::optional<ServerLoad> &load, Instant now);
 
     /** \returns the estimated number of requests that run or wait at \a server now. */
@@ -103,7 +103,7 @@
     int inFlight(const ServerName &server) const;
 
     /** Removes servers that were unused for a long time and have no requests in flight. */
-    void forgetIdle(Instant now);
+    void removeIdle(Instant now);
 
 private:
     struct Gauge
--- a/src/libbulrush/request/requestqueue.cpp
+++ b/src/libbulrush/request/requestqueue.cpp
@@ -52,7 +52,7 @@
     std::vector<WaitingRequest> kept;
     Ahead ahead;
     for (WaitingRequest &request : m_waiting) {
-        if (now + leastServiceTime >= request.answerBy) {
+        if (now + minServiceTime >= request.answerBy) {
             givenUp.push_back({request.ticket, GiveUpReason::NoTimeLeft});
             continue;
         }
--- a/src/libbulrush/request/requestqueue.h
+++ b/src/libbulrush/request/requestqueue.h
@@ -16,7 +16,7 @@
     std::uint64_t ticket = 0;
     ServiceName service;
     /** Set if and only if the service is divided by key. */
-    std::optional<KeyPlace> key;
+    std::optional<KeyPosition> key;
     RequestKind kind = RequestKind::Idempotent;
     std::vector<ServerName> tried;
     /** Priority of its route; 0 is the highest. */
@@ -72,7 +72,7 @@
      * Minimum time for an answer. A request with less time left is not sent, because servers need
      * some tens of milliseconds for the shortest request.
      */
-    static constexpr Duration leastServiceTime = std::chrono::milliseconds{40};
+    static constexpr Duration minServiceTime = std::chrono::milliseconds{40};
     /**
      * Time for which a request waits if no server is available for it. A planned move of keys takes
      * some tenths of a second; any other cause takes seconds.
--- a/src/libbulrush/request/serverpicker.cpp
+++ b/src/libbulrush/request/serverpicker.cpp
@@ -35,23 +35,24 @@
     , m_budget(budget)
 { }
 
-Duration ServerPicker::knowledgeAge(Instant now) const
+Duration ServerPicker::serverDataAge(Instant now) const
 {
-    return m_knowledge.isStoreAway ? Duration::zero() : now - m_knowledge.asOf;
+    return m_dataFreshness.isStoreUnreachable ? Duration::zero() : now - m_dataFreshness.asOf;
 }
 
-Instant ServerPicker::lastSend(const KnownServer &server) const
+Instant ServerPicker::maxSendAge(const KnownServer &server) const
 {
     if (server.drainsAfter)
-        return *server.drainsAfter + m_budget.lastSend();
-    return m_knowledge.isStoreAway ? Instant::max() : m_knowledge.asOf + m_budget.lastSend();
+        return *server.drainsAfter + m_budget.maxSendAge();
+    return m_dataFreshness.isStoreUnreachable ? Instant::max()
+                                              : m_dataFreshness.asOf + m_budget.maxSendAge();
 }
 
 ServerPick ServerPicker::pick(const RoutingState &state, const ServerDemand &demand,
                               Instant now) const
 {
     // Newer routing data is pending. Until it is received, any server may have left.
-    if (knowledgeAge(now) > m_budget.unconfirmedUse())
+    if (serverDataAge(now) > m_budget.maxUnconfirmedAge())
         return NoServer::Busy;
     return demand.key ? pickOwner(state, demand, now) : pickFastest(state, demand, now);
 }
@@ -88,7 +89,7 @@
     if (!owned || owned->isMoving())
         return nullptr;
     const KnownServer *server = state.server(demand.service, owned->owner);
-    if (!server || server->goneSince)
+    if (!server || server->removedSince)
         return nullptr;
     if (server->drainsAfter && now - *server->drainsAfter > m_budget.maxDrainingAge())
         return nullptr;
--- a/src/libbulrush/request/serverpicker.h
+++ b/src/libbulrush/request/serverpicker.h
@@ -2,8 +2,8 @@
 
 #include "process/drainbudget.h"
 #include "process/routingstate.h"
+#include "process/serverdatafreshness.h"
 #include "process/servergauges.h"
-#include "process/serverknowledge.h"
 #include "version/routingconfig.h"
 
 #include <cstdint>
@@ -18,7 +18,7 @@
 {
     ServiceName service;
     /** Set if and only if the service is divided by key. */
-    std::optional<KeyPlace> key;
+    std::optional<KeyPosition> key;
     RequestKind kind = RequestKind::Idempotent;
     /** Time within which an answer has its full value. */
     Duration targetLatency = std::chrono::seconds{1};
@@ -77,10 +77,10 @@
                  const DrainBudget &budget = DrainBudget{});
 
     /** Sets how current the routing state is. */
-    void setKnowledge(const ServerKnowledge &knowledge);
+    void setDataFreshness(const ServerDataFreshness &knowledge);
 
     /** \returns the time since the store last confirmed the data, or zero if it is unreachable. */
-    Duration knowledgeAge(Instant now) const;
+    Duration serverDataAge(Instant now) const;
 
     /** \returns how the drain bound is divided. */
     const DrainBudget &budget() const;
@@ -88,7 +88,7 @@
     ServerPick pick(const RoutingState &state, const ServerDemand &demand, Instant now) const;
 
     /** \returns the latest instant to send a request to \a server once it has a connection. */
-    Instant lastSend(const KnownServer &server) const;
+    Instant maxSendAge(const KnownServer &server) const;
 
     /** \returns the estimates for a request with \a demand that has to wait. */
     ServerEstimate estimate(const RoutingState &state, const ServerDemand &demand,
@@ -105,12 +105,12 @@
     const ServerGauges &m_gauges;
     DomainName m_ownDomain;
     DrainBudget m_budget;
-    ServerKnowledge m_knowledge;
+    ServerDataFreshness m_dataFreshness;
 };
 
-inline void ServerPicker::setKnowledge(const ServerKnowledge &knowledge)
+inline void ServerPicker::setDataFreshness(const ServerDataFreshness &knowledge)
 {
-    m_knowledge = knowledge;
+    m_dataFreshness = knowledge;
 }
 
 inline const DrainBudget &ServerPicker::budget() const
--- a/src/libbulrush/version/keyadmission.cpp
+++ b/src/libbulrush/version/keyadmission.cpp
@@ -12,14 +12,14 @@
     double capacity = 0.0;
     double hot = 0.0;
     double others = 0.0;
-    std::vector<KeyPlace> hotKeys;
+    std::vector<KeyPosition> hotKeys;
 };
 
 void addKeys(Demand &demand, const KeyRange &range, const KeyTraffic &traffic)
 {
     const double hotFrom =
         std::max(KeyAdmission::hotRate, KeyAdmission::hotFraction * demand.capacity);
-    for (KeyPlace key = range.first; key <= range.last; ++key) {
+    for (KeyPosition key = range.first; key <= range.last; ++key) {
         const double rate = traffic.rates[key];
         if (rate < hotFrom) {
             demand.others += rate;
@@ -53,7 +53,7 @@
         // Other keys are not limited; if their load is too high, the planner moves them.
         const double hotLoad = std::max(0.0, admitted - demand.others);
         const double share = std::clamp(hotLoad / demand.hot, minShare, 1.0);
-        for (const KeyPlace key : demand.hotKeys)
+        for (const KeyPosition key : demand.hotKeys)
             result.shares.push_back({key, share});
     }
     return result;
@@ -69,7 +69,7 @@
     }
 }
 
-bool KeyGate::admits(const ServiceName &service, KeyPlace key, std::uint64_t hash,
+bool KeyGate::admits(const ServiceName &service, KeyPosition key, std::uint64_t hash,
                      Instant now) const
 {
     if (m_shares.empty() || now - m_receivedAt > validity)
--- a/src/libbulrush/version/keyadmission.h
+++ b/src/libbulrush/version/keyadmission.h
@@ -16,7 +16,7 @@
 /** The fraction of the requests for a key that is admitted. */
 struct KeyShare
 {
-    KeyPlace key = 0;
+    KeyPosition key = 0;
     /** From 0 to 1. */
     double share = 1.0;
 
@@ -81,10 +81,10 @@
      * \returns whether to admit a request for \a key. \a hash must be evenly distributed over
      * requests.
      */
-    bool admits(const ServiceName &service, KeyPlace key, std::uint64_t hash, Instant now) const;
+    bool admits(const ServiceName &service, KeyPosition key, std::uint64_t hash, Instant now) const;
 
 private:
-    std::map<std::pair<ServiceName, KeyPlace>, double> m_shares;
+    std::map<std::pair<ServiceName, KeyPosition>, double> m_shares;
     Instant m_receivedAt;
 };
 
--- a/src/libbulrush/version/keyassignment.cpp
+++ b/src/libbulrush/version/keyassignment.cpp
@@ -4,7 +4,7 @@
 
 namespace bulrush {
 
-const OwnedRange *KeyAssignment::find(KeyPlace place) const
+const OwnedRange *KeyAssignment::find(KeyPosition place) const
 {
     const auto after = std::ranges::upper_bound(
         ranges, place, {}, [](const OwnedRange &owned) { return owned.range.first; });
@@ -21,10 +21,10 @@
 
 bool isWellFormed(const KeyAssignment &assignment)
 {
-    KeyPlace next = 0;
+    KeyPosition next = 0;
     for (const OwnedRange &owned : assignment.ranges) {
         const KeyRange &range = owned.range;
-        if (range.first < next || range.last < range.first || range.last >= keyPlaces)
+        if (range.first < next || range.last < range.first || range.last >= keyPositionCount)
             return false;
         if (owned.owner.isEmpty() || owned.fence > assignment.sequence)
             return false;
--- a/src/libbulrush/version/keyassignment.h
+++ b/src/libbulrush/version/keyassignment.h
@@ -9,21 +9,21 @@
 namespace bulrush {
 
 /** Position of a key in the key space by which a service is divided; preserves the key order. */
-using KeyPlace = std::uint32_t;
+using KeyPosition = std::uint32_t;
 
-/** Number of positions in the key space: 0 to keyPlaces - 1. */
-constexpr KeyPlace keyPlaces = 65'536;
+/** Number of positions in the key space: 0 to keyPositionCount - 1. */
+constexpr KeyPosition keyPositionCount = 65'536;
 
 /** A range of the key space, including both ends. */
 struct KeyRange
 {
-    KeyPlace first = 0;
-    KeyPlace last = 0;
+    KeyPosition first = 0;
+    KeyPosition last = 0;
 
     bool operator==(const KeyRange &) const = default;
 
-    KeyPlace size() const;
-    bool contains(KeyPlace place) const;
+    KeyPosition size() const;
+    bool contains(KeyPosition place) const;
 };
 
 /**
@@ -63,7 +63,7 @@
     bool operator==(const KeyAssignment &) const = default;
 
     /** \returns the range that contains \a place, or null. Valid until the next change. */
-    const OwnedRange *find(KeyPlace place) const;
+    const OwnedRange *find(KeyPosition place) const;
 
     /** \returns whether any range is waiting for its previous owner. */
     bool hasMoves() const;
@@ -78,12 +78,12 @@
 /** Merges adjacent ranges that are equal except for their keys. */
 void mergeAdjacentRanges(KeyAssignment &assignment);
 
-inline KeyPlace KeyRange::size() const
+inline KeyPosition KeyRange::size() const
 {
     return last - first + 1;
 }
 
-inline bool KeyRange::contains(KeyPlace place) const
+inline bool KeyRange::contains(KeyPosition place) const
 {
     return place >= first && place <= last;
 }
--- a/src/libbulrush/version/keyloads.cpp
+++ b/src/libbulrush/version/keyloads.cpp
@@ -17,10 +17,10 @@
     : m_halfLife(halfLife)
     , m_start(start)
     , m_decay(halfLife, start)
-    , m_counts(keyPlaces, 0.0)
+    , m_counts(keyPositionCount, 0.0)
 { }
 
-void KeyLoads::add(KeyPlace place, Instant now)
+void KeyLoads::add(KeyPosition place, Instant now)
 {
     m_counts[place] += m_decay.weightAt(now);
     if (!m_decay.isRescaleDue())
@@ -49,7 +49,7 @@
 }
 
 RateSums::RateSums(std::span<const double> rates)
-    : m_prefixSums(keyPlaces + 1, 0.0)
+    : m_prefixSums(keyPositionCount + 1, 0.0)
 {
     double sum = 0.0;
     for (std::size_t i = 0; i < rates.size(); ++i) {
--- a/src/libbulrush/version/keyloads.h
+++ b/src/libbulrush/version/keyloads.h
@@ -20,8 +20,8 @@
     /** Counting starts at \a start; earlier rates are unknown, as opposed to 0. */
     KeyLoads(Duration halfLife, Instant start);
 
-    /** Counts a request for \a place. \pre \a place is below keyPlaces */
-    void add(KeyPlace place, Instant now);
+    /** Counts a request for \a place. \pre \a place is below keyPositionCount */
+    void add(KeyPosition place, Instant now);
 
     /** \returns the rates at \a now, in requests per second, by place. */
     std::vector<double> rates(Instant now);
--- a/src/libbulrush/version/keyplanner.cpp
+++ b/src/libbulrush/version/keyplanner.cpp
@@ -42,7 +42,7 @@
     bool moveFrom(const ServerName &from, double load, const ServerName &to);
     ServerName mostLoaded() const;
     std::vector<OwnedRange> divide(const OwnedRange &owned);
-    KeyPlace prefixSize(const KeyRange &range, double load) const;
+    KeyPosition prefixSize(const KeyRange &range, double load) const;
     ServerName mostUnderloaded(const ServerName &except) const;
     void assign(OwnedRange &owned, const ServerName &server) const;
     bool splitOff(std::size_t index, double load, const ServerName &to);
@@ -78,7 +78,7 @@
         share->second.load += loadOf(owned.range);
         ++share->second.ranges;
     }
-    m_totalLoad = loadOf({0, keyPlaces - 1});
+    m_totalLoad = loadOf({0, keyPositionCount - 1});
 }
 
 std::optional<KeyAssignment> Round::run()
@@ -98,7 +98,7 @@
 double Round::loadOf(const KeyRange &range) const
 {
     return m_rates.of(range)
-        + KeyPlanner::baselineLoad * static_cast<double>(range.size()) / keyPlaces;
+        + KeyPlanner::baselineLoad * static_cast<double>(range.size()) / keyPositionCount;
 }
 
 double Round::targetOf(const Share &share) const
@@ -110,15 +110,15 @@
 void Round::fillGaps()
 {
     std::vector<OwnedRange> complete;
-    KeyPlace next = 0;
+    KeyPosition next = 0;
     for (const OwnedRange &owned : m_next.ranges) {
         if (owned.range.first > next)
             complete.push_back({{next, owned.range.first - 1}, {}, m_next.sequence, {}, {}, 0});
         complete.push_back(owned);
         next = owned.range.last + 1;
     }
-    if (next < keyPlaces)
-        complete.push_back({{next, keyPlaces - 1}, {}, m_next.sequence, {}, {}, 0});
+    if (next < keyPositionCount)
+        complete.push_back({{next, keyPositionCount - 1}, {}, m_next.sequence, {}, {}, 0});
     m_next.ranges = std::move(complete);
 }
 
@@ -150,7 +150,7 @@
         Share &share = m_shares[server];
         const double spareLoad = std::max(targetOf(share) - share.load, minPieceLoad);
         OwnedRange piece = rest;
-        const KeyPlace size = prefixSize(rest.range, spareLoad);
+        const KeyPosition size = prefixSize(rest.range, spareLoad);
         const bool isLast = size >= rest.range.size();
         if (!isLast)
             piece.range.last = piece.range.first + size - 1;
@@ -165,12 +165,12 @@
 }
 
 /** \returns how many keys from the start of \a range have about \a load, at least one. */
-KeyPlace Round::prefixSize(const KeyRange &range, double load) const
+KeyPosition Round::prefixSize(const KeyRange &range, double load) const
 {
-    KeyPlace low = 1;
-    KeyPlace high = range.size();
+    KeyPosition low = 1;
+    KeyPosition high = range.size();
     while (low < high) {
-        const KeyPlace middle = low + (high - low) / 2;
+        const KeyPosition middle = low + (high - low) / 2;
         if (loadOf({range.first, range.first + middle - 1}) < load)
             low = middle + 1;
         else
@@ -327,10 +327,10 @@
     const ServerName from = source.owner;
     const double sourceLoad = loadOf(source.range);
     OwnedRange moved = source;
-    const KeyPlace head = prefixSize(source.range, load);
+    const KeyPosition head = prefixSize(source.range, load);
     if (head < source.range.size()) {
         const KeyRange headRange{source.range.first, source.range.first + head - 1};
-        const KeyPlace kept = prefixSize(source.range, sourceLoad - load);
+        const KeyPosition kept = prefixSize(source.range, sourceLoad - load);
         const KeyRange tailRange{std::min(source.range.first + kept, source.range.last),
                                  source.range.last};
         const double headMiss = std::abs(loadOf(headRange) - load);
--- a/src/libbulrush/version/serviceload.cpp
+++ b/src/libbulrush/version/serviceload.cpp
@@ -24,8 +24,8 @@
 
 void ServiceLoad::add(const LoadSample &sample, Instant now)
 {
-    for (const KeyPlace place : sample.keys) {
-        if (place >= keyPlaces)
+    for (const KeyPosition place : sample.keys) {
+        if (place >= keyPositionCount)
             continue;
         m_steady.add(place, now);
         m_spikes.add(place, now);
--- a/src/libbulrush/version/serviceload.h
+++ b/src/libbulrush/version/serviceload.h
@@ -25,7 +25,7 @@
 {
     ServiceName service;
     /** The key of each request. */
-    std::vector<KeyPlace> keys;
+    std::vector<KeyPosition> keys;
     std::vector<ServerWork> work;
     /** Servers at whose address another server answered. */
     std::vector<ServerName> ended;
--- a/src/libbulrushentry/crashcontrol.cpp
+++ b/src/libbulrushentry/crashcontrol.cpp
@@ -48,7 +48,7 @@
     }
     if (change.isComplete)
         applyMissingRows(change, now);
-    m_crashes.rowsSeen();
+    m_crashes.markRowsComplete();
     advance(now);
 }
 
@@ -63,7 +63,7 @@
         decoded = decoded.value_or(CrashRow{});
     }
     const HostName host{row.key.substr(crashPrefix.size())};
-    m_crashes.rowSeen(host, row.version, std::move(decoded), now);
+    m_crashes.applyRow(host, row.version, std::move(decoded), now);
 }
 
 void CrashControl::applyMissingRows(const TableChange &change, Instant now)
@@ -73,7 +73,7 @@
     for (const HostName &host : hosts) {
         if (std::ranges::find(change.rows, rowKey(host), &platform::StoreRow::key)
             == change.rows.end())
-            m_crashes.rowSeen(host, change.version, std::nullopt, now);
+            m_crashes.applyRow(host, change.version, std::nullopt, now);
     }
 }
 
@@ -118,10 +118,10 @@
 {
     // Refused calls cost money as well, so reports wait while the store refuses this daemon.
     if (!m_plan.isStoreFailing()) {
-        if (const auto action = m_crashes.dueWrite(now))
+        if (const auto action = m_crashes.startDueWrite(now))
             write(*action);
     }
-    if (auto next = m_crashes.changed(now)) {
+    if (auto next = m_crashes.takeUpdate(now)) {
         logBlockChanges(*next);
         m_quarantine = next;
         m_publish(std::move(next));
@@ -138,7 +138,7 @@
             io::logEvent(LogLevel::Warning, "crash-row-not-written",
                          {{"error", outcome.error.message()}});
         const Instant now = io::hostNow();
-        m_crashes.written(rowWriteResultOf(outcome.error), outcome.version, now);
+        m_crashes.handleWriteResult(rowWriteResultOf(outcome.error), outcome.version, now);
         advance(now);
     });
 }
--- a/src/libbulrushentry/crashcontrol.h
+++ b/src/libbulrushentry/crashcontrol.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "platform/storeclient.h"
-#include "process/crashledger.h"
+#include "process/crashregistry.h"
 #include "tablefollower.h"
 
 #include <functional>
@@ -12,7 +12,7 @@
 namespace bulrush {
 
 /**
- * Executes the decisions of CrashLedger: reports to other daemons, in a row of the table that all
+ * Executes the decisions of CrashRegistry: reports to other daemons, in a row of the table that all
  * follow, during which requests servers crashed here, and publishes the requests to block.
  *
  * Used on the control thread.
@@ -59,7 +59,7 @@
     FollowPlan &m_plan;
     HostName m_self;
     QuarantineHandler m_publish;
-    CrashLedger m_crashes;
+    CrashRegistry m_crashes;
     std::shared_ptr<const Quarantine> m_quarantine = std::make_shared<const Quarantine>();
 };
 
--- a/src/libbulrushentry/entrydaemon.cpp
+++ b/src/libbulrushentry/entrydaemon.cpp
@@ -53,7 +53,7 @@
 Duration plannerDelayOf(const EntrySettings &settings)
 {
     const std::string &name = settings.host.value();
-    return plannerPatience(XXH3_64bits(name.data(), name.size()), settings.processors);
+    return plannerTakeoverDelay(XXH3_64bits(name.data(), name.size()), settings.processors);
 }
 
 } // namespace
@@ -72,7 +72,7 @@
           [this](std::shared_ptr<const RoutingState> state) {
               m_worker.setState(std::move(state));
           },
-          [this](const RoutingKnowledge &freshness) { m_worker.setFreshness(freshness); })
+          [this](const RoutingDataFreshness &freshness) { m_worker.setFreshness(freshness); })
     , m_keys({followerDependencies(), m_client, m_state},
              {m_settings.host, newIncarnation(m_settings.host), m_settings.domain, m_settings.peers,
               plannerDelayOf(m_settings), m_settings.processors})
@@ -91,17 +91,18 @@
     return {m_store, m_timers, m_rowsClient, m_storeClock, m_plan, m_followers};
 }
 
-EntryEnd EntryDaemon::run()
+EntryResult EntryDaemon::run()
 {
     if (const std::error_code error = listen()) {
         io::logEvent(LogLevel::Error, "listen-failed", {{"error", error.message()}});
-        return EntryEnd::ListenFailed;
+        return EntryResult::ListenFailed;
     }
     printAddresses();
     io::logEvent(LogLevel::Info, "started",
                  {{"domain", m_settings.domain.value()}, {"store", toString(m_settings.store)}});
     awaitSignal();
-    m_store.setCallObserver([this](const platform::StoreCallEnd &call) { m_storeCalls.add(call); });
+    m_store.setCallObserver(
+        [this](const platform::StoreCallResult &call) { m_storeCalls.add(call); });
     m_timers.every(callLogInterval, [this](Instant) {
         m_storeCalls.log();
         m_peerService.logServed();
@@ -199,7 +200,7 @@
 {
     const Duration passed = io::hostNow() - *m_drainingSince;
     if (passed > m_settings.drainTime) {
-        finish(m_worker.openCount() == 0 ? EntryEnd::Drained : EntryEnd::CutOff);
+        finish(m_worker.openCount() == 0 ? EntryResult::Drained : EntryResult::CutOff);
         return;
     }
     if (passed < balancerNoticePeriod)
@@ -210,10 +211,10 @@
     // well. Each closes after its last answer.
     const bool isDone = m_worker.openCount() == 0 && m_worker.connectionCount() == 0;
     if (passed > balancerNoticePeriod + closeGracePeriod && isDone)
-        finish(EntryEnd::Drained);
+        finish(EntryResult::Drained);
 }
 
-void EntryDaemon::finish(EntryEnd result)
+void EntryDaemon::finish(EntryResult result)
 {
     m_result = result;
     m_loop.stop();
@@ -268,34 +269,36 @@
     const std::string_view target = request.head().target;
     const auto fingerprint = RequestFingerprint::fromString(target.substr(liftPath.size()));
     if (request.head().method != "POST" || !fingerprint)
-        return io::textPage(badRequest, "use: POST /quarantine/lift/ and 16 hexadecimal digits\n");
+        return io::plainTextResponse(badRequest,
+                                     "use: POST /quarantine/lift/ and 16 hexadecimal digits\n");
     if (!m_crashes.lift(*fingerprint))
-        return io::textPage(notFound, "no such request is suspect\n");
-    return io::textPage(ok, "lifted\n");
+        return io::plainTextResponse(notFound, "no such request is suspect\n");
+    return io::plainTextResponse(ok, "lifted\n");
 }
 
 void EntryDaemon::answer(const io::IncomingRequest &request, io::ResponseWriter &writer)
 {
     const std::string &target = request.head().target;
     if (target == "/readyz")
-        writer.send(io::textPage(isReady() ? ok : serviceUnavailable,
-                                 isReady() ? "ready\n" : "not ready\n"));
+        writer.send(io::plainTextResponse(isReady() ? ok : serviceUnavailable,
+                                          isReady() ? "ready\n" : "not ready\n"));
     else if (target == "/metrics")
-        writer.send(io::textPage(ok, metricsText()));
+        writer.send(io::plainTextResponse(ok, metricsText()));
     else if (target == "/status")
-        writer.send(io::textPage(ok, statusText()));
+        writer.send(io::plainTextResponse(ok, statusText()));
     else if (target == quarantinePath)
-        writer.send(io::textPage(ok, m_crashes.page()));
+        writer.send(io::plainTextResponse(ok, m_crashes.page()));
     else if (target.starts_with(liftPath))
         writer.send(lift(request));
     else
-        writer.send(io::textPage(notFound, "pages: /readyz, /metrics, /status, /quarantine\n"));
+        writer.send(
+            io::plainTextResponse(notFound, "pages: /readyz, /metrics, /status, /quarantine\n"));
 }
 
 std::string EntryDaemon::metricsText() const
 {
     return m_counters.text() + m_storeCalls.text() + m_peerService.servedText()
-        + "bulrush_log_lines_dropped_total " + std::to_string(io::droppedLogLines())
+        + "bulrush_log_lines_dropped_total " + std::to_string(io::droppedLogLineCount())
         + "\nbulrush_open_requests " + std::to_string(m_worker.openCount()) + '\n'
         + m_state.configMetrics(io::hostNow()) + "bulrush_planning "
         + (m_keys.isPlanning() ? "1" : "0") + "\nbulrush_store_reached "
--- a/src/libbulrushentry/entrydaemon.h
+++ b/src/libbulrushentry/entrydaemon.h
@@ -25,7 +25,7 @@
 namespace bulrush {
 
 /** How an entry daemon stopped. */
-enum class EntryEnd {
+enum class EntryResult {
     Drained,      ///< with nothing in flight
     ListenFailed, ///< an address can't be listened on
     CutOff,       ///< with requests in flight, because the drain time was over
@@ -45,7 +45,7 @@
     EntryDaemon &operator=(const EntryDaemon &) = delete;
 
     /** Listens, serves until a signal stops it, and drains. */
-    EntryEnd run();
+    EntryResult run();
 
 private:
     FollowerDependencies followerDependencies();
@@ -55,7 +55,7 @@
     void awaitSignal();
     void beginDrain();
     void watchDrain();
-    void finish(EntryEnd result);
+    void finish(EntryResult result);
     void advance(Instant now);
     void collectLoads();
     void reportLoads(std::vector<LoadSample> samples);
@@ -87,7 +87,7 @@
     asio::signal_set m_signals;
     std::optional<Instant> m_drainingSince;
     bool m_isRefusing = false;
-    EntryEnd m_result = EntryEnd::Drained;
+    EntryResult m_result = EntryResult::Drained;
 };
 
 } // namespace bulrush
--- a/src/libbulrushentry/forwardcontext.cpp
+++ b/src/libbulrushentry/forwardcontext.cpp
@@ -29,9 +29,10 @@
     , answeredRequests(io::hostNow())
     , m_configBudget(settings.configInForce)
 {
-    servers.setLinkHandler([this](const std::string &run, io::ServerClient::Link link) {
-        handleLinkChange(run, link);
-    });
+    servers.setConnectionEventHandler(
+        [this](const std::string &run, io::ServerClient::ConnectionEvent event) {
+            handleConnectionEvent(run, event);
+        });
 }
 
 void ForwardContext::setState(std::shared_ptr<const RoutingState> published)
@@ -57,7 +58,7 @@
         counters.recordConfigDelay(delay);
     io::logEvent(LogLevel::Info, "config-in-force",
                  {{"version", std::to_string(published.routes->config().version)},
-                  {"handed-ms", io::millisecondsText(now - published.routesTakenAt)},
+                  {"handed-ms", io::millisecondsText(now - published.routesAppliedAt)},
                   {"late-ms-at-most", isFirst ? "unknown" : io::millisecondsText(delay)}});
 }
 
@@ -71,9 +72,9 @@
         exchange->handleQuarantineChange();
 }
 
-RequestPassage ForwardContext::admission(const RequestFingerprint &request) const
+RequestAdmission ForwardContext::admission(const RequestFingerprint &request) const
 {
-    return passageOf(request, *quarantine, answeredRequests, io::hostNow());
+    return admissionOf(request, *quarantine, answeredRequests, io::hostNow());
 }
 
 void ForwardContext::recordServerStopped(const ServerName &server, std::string_view sign)
@@ -95,20 +96,21 @@
  * Connects to a server whose connection was lost during requests: if the connection is refused, the
  * server has stopped.
  */
-void ForwardContext::handleLinkChange(const std::string &run, io::ServerClient::Link link)
+void ForwardContext::handleConnectionEvent(const std::string &run,
+                                           io::ServerClient::ConnectionEvent event)
 {
     const ServerName server{run};
-    if (link == io::ServerClient::Link::Refused)
+    if (event == io::ServerClient::ConnectionEvent::Refused)
         recordServerStopped(server, "refused");
-    if (link != io::ServerClient::Link::Lost)
+    if (event != io::ServerClient::ConnectionEvent::Lost)
         return;
     const ServerRecord *record = findServer(server);
-    if (!record || !crashes.takeLook(server, io::hostNow()))
+    if (!record || !crashes.startLivenessCheck(server, io::hostNow()))
         return;
     io::ServerCall connectCall;
     connectCall.server = record->address;
     connectCall.run = run;
-    servers.keepConnected(connectCall);
+    servers.ensureConnected(connectCall);
 }
 
 const ServerRecord *ForwardContext::findServer(const ServerName &server) const
@@ -126,23 +128,23 @@
 /** Treats suspect servers whose records were removed as stopped. */
 void ForwardContext::handleRemovedServers()
 {
-    for (const ServerName &server : crashes.doubted()) {
+    for (const ServerName &server : crashes.suspectedServers()) {
         if (!findServer(server))
             recordServerStopped(server, "record-gone");
     }
 }
 
-void ForwardContext::setFreshness(const RoutingKnowledge &freshness)
+void ForwardContext::setFreshness(const RoutingDataFreshness &freshness)
 {
     m_configConfirmedAt = freshness.configAsOf;
-    picker.setKnowledge(freshness.servers);
+    picker.setDataFreshness(freshness.servers);
     if (queue.size() > 0)
         scheduleDispatch();
 }
 
 bool ForwardContext::mayConfigBeOutdated(Instant now) const
 {
-    return now - m_configConfirmedAt > m_configBudget.doubtAfter();
+    return now - m_configConfirmedAt > m_configBudget.maxReliableAge();
 }
 
 void ForwardContext::dispatch(Instant now)
--- a/src/libbulrushentry/forwardcontext.h
+++ b/src/libbulrushentry/forwardcontext.h
@@ -5,9 +5,9 @@
 #include "process/crashwatch.h"
 #include "process/entrysettings.h"
 #include "process/looptimers.h"
-#include "process/requestpassage.h"
+#include "process/requestadmission.h"
 #include "process/retrybudgets.h"
-#include "process/routingknowledge.h"
+#include "process/routingdatafreshness.h"
 #include "process/routingstate.h"
 #include "process/servergauges.h"
 #include "request/requestqueue.h"
@@ -65,7 +65,7 @@
     /** Servers that were found to be replaced, since the last report to the planner. */
     std::map<ServiceName, std::set<ServerName>> stoppedServers;
     /** Requested keys of services that are divided by key, since the last report to the planner. */
-    std::map<ServiceName, std::vector<KeyPlace>> requestedKeys;
+    std::map<ServiceName, std::vector<KeyPosition>> requestedKeys;
     /** Requests that have no answer yet, by ticket. */
     std::map<std::uint64_t, std::shared_ptr<ForwardExchange>> openRequests;
     std::uint64_t nextTicket = 1;
@@ -79,7 +79,7 @@
     void setQuarantine(std::shared_ptr<const Quarantine> published);
 
     /** \returns whether \a request may go to a server now. */
-    RequestPassage admission(const RequestFingerprint &request) const;
+    RequestAdmission admission(const RequestFingerprint &request) const;
 
     /**
      * Records that the run \a server has stopped, and reports the requests that it was processing.
@@ -88,7 +88,7 @@
     void recordServerStopped(const ServerName &server, std::string_view sign);
 
     /** Applies the age of the published routing data, and whether the store can confirm it. */
-    void setFreshness(const RoutingKnowledge &freshness);
+    void setFreshness(const RoutingDataFreshness &freshness);
 
     /** \returns whether a later configuration may be in force elsewhere. */
     bool mayConfigBeOutdated(Instant now) const;
@@ -100,7 +100,7 @@
     void scheduleDispatch();
 
 private:
-    void handleLinkChange(const std::string &run, io::ServerClient::Link link);
+    void handleConnectionEvent(const std::string &run, io::ServerClient::ConnectionEvent event);
     const ServerRecord *findServer(const ServerName &server) const;
     void handleRemovedServers();
     void logRoutes(const RoutingState &published);
--- a/src/libbulrushentry/forwardexchange.cpp
+++ b/src/libbulrushentry/forwardexchange.cpp
@@ -68,10 +68,10 @@
 void ForwardExchange::start()
 {
     m_context.counters.add(EntryCounter::RequestsTaken);
-    m_terms = platform::requestTerms(m_request->head().headers);
+    m_terms = platform::requestMetadata(m_request->head().headers);
     m_ticket = m_context.nextTicket++;
     m_context.openRequests.emplace(m_ticket, shared_from_this());
-    m_request->setGoneHandler([weak = weak_from_this()] {
+    m_request->setDisconnectHandler([weak = weak_from_this()] {
         if (const auto self = weak.lock())
             self->handleDisconnect();
     });
@@ -135,7 +135,7 @@
 {
     if (m_isFinished)
         return;
-    if (m_request->isBodyWhole()) {
+    if (m_request->isBodyBuffered()) {
         *m_body = m_request->body();
         computeFingerprint();
         enqueue(m_startedAt);
@@ -175,11 +175,11 @@
 {
     if (!m_fingerprint)
         return false;
-    const RequestPassage admission = m_context.admission(*m_fingerprint);
-    if (admission != RequestPassage::Blocked && admission != RequestPassage::LeftToOthers)
+    const RequestAdmission admission = m_context.admission(*m_fingerprint);
+    if (admission != RequestAdmission::Blocked && admission != RequestAdmission::ProbedElsewhere)
         return false;
     m_context.counters.add(EntryCounter::RefusedCrashing);
-    if (admission == RequestPassage::Blocked)
+    if (admission == RequestAdmission::Blocked)
         refuseNotRun("crashes-servers", RetryAdvice::Never);
     else
         refuseNotRun(mayCrashReason);
@@ -189,7 +189,7 @@
 /** \returns whether the request may be sent: it is not suspect, or is now the only probe. */
 bool ForwardExchange::beginProbe()
 {
-    if (m_context.admission(*m_fingerprint) == RequestPassage::Free)
+    if (m_context.admission(*m_fingerprint) == RequestAdmission::Unrestricted)
         return true;
     m_isProbe = m_context.probes.insert(*m_fingerprint).second;
     return m_isProbe;
@@ -237,7 +237,7 @@
     m_sentAt = io::hostNow();
     m_server = server.id;
     ++m_attempts;
-    const auto crashedBefore = m_context.quarantine->endedUnder(*m_fingerprint);
+    const auto crashedBefore = m_context.quarantine->crashedServers(*m_fingerprint);
     m_crashedBefore.assign(crashedBefore.begin(), crashedBefore.end());
     m_context.counters.add(EntryCounter::AttemptsSent);
     if (m_attempts > 1)
@@ -253,7 +253,7 @@
                                              timeLeft() - answerTransitTime);
     call.body = m_body;
     call.timeout = timeLeft() + std::chrono::seconds{1};
-    call.sendBy = std::min(m_answerBy - RequestQueue::leastServiceTime, recordChoice());
+    call.sendDeadline = std::min(m_answerBy - RequestQueue::minServiceTime, recordChoice());
     call.echoedField = platform::requestIdField;
     m_call = m_context.servers.send(std::move(call),
                                     [self = shared_from_this()](const io::HttpResult &result) {
@@ -267,7 +267,7 @@
  */
 Instant ForwardExchange::recordChoice()
 {
-    m_routingDataAge = m_context.picker.knowledgeAge(m_sentAt);
+    m_routingDataAge = m_context.picker.serverDataAge(m_sentAt);
     m_context.counters.recordRoutingDataAge(m_routingDataAge);
     m_isChoiceLogged = m_routingDataAge >= m_context.picker.budget().confirmAfter();
     m_drainsAfter.reset();
@@ -276,7 +276,7 @@
         return Instant::max();
     m_drainsAfter = server->drainsAfter;
     m_isChoiceLogged = m_isChoiceLogged || m_drainsAfter;
-    return m_context.picker.lastSend(*server);
+    return m_context.picker.maxSendAge(*server);
 }
 
 /** Logs the times of the attempt's steps if its server may have left. */
@@ -316,12 +316,12 @@
 {
     const Instant now = io::hostNow();
     const io::HttpResponse &response = result.response;
-    const platform::AnswerTerms terms =
-        platform::answerTerms(response.status, response.headers, m_server);
+    const platform::AnswerMetadata terms =
+        platform::answerMetadata(response.status, response.headers, m_server);
     const bool isFailure = response.status >= firstServerError && !terms.isNotRun;
-    const AttemptSign sign = terms.isNotRun ? AttemptSign::NotRun
-        : isFailure                         ? AttemptSign::Failed
-                                            : AttemptSign::Served;
+    const AttemptOutcome sign = terms.isNotRun ? AttemptOutcome::NotRun
+        : isFailure                            ? AttemptOutcome::Failed
+                                               : AttemptOutcome::Served;
     m_context.gauges.attemptEnded(m_server, sign, now - m_sentAt,
                                   platform::serverLoad(response.headers), now);
 
@@ -341,7 +341,7 @@
     }
     m_context.crashes.serverAnswered(m_server);
     m_context.answeredRequests.note(*m_fingerprint, now);
-    if (!m_context.quarantine->endedUnder(*m_fingerprint).empty())
+    if (!m_context.quarantine->crashedServers(*m_fingerprint).empty())
         m_context.crashHandlers.answered(*m_fingerprint);
     // No encoding was requested, so an encoded body can't be the intended answer.
     const bool isEncoded = io::findField(response.headers, "Content-Encoding") != nullptr;
@@ -361,7 +361,8 @@
 {
     const Instant now = io::hostNow();
     const bool isUnsent = result.stage == io::TransferStage::NotConnected;
-    m_context.gauges.attemptEnded(m_server, isUnsent ? AttemptSign::Unreached : AttemptSign::Silent,
+    m_context.gauges.attemptEnded(m_server,
+                                  isUnsent ? AttemptOutcome::Unreached : AttemptOutcome::Silent,
                                   now - m_sentAt, std::nullopt, now);
     io::logEvent(LogLevel::Info, "attempt-broke",
                  {{"request", m_terms.id},
@@ -413,8 +414,7 @@
 bool ForwardExchange::scheduleRetry(Duration delay)
 {
     const Instant now = io::hostNow();
-    if (m_attempts >= maxTotalAttempts
-        || now + delay + RequestQueue::leastServiceTime >= m_answerBy)
+    if (m_attempts >= maxTotalAttempts || now + delay + RequestQueue::minServiceTime >= m_answerBy)
         return false;
     const RequestClass requestClass =
         m_route->priority == 0 ? RequestClass::Priority : RequestClass::Ordinary;
@@ -453,7 +453,7 @@
     log("not-run", serviceUnavailable, reason);
     io::HttpResponse response = io::refusal(serviceUnavailable);
     std::erase_if(response.headers, [](const io::HttpHeader &header) {
-        return io::isSameField(header.name, "Retry-After");
+        return io::isSameFieldName(header.name, "Retry-After");
     });
     if (advice == RetryAdvice::Later)
         response.headers.push_back({"Retry-After", retryAfter(hash())});
@@ -513,7 +513,7 @@
         if (m_context.servers.isSent(*m_call))
             recordLostAttempt(CrashWatch::Loss::Abandoned);
         m_context.servers.cancel(*m_call);
-        m_context.gauges.attemptEnded(m_server, AttemptSign::Abandoned, now - m_sentAt,
+        m_context.gauges.attemptEnded(m_server, AttemptOutcome::Abandoned, now - m_sentAt,
                                       std::nullopt, now);
         m_call.reset();
         m_context.scheduleDispatch();
--- a/src/libbulrushentry/forwardexchange.h
+++ b/src/libbulrushentry/forwardexchange.h
@@ -84,7 +84,7 @@
     /** Owns m_route. */
     std::shared_ptr<const RouteTable> m_routes;
     const Route *m_route = nullptr;
-    platform::RequestTerms m_terms;
+    platform::RequestMetadata m_terms;
     ServiceName m_service;
     bool m_isDividedByKey = false;
     std::shared_ptr<std::string> m_body = std::make_shared<std::string>();
--- a/src/libbulrushentry/forwardworker.cpp
+++ b/src/libbulrushentry/forwardworker.cpp
@@ -63,7 +63,7 @@
     });
 }
 
-void ForwardWorker::setFreshness(const RoutingKnowledge &freshness)
+void ForwardWorker::setFreshness(const RoutingDataFreshness &freshness)
 {
     asio::post(m_loop, [this, freshness] { m_context.setFreshness(freshness); });
 }
@@ -119,7 +119,7 @@
     io::CallerServerSettings settings;
     settings.address = m_settings.callers.address;
     settings.port = m_settings.callers.port;
-    settings.wholeBodyLimit = bufferedBodyLimit;
+    settings.bufferedBodyLimit = bufferedBodyLimit;
     settings.requestReadTimeout = callerIdleTimeout;
     settings.bodyLimit = m_settings.limits.maxBodyBytes;
     settings.headerValueLimit = m_settings.limits.maxHeaderBytes;
@@ -130,9 +130,9 @@
 {
     m_openCount = m_context.openRequests.size();
     m_connectionCount = m_callers->connectionCount();
-    m_context.gauges.forgetIdle(now);
+    m_context.gauges.removeIdle(now);
     m_context.crashes.forget(now);
-    const std::uint64_t opened = m_context.servers.openedCount();
+    const std::uint64_t opened = m_context.servers.openedConnectionCount();
     m_counters.add(EntryCounter::ConnectionsOpened,
                    opened - std::exchange(m_countedConnections, opened));
 }
--- a/src/libbulrushentry/forwardworker.h
+++ b/src/libbulrushentry/forwardworker.h
@@ -47,7 +47,7 @@
     void setState(std::shared_ptr<const RoutingState> state);
 
     /** Passes the age of the routing state, and whether it can be confirmed. Thread safe. */
-    void setFreshness(const RoutingKnowledge &freshness);
+    void setFreshness(const RoutingDataFreshness &freshness);
 
     /** Passes the shares of requests for hot keys to admit. Thread safe. */
     void setKeyShares(std::vector<KeyShares> shares);
--- a/src/libbulrushentry/keycontrol.cpp
+++ b/src/libbulrushentry/keycontrol.cpp
@@ -94,7 +94,7 @@
 
 } // namespace
 
-KeyControl::KeyControl(Dependencies deps, const KeySelf &self)
+KeyControl::KeyControl(Dependencies deps, const DaemonIdentity &self)
     : m_deps(deps)
     , m_host(self.host)
     , m_coordinator(self, io::hostNow())
@@ -103,14 +103,16 @@
 
 void KeyControl::start()
 {
-    m_deps.servers.setLinkHandler([this](const std::string &run, io::ServerClient::Link link) {
-        handleLinkChange(run, link);
-    });
+    m_deps.servers.setConnectionEventHandler(
+        [this](const std::string &run, io::ServerClient::ConnectionEvent event) {
+            handleConnectionEvent(run, event);
+        });
     // A new server is connected to before keys are planned for it.
     m_deps.state.setServersHandler([this] { connectServers(); });
     // Its rows list the daemons, which FollowPlan needs to select a source for the other tables.
-    m_ownership.startWithStore([this](const TableChange &change) { applyRows(change); },
-                               [this](Instant givenAt) { m_coordinator.storeAnswered(givenAt); });
+    m_ownership.startWithStore(
+        [this](const TableChange &change) { applyRows(change); },
+        [this](Instant givenAt) { m_coordinator.recordStoreAnswer(givenAt); });
 }
 
 void KeyControl::setChangeHandler(ChangeHandler handler)
@@ -136,7 +138,7 @@
 {
     std::vector<Endpoint> addresses;
     for (const auto &[host, renewer] : m_coordinator.renewers().renewers()) {
-        if (host != m_host && !renewer.goneSince)
+        if (host != m_host && !renewer.removedSince)
             addresses.push_back(renewer.row.address);
     }
     return addresses;
@@ -146,19 +148,19 @@
 {
     std::vector<HostName> hosts;
     for (const auto &[host, renewer] : m_coordinator.renewers().renewers()) {
-        if (!renewer.goneSince)
+        if (!renewer.removedSince)
             hosts.push_back(host);
     }
     return hosts;
 }
 
-RenewerAnswer KeyControl::answer(const io::RenewalQuestion &question)
+RenewerAnswer KeyControl::answer(const io::RenewalQuery &question)
 {
     const Instant now = io::hostNow();
     const auto &received = question.assignment;
-    if (received && m_coordinator.assignmentSeen(*received, question.version, now))
+    if (received && m_coordinator.applyAssignment(*received, question.version, now))
         m_deps.state.setAssignment(*received);
-    return m_coordinator.answerOn(question.service, question.servers, now);
+    return m_coordinator.makeRenewerAnswer(question.service, question.servers, now);
 }
 
 const TableFollower *KeyControl::follower(std::string_view table) const
@@ -205,7 +207,7 @@
     for (const platform::StoreRow &row : change.rows) {
         if (row.key == plannerKey) {
             const std::optional<PlannerRow> planner = io::decodePlannerRow(row.value);
-            m_coordinator.plannerRowSeen(row.version, planner.value_or(PlannerRow{}), now);
+            m_coordinator.applyPlannerRow(row.version, planner.value_or(PlannerRow{}), now);
             hasPlanner = true;
         } else if (row.key.starts_with(assignmentPrefix) && !row.isRemoved) {
             applyAssignment(row, now);
@@ -215,7 +217,7 @@
     }
     if (change.isComplete)
         applyMissingRows(change, hasPlanner, now);
-    m_coordinator.rowsSeen(change.version);
+    m_coordinator.markRowsApplied(change.version);
     m_deps.state.setDaemonCount(peers().size() + 1);
     std::vector<Renewer> daemons;
     for (const auto &[host, renewer] : m_coordinator.renewers().renewers())
@@ -231,7 +233,7 @@
     const std::optional<KeyAssignment> assignment = io::decodeAssignment(row.value);
     if (!assignment)
         io::logEvent(LogLevel::Error, "assignment-unreadable", {{"row", row.key}});
-    else if (m_coordinator.assignmentSeen(*assignment, row.version, now))
+    else if (m_coordinator.applyAssignment(*assignment, row.version, now))
         m_deps.state.setAssignment(*assignment);
 }
 
@@ -241,21 +243,21 @@
     std::optional<DaemonRow> daemon;
     if (!row.isRemoved)
         daemon = io::decodeDaemonRow(row.value);
-    m_coordinator.daemonRowSeen(host, row.version, daemon, now);
+    m_coordinator.applyDaemonRow(host, row.version, daemon, now);
 }
 
 /** Treats rows that are missing from the complete table as removed. */
 void KeyControl::applyMissingRows(const TableChange &change, bool hasPlanner, Instant now)
 {
     if (!hasPlanner)
-        m_coordinator.plannerRowSeen(0, {}, now);
+        m_coordinator.applyPlannerRow(0, {}, now);
     std::vector<HostName> known;
     for (const auto &[host, renewer] : m_coordinator.renewers().renewers())
         known.push_back(host);
     for (const HostName &host : known) {
         if (std::ranges::find(change.rows, daemonKey(host), &platform::StoreRow::key)
             == change.rows.end())
-            m_coordinator.daemonRowSeen(host, change.version, std::nullopt, now);
+            m_coordinator.applyDaemonRow(host, change.version, std::nullopt, now);
     }
 }
 
@@ -266,7 +268,7 @@
                              io::encodePlannerRow(action.write.row)});
     m_deps.follow.store.commit(commit, [this](const platform::CommitOutcome &outcome) {
         const Instant now = io::hostNow();
-        m_coordinator.plannerRowWritten(rowWriteResultOf(outcome.error), outcome.version, now);
+        m_coordinator.handlePlannerRowResult(rowWriteResultOf(outcome.error), outcome.version, now);
         advance(now);
     });
 }
@@ -298,8 +300,8 @@
                   {"moving", std::to_string(moving)},
                   {"row", std::to_string(outcome.version)},
                   {"error", errorText(outcome.error)}});
-    if (m_coordinator.assignmentCommitted(next, rowWriteResultOf(outcome.error), outcome.version,
-                                          now))
+    if (m_coordinator.handleCommitResult(next, rowWriteResultOf(outcome.error), outcome.version,
+                                         now))
         m_deps.state.setAssignment(next);
     advance(now);
 }
@@ -330,8 +332,8 @@
     queue.erase(queue.begin());
     io::ServerCall call = platform::grantCall(address, grant.owned, KeyTimings{}.hold);
     call.timeout = KeyTimings{}.grantCall;
-    call.acknowledgeWithin = KeyTimings{}.grantCall;
-    m_coordinator.grantSent(grant, now);
+    call.acknowledgeTimeout = KeyTimings{}.grantCall;
+    m_coordinator.recordGrantSent(grant, now);
     m_deps.servers.send(std::move(call), [this, grant](const io::HttpResult &result) {
         handleGrantResult(grant, result);
         sendNextGrant(grant.address);
@@ -340,29 +342,30 @@
 
 void KeyControl::handleGrantResult(const SendGrant &grant, const io::HttpResult &result)
 {
-    const platform::GrantAnswer answer = platform::grantAnswerOf(result);
+    const platform::GrantAnswer answer = platform::decodeGrantAnswer(result);
     const bool isReplaced = answer == platform::GrantAnswer::Replaced;
     const bool wasReached = result.stage != io::TransferStage::NotConnected && !isReplaced;
-    m_coordinator.grantEnded(grant, wasReached, io::hostNow());
+    m_coordinator.recordGrantResult(grant, wasReached, io::hostNow());
     // This must precede the next grant to the server, which uses a new connection.
     if (result.error == io::TransportError::TimedOut)
-        m_coordinator.connectionGivenUp(grant.owned.owner);
+        m_coordinator.recordConnectionReset(grant.owned.owner);
     else if (result.error)
-        m_coordinator.connectionLost(grant.owned.owner);
+        m_coordinator.recordConnectionLost(grant.owned.owner);
     logGrant(grant, answer);
     // The server's record expires later; its keys can be reassigned before that.
     if (isReplaced)
         m_deps.state.recordServerStopped(grant.owned.owner);
 }
 
-void KeyControl::handleLinkChange(const std::string &run, io::ServerClient::Link link)
+void KeyControl::handleConnectionEvent(const std::string &run,
+                                       io::ServerClient::ConnectionEvent event)
 {
     if (run.empty())
         return; // the connection is to the store or to another daemon
-    if (link == io::ServerClient::Link::Made)
-        m_coordinator.connectionMade(ServerName{run}, io::hostNow());
+    if (event == io::ServerClient::ConnectionEvent::Connected)
+        m_coordinator.recordConnection(ServerName{run}, io::hostNow());
     else
-        m_coordinator.connectionLost(ServerName{run});
+        m_coordinator.recordConnectionLost(ServerName{run});
 }
 
 /** Opens connections in advance, as grants use existing connections only, see KeyRenewal. */
@@ -374,8 +377,8 @@
         io::ServerCall connectCall;
         connectCall.server = servers.find(id)->record.address;
         connectCall.run = id.value();
-        connectCall.acknowledgeWithin = KeyTimings{}.grantCall;
-        m_deps.servers.keepConnected(connectCall);
+        connectCall.acknowledgeTimeout = KeyTimings{}.grantCall;
+        m_deps.servers.ensureConnected(connectCall);
     }
 }
 
@@ -384,13 +387,13 @@
     io::ServerCall call = platform::releaseCall(action.address, action.owned.previous,
                                                 action.owned.range, action.owned.fence);
     call.timeout = releaseTimeout;
-    call.acknowledgeWithin = KeyTimings{}.grantCall;
+    call.acknowledgeTimeout = KeyTimings{}.grantCall;
     m_deps.servers.send(std::move(call), [this, action](const io::HttpResult &result) {
         handleReleaseResult(action, result);
     });
 }
 
-void KeyControl::execute(const AskRenewer &action)
+void KeyControl::execute(const QueryRenewer &action)
 {
     const KeyAssignment *known = m_coordinator.assignment(action.service);
     if (!known)
@@ -400,19 +403,19 @@
     call.method = "POST";
     call.target = grantsPath;
     call.headers = {{"Host", toString(call.server)}};
-    io::RenewalQuestion question{action.service, std::nullopt, 0, action.servers};
+    io::RenewalQuery question{action.service, std::nullopt, 0, action.servers};
     if (action.isBehind) {
         question.assignment = *known;
         question.version = m_coordinator.assignmentVersion(action.service);
     }
-    call.body = std::make_shared<const std::string>(io::encodeQuestion(question));
-    call.timeout = KeyMoves::askAgain;
+    call.body = std::make_shared<const std::string>(io::encodeRenewalQuery(question));
+    call.timeout = KeyMoves::requestRetryDelay;
     m_deps.servers.send(std::move(call), [this](const io::HttpResult &result) {
-        const auto answer = io::decodeAnswer(result.error ? "" : result.response.body);
+        const auto answer = io::decodeRenewalAnswer(result.error ? "" : result.response.body);
         if (!answer)
             return; // the coordinator retries, or treats the renewer as silent
         const Instant now = io::hostNow();
-        m_coordinator.renewerAnswered(*answer, now);
+        m_coordinator.recordRenewerAnswer(*answer, now);
         advance(now);
     });
 }
@@ -428,8 +431,8 @@
         if (outcome.error)
             io::logEvent(LogLevel::Warning, "own-row-not-written",
                          {{"error", outcome.error.message()}});
-        m_coordinator.daemonRowWritten(rowWriteResultOf(outcome.error), outcome.version,
-                                       io::hostNow());
+        m_coordinator.handleDaemonRowResult(rowWriteResultOf(outcome.error), outcome.version,
+                                            io::hostNow());
     });
 }
 
@@ -448,13 +451,13 @@
     m_deps.follow.store.commit(commit, [this, hosts](const platform::CommitOutcome &outcome) {
         io::logEvent(LogLevel::Warning, "lost-daemons-removed",
                      {{"hosts", hosts}, {"error", errorText(outcome.error)}});
-        m_coordinator.daemonRowsRemoved(rowWriteResultOf(outcome.error), io::hostNow());
+        m_coordinator.handleRemovalResult(rowWriteResultOf(outcome.error), io::hostNow());
     });
 }
 
 void KeyControl::handleReleaseResult(const SendRelease &release, const io::HttpResult &result)
 {
-    const platform::ReleaseAnswer answer = platform::releaseAnswerOf(result);
+    const platform::ReleaseAnswer answer = platform::decodeReleaseAnswer(result);
     io::logEvent(answer.isReleased ? LogLevel::Info : LogLevel::Warning, "keys-released",
                  {{"server", release.owned.previous.value()},
                   {"keys", toText(release.owned.range)},
@@ -465,7 +468,7 @@
     const Instant now = io::hostNow();
     m_coordinator.released(release, answer.handover, now);
     advance(now);
-    m_deps.follow.timers.after(KeyMoves::settleTogether, [this](Instant due) { advance(due); });
+    m_deps.follow.timers.after(KeyMoves::settleBatchPeriod, [this](Instant due) { advance(due); });
 }
 
 void KeyControl::logPlannerChange()
--- a/src/libbulrushentry/keycontrol.h
+++ b/src/libbulrushentry/keycontrol.h
@@ -32,7 +32,7 @@
         StatePublisher &state;
     };
 
-    KeyControl(Dependencies deps, const KeySelf &self);
+    KeyControl(Dependencies deps, const DaemonIdentity &self);
 
     KeyControl(const KeyControl &) = delete;
     KeyControl &operator=(const KeyControl &) = delete;
@@ -61,7 +61,7 @@
     std::vector<HostName> hosts() const;
 
     /** Applies the assignment in a planner's question, if any. \returns the answer to it. */
-    RenewerAnswer answer(const io::RenewalQuestion &question);
+    RenewerAnswer answer(const io::RenewalQuery &question);
 
     /** \returns the follower of \a table, or null if this object does not follow it. */
     const TableFollower *follower(std::string_view table) const;
@@ -87,12 +87,12 @@
     void execute(const CommitKeyAssignment &action);
     void execute(const SendGrant &action);
     void execute(const SendRelease &action);
-    void execute(const AskRenewer &action);
+    void execute(const QueryRenewer &action);
     void execute(const WriteDaemonRow &action);
     void execute(const RemoveDaemonRows &action);
     void handleCommitResult(const KeyAssignment &next, const platform::CommitOutcome &outcome);
     void sendNextGrant(const Endpoint &address);
-    void handleLinkChange(const std::string &run, io::ServerClient::Link link);
+    void handleConnectionEvent(const std::string &run, io::ServerClient::ConnectionEvent event);
     void connectServers();
     void handleGrantResult(const SendGrant &grant, const io::HttpResult &result);
     void handleReleaseResult(const SendRelease &release, const io::HttpResult &result);
--- a/src/libbulrushentry/peerservice.cpp
+++ b/src/libbulrushentry/peerservice.cpp
@@ -44,16 +44,16 @@
 void PeerService::handle(const std::shared_ptr<io::IncomingRequest> &request,
                          const std::shared_ptr<io::ResponseWriter> &writer)
 {
-    io::readWholeBody(request,
-                      [this, request, writer](std::error_code error, const std::string &body) {
-                          const std::string &target = request->head().target;
-                          if (error)
-                              writer->send(io::textPage(badRequest, "body: not whole\n"));
-                          else if (target.starts_with(feedPath))
-                              handleFeedRequest(target, writer);
-                          else
-                              writer->send(answer(target, body));
-                      });
+    io::readCompleteBody(
+        request, [this, request, writer](std::error_code error, const std::string &body) {
+            const std::string &target = request->head().target;
+            if (error)
+                writer->send(io::plainTextResponse(badRequest, "body: not whole\n"));
+            else if (target.starts_with(feedPath))
+                handleFeedRequest(target, writer);
+            else
+                writer->send(answer(target, body));
+        });
 }
 
 io::HttpResponse PeerService::answer(const std::string &target, const std::string &body)
@@ -64,7 +64,7 @@
         return answerQuestion(body);
     if (target.starts_with(rowsPath))
         return answerRows(target);
-    return io::textPage(notFound, "nothing is known here by that path\n");
+    return io::plainTextResponse(notFound, "nothing is known here by that path\n");
 }
 
 io::HttpResponse PeerService::answerRows(const std::string &target)
@@ -72,7 +72,7 @@
     const auto question = parseRowsRequest(target);
     const TableFollower *tableFollower = question ? follower(question->table) : nullptr;
     if (!tableFollower || !tableFollower->hasRows())
-        return io::textPage(notFound, "no rows are known here by that path\n");
+        return io::plainTextResponse(notFound, "no rows are known here by that path\n");
     std::string body = encodeRows(tableFollower->rowsSince(question->version, io::hostNow()));
     if (!m_admission.admits(question->table, body.size(), io::hostNow()))
         return io::refusal(busyStatus);
@@ -87,7 +87,8 @@
     if (tableFollower)
         m_feed.ask(*question, *tableFollower, writer);
     else
-        writer->send(io::textPage(notFound, "path: not a followed table, a version and a wait\n"));
+        writer->send(
+            io::plainTextResponse(notFound, "path: not a followed table, a version and a wait\n"));
 }
 
 const TableFollower *PeerService::follower(std::string_view table) const
@@ -100,17 +101,17 @@
 {
     const auto samples = io::decodeLoadSamples(body);
     if (!samples)
-        return io::textPage(badRequest, "body: not a list of samples\n");
+        return io::plainTextResponse(badRequest, "body: not a list of samples\n");
     m_keys.addLoads(*samples);
     return jsonPage(io::encodeKeyShares(m_keys.keyShares()));
 }
 
 io::HttpResponse PeerService::answerQuestion(const std::string &body)
 {
-    const auto question = io::decodeQuestion(body);
+    const auto question = io::decodeRenewalQuery(body);
     if (!question)
-        return io::textPage(badRequest, "body: not a question for grants\n");
-    return jsonPage(io::encodeAnswer(m_keys.answer(*question)));
+        return io::plainTextResponse(badRequest, "body: not a question for grants\n");
+    return jsonPage(io::encodeRenewalAnswer(m_keys.answer(*question)));
 }
 
 } // namespace bulrush
--- a/src/libbulrushentry/rowsadmission.cpp
+++ b/src/libbulrushentry/rowsadmission.cpp
@@ -19,7 +19,7 @@
 
 bool RowsAdmission::admits(const std::string &table, std::size_t bytes, Instant now)
 {
-    const bool isAdmitted = m_link.take(bytes, now);
+    const bool isAdmitted = m_link.tryReserve(bytes, now);
     for (auto *counts : {&m_counts, &m_unlogged}) {
         Count &count = (*counts)[table];
         if (isAdmitted) {
--- a/src/libbulrushentry/rowsclient.cpp
+++ b/src/libbulrushentry/rowsclient.cpp
@@ -64,7 +64,7 @@
     call.target = std::move(target);
     call.headers = {{"Host", toString(daemon)}};
     call.timeout = timeout;
-    call.answerWithin = maxTransferTime;
+    call.answerTimeout = maxTransferTime;
     const Instant sentAt = io::hostNow();
     m_client.send(
         std::move(call),
--- a/src/libbulrushentry/rowscodec.cpp
+++ b/src/libbulrushentry/rowscodec.cpp
@@ -39,12 +39,12 @@
             entry["removed"] = true;
         list.append(std::move(entry));
     }
-    return io::compactText(list);
+    return io::toCompactJson(list);
 }
 
 std::optional<RelayedRows> decodeRows(std::string_view text)
 {
-    const Json::Value json = io::parsedJson(std::string{text});
+    const Json::Value json = io::parseJson(std::string{text});
     io::JsonReader reader{json};
     RelayedRows rows;
     rows.version = reader.number("version");
@@ -57,10 +57,10 @@
         io::JsonReader row{entry};
         const bool isRemoved = io::isTrue(entry, "removed");
         rows.rows.push_back({row.text("key"), row.text("value"), row.number("version"), isRemoved});
-        if (!row.isGood())
+        if (!row.isValid())
             return std::nullopt;
     }
-    if (!reader.isGood())
+    if (!reader.isValid())
         return std::nullopt;
     return rows;
 }
--- a/src/libbulrushentry/rowwriteresults.cpp
+++ b/src/libbulrushentry/rowwriteresults.cpp
@@ -4,13 +4,13 @@
 
 namespace bulrush {
 
-RowWriteEnd rowWriteResultOf(std::error_code error)
+RowWriteResult rowWriteResultOf(std::error_code error)
 {
     if (!error)
-        return RowWriteEnd::Done;
-    const bool isCertain =
-        error == platform::StoreError::NotDone || error == platform::StoreError::ConditionFailed;
-    return isCertain ? RowWriteEnd::Refused : RowWriteEnd::Unknown;
+        return RowWriteResult::Done;
+    const bool isCertain = error == platform::StoreError::NotExecuted
+        || error == platform::StoreError::ConditionFailed;
+    return isCertain ? RowWriteResult::Refused : RowWriteResult::Unknown;
 }
 
 } // namespace bulrush
--- a/src/libbulrushentry/rowwriteresults.h
+++ b/src/libbulrushentry/rowwriteresults.h
@@ -7,6 +7,6 @@
 namespace bulrush {
 
 /** \returns the effect on its rows of a commit that returned \a error. Thread safe. */
-RowWriteEnd rowWriteResultOf(std::error_code error);
+RowWriteResult rowWriteResultOf(std::error_code error);
 
 } // namespace bulrush
--- a/src/libbulrushentry/statepublisher.cpp
+++ b/src/libbulrushentry/statepublisher.cpp
@@ -15,7 +15,7 @@
 template<typename Budget>
 ConfirmationDelays confirmationDelays(const Budget &budget)
 {
-    return {budget.askBesideAfter(), budget.confirmAfter(), budget.confirmWithin()};
+    return {budget.askAlternatesAfter(), budget.confirmAfter(), budget.confirmTimeout()};
 }
 
 /**
@@ -32,7 +32,7 @@
  * time. */
 FollowTimings serverTimings(const DrainBudget &budget)
 {
-    return {budget.readerWait(), budget.readerPause(), budget.askBesideAfter(),
+    return {budget.readerPollTimeout(), budget.minReadInterval(), budget.askAlternatesAfter(),
             confirmationDelays(budget)};
 }
 
@@ -81,7 +81,7 @@
 
 void StatePublisher::recordServerStopped(const ServerName &id)
 {
-    if (!m_directory.noteEnded(id, io::hostNow()))
+    if (!m_directory.markStopped(id, io::hostNow()))
         return;
     io::logEvent(LogLevel::Info, "server-replaced", {{"server", id.value()}});
     publish();
@@ -144,7 +144,7 @@
             io::logEvent(LogLevel::Info, "server-gone", {{"server", row.key}});
             continue;
         }
-        std::optional<ServerRecord> record = platform::decodeServer(row.key, row.value);
+        std::optional<ServerRecord> record = platform::decodeServerRecord(row.key, row.value);
         if (!record) {
             // A row that can't be decoded describes no server, even if its previous value did.
             m_directory.remove(ServerName{row.key}, now);
@@ -156,10 +156,10 @@
         records.push_back(std::move(*record));
     }
     if (change.isComplete) {
-        m_directory.takeAll(records, change.isAfterOutage, now, change.unchangedUntil);
+        m_directory.applyAll(records, change.isAfterOutage, now, change.unchangedUntil);
     } else {
         for (const ServerRecord &record : records)
-            m_directory.take(record, now, change.unchangedUntil);
+            m_directory.applyRecord(record, now, change.unchangedUntil);
     }
     m_hasServers = true;
     publish();
@@ -172,7 +172,7 @@
                                      const TableChange &change) const
 {
     const KnownServer *known = m_directory.find(record.id);
-    if (known && known->record.isDraining == record.isDraining && !known->goneSince)
+    if (known && known->record.isDraining == record.isDraining && !known->removedSince)
         return;
     const Instant now = io::hostNow();
     // The server wrote its row between the instants of the last two fields.
@@ -189,14 +189,14 @@
 
 void StatePublisher::reportFreshness()
 {
-    const RoutingKnowledge freshness{{m_servers.confirmedAt(), m_servers.isStoreUnreachable()},
-                                     m_configs.confirmedAt()};
+    const RoutingDataFreshness freshness{{m_servers.confirmedAt(), m_servers.isStoreUnreachable()},
+                                         m_configs.confirmedAt()};
     if (freshness == m_reportedFreshness)
         return;
-    const ServerKnowledge &servers = freshness.servers;
-    if (servers.isStoreAway != m_reportedFreshness.servers.isStoreAway)
+    const ServerDataFreshness &servers = freshness.servers;
+    if (servers.isStoreUnreachable != m_reportedFreshness.servers.isStoreUnreachable)
         io::logEvent(LogLevel::Info, "servers-confirmable",
-                     {{"by", servers.isStoreAway ? "nobody" : m_servers.source()},
+                     {{"by", servers.isStoreUnreachable ? "nobody" : m_servers.source()},
                       {"age-ms", io::millisecondsText(io::hostNow() - servers.asOf)}});
     m_reportedFreshness = freshness;
     m_freshnessHandler(freshness);
@@ -206,12 +206,12 @@
 {
     auto state = std::make_shared<RoutingState>();
     state->routes = m_routes;
-    state->routesTakenAt = m_routesAppliedAt;
+    state->routesAppliedAt = m_routesAppliedAt;
     state->routesUnchangedUntil = m_routesUnchangedUntil;
     state->assignments = m_assignments;
     state->daemonCount = m_daemonCount;
     for (const auto &[id, server] : m_directory.servers()) {
-        if (!server.goneSince)
+        if (!server.removedSince)
             state->servers[server.record.service].push_back(server);
     }
     m_publish(std::move(state));
--- a/src/libbulrushentry/statepublisher.h
+++ b/src/libbulrushentry/statepublisher.h
@@ -2,7 +2,7 @@
 
 #include "process/configbudget.h"
 #include "process/drainbudget.h"
-#include "process/routingknowledge.h"
+#include "process/routingdatafreshness.h"
 #include "process/routingstate.h"
 #include "process/serverdirectory.h"
 #include "tablefollower.h"
@@ -25,7 +25,7 @@
     using PublishHandler = std::function<void(std::shared_ptr<const RoutingState>)>;
 
     /** Called with the age of the published routing data, and whether the store can confirm it. */
-    using FreshnessHandler = std::function<void(const RoutingKnowledge &)>;
+    using FreshnessHandler = std::function<void(const RoutingDataFreshness &)>;
 
     /** Time limits within which changes must arrive. */
     struct Budgets
@@ -83,7 +83,7 @@
     PublishHandler m_publish;
     FreshnessHandler m_freshnessHandler;
     std::function<void()> m_serversHandler;
-    RoutingKnowledge m_reportedFreshness;
+    RoutingDataFreshness m_reportedFreshness;
     TableFollower m_configs;
     TableFollower m_servers;
     ServerDirectory m_directory;
--- a/src/libbulrushentry/storecalls.cpp
+++ b/src/libbulrushentry/storecalls.cpp
@@ -31,14 +31,14 @@
         return "condition-failed";
     if (error == platform::StoreError::Unknown)
         return "unknown";
-    if (error == platform::StoreError::HistoryGone)
+    if (error == platform::StoreError::HistoryExpired)
         return "history-gone";
-    return error == platform::StoreError::NotDone ? "not-done" : "bad-answer";
+    return error == platform::StoreError::NotExecuted ? "not-done" : "bad-answer";
 }
 
 } // namespace
 
-void StoreCalls::add(const platform::StoreCallEnd &call)
+void StoreCalls::add(const platform::StoreCallResult &call)
 {
     const Key key{kindName(call.kind), call.table, outcomeName(call.error)};
     Count &count = m_counts[key];
--- a/src/libbulrushentry/storecalls.h
+++ b/src/libbulrushentry/storecalls.h
@@ -19,7 +19,7 @@
 {
 public:
     /** Counts a finished call. */
-    void add(const platform::StoreCallEnd &call);
+    void add(const platform::StoreCallResult &call);
 
     /** \returns the counts in the text format of the metrics page, one line for each value. */
     std::string text() const;
--- a/src/libbulrushentry/tablefollower.cpp
+++ b/src/libbulrushentry/tablefollower.cpp
@@ -45,7 +45,7 @@
 void TableFollower::startWithStore(ChangeHandler changed, AnswerHandler answered)
 {
     begin(std::move(changed), std::move(answered));
-    execute(AskStore{});
+    execute(QueryStore{});
 }
 
 void TableFollower::begin(ChangeHandler changed, AnswerHandler answered)
@@ -62,14 +62,14 @@
     std::visit([this](const auto &known) { execute(known); }, step);
 }
 
-void TableFollower::execute(const AskLater &step)
+void TableFollower::execute(const RetryLater &step)
 {
     if (m_deps.plan.isStoreFailing())
         enterFailing("nobody has rows to tell");
     m_deps.timers.after(step.after, [this](Instant) { runNextStep(); });
 }
 
-void TableFollower::execute(const AskStore & /*step*/)
+void TableFollower::execute(const QueryStore & /*step*/)
 {
     setSource(std::string{storeSource});
     m_chainLength = 0;
@@ -79,7 +79,7 @@
         readAllRows();
 }
 
-void TableFollower::execute(const AskReader &step)
+void TableFollower::execute(const QueryReader &step)
 {
     const RowsReader reader = step.reader;
     setSource(reader.host.value());
@@ -127,9 +127,9 @@
         handleReaderFailure(reader, ReaderFailure::Refused);
         return;
     }
-    m_deps.plan.readerServed(reader.host);
+    m_deps.plan.recordReaderSuccess(reader.host);
     if (answer.rows->version < m_rows.version()) {
-        execute(AskLater{outdatedReaderRetryDelay});
+        execute(RetryLater{outdatedReaderRetryDelay});
         return;
     }
     const bool isNew = applyRelayedRows(std::move(*answer.rows), answer.asOf);
@@ -145,10 +145,10 @@
     // The store has enough bandwidth. The reader is not recorded as failed, so that the plan can
     // select it again for the next call.
     if (failure == ReaderFailure::Busy && !m_deps.plan.isStoreFailing()) {
-        execute(AskStore{});
+        execute(QueryStore{});
         return;
     }
-    m_deps.plan.readerFailed(reader.host, failure, io::hostNow());
+    m_deps.plan.recordReaderFailure(reader.host, failure, io::hostNow());
     runNextStep();
 }
 
@@ -205,9 +205,9 @@
 
 void TableFollower::handleRowsResult(platform::RowsOutcome outcome, bool isComplete, Instant sentAt)
 {
-    if (outcome.error == platform::StoreError::HistoryGone) {
+    if (outcome.error == platform::StoreError::HistoryExpired) {
         io::logEvent(LogLevel::Info, "store-history-gone", {{"table", m_table}});
-        m_deps.plan.storeAnswered();
+        m_deps.plan.recordStoreAnswer();
         m_needsAllRows = true;
         readAllRows();
         return;
@@ -216,7 +216,7 @@
         handleStoreFailure(outcome.error);
         return;
     }
-    m_deps.plan.storeAnswered();
+    m_deps.plan.recordStoreAnswer();
     m_answerHandler(applyStoreRows(std::move(outcome), isComplete, sentAt));
     m_deps.group.notifyChanged();
     if (m_timings.pause > Duration::zero() && !isComplete)
@@ -288,13 +288,13 @@
     if (m_pendingAlternates > 0)
         return true;
     const FollowRequest request{m_table, m_rows.version(), now - m_confirmedAt};
-    for (const RowsReader &reader : m_deps.plan.readersBeside(HostName{m_source}, now)) {
+    for (const RowsReader &reader : m_deps.plan.alternateReaders(HostName{m_source}, now)) {
         ++m_pendingAlternates;
         m_deps.rowsClient.askAlternate(
             reader.address, request, [this, host = reader.host](FollowAnswer answer) {
                 --m_pendingAlternates;
                 if (!answer.rows && answer.failure != ReaderFailure::Busy)
-                    m_deps.plan.readerFailed(host, ReaderFailure::Refused, io::hostNow());
+                    m_deps.plan.recordReaderFailure(host, ReaderFailure::Refused, io::hostNow());
                 else if (answer.rows && applyRelayedRows(std::move(*answer.rows), answer.asOf))
                     m_deps.group.notifyChanged();
             });
@@ -304,7 +304,7 @@
 
 void TableFollower::confirmAtStore(Instant now)
 {
-    if (!m_deps.plan.mayAskStore(now)) {
+    if (!m_deps.plan.mayCallStore(now)) {
         m_isUnconfirmed = true;
         return;
     }
@@ -350,13 +350,13 @@
 {
     const bool isWaitSuspect = m_waitCall && m_waitCall == m_suspectWait;
     if (outcome.error) {
-        m_deps.plan.storeFailed(io::hostNow());
+        m_deps.plan.recordStoreFailure(io::hostNow());
         m_isUnconfirmed = true;
         if (isWaitSuspect)
             rereadFromStore();
         return;
     }
-    m_deps.plan.storeAnswered();
+    m_deps.plan.recordStoreAnswer();
     if (m_isFailing || m_isReading)
         return;
     const bool isNew = !outcome.rows.empty();
@@ -380,7 +380,7 @@
 
 void TableFollower::handleStoreFailure(std::error_code error)
 {
-    m_deps.plan.storeFailed(io::hostNow());
+    m_deps.plan.recordStoreFailure(io::hostNow());
     // Changes may have been missed, so the complete table is read again.
     m_needsAllRows = true;
     m_switchReason = "store-failed";
--- a/src/libbulrushentry/tablefollower.h
+++ b/src/libbulrushentry/tablefollower.h
@@ -156,9 +156,9 @@
 private:
     void begin(ChangeHandler changed, AnswerHandler answered);
     void runNextStep();
-    void execute(const AskStore &step);
-    void execute(const AskReader &step);
-    void execute(const AskLater &step);
+    void execute(const QueryStore &step);
+    void execute(const QueryReader &step);
+    void execute(const RetryLater &step);
     void readAllRows();
     void followStore();
     void handleReaderAnswer(const RowsReader &reader, FollowAnswer answer);
--- a/src/libbulrushio/connection/callerconnection.cpp
+++ b/src/libbulrushio/connection/callerconnection.cpp
@@ -69,11 +69,11 @@
 {
     m_registry = registry;
     m_server = registry->server();
-    m_bufferedBodyLimit = registry->wholeBodyLimit();
+    m_bufferedBodyLimit = registry->bufferedBodyLimit();
     registry->add(this);
 }
 
-std::uint64_t CallerConnection::wholeBodyLimit() const
+std::uint64_t CallerConnection::bufferedBodyLimit() const
 {
     return m_bufferedBodyLimit;
 }
@@ -255,7 +255,7 @@
     m_bufferedBodyLimit = limit;
 }
 
-std::uint64_t CallerRegistry::wholeBodyLimit() const
+std::uint64_t CallerRegistry::bufferedBodyLimit() const
 {
     return m_bufferedBodyLimit;
 }
--- a/src/libbulrushio/connection/callerconnection.h
+++ b/src/libbulrushio/connection/callerconnection.h
@@ -43,7 +43,7 @@
     /**
      * \returns the length up to which request bodies on this connection are buffered completely.
      */
-    std::uint64_t wholeBodyLimit() const;
+    std::uint64_t bufferedBodyLimit() const;
 
     /** Records the result of a read of \a length bytes. */
     void recordRead(std::error_code error, std::size_t length);
@@ -152,7 +152,7 @@
 
     /** Sets the length up to which bodies are buffered completely. \pre no connection was added */
     void setBufferedBodyLimit(std::uint64_t limit);
-    std::uint64_t wholeBodyLimit() const;
+    std::uint64_t bufferedBodyLimit() const;
 
     void add(CallerConnection *connection);
     void remove(CallerConnection *connection);
--- a/src/libbulrushio/connection/callerlink.h
+++ b/src/libbulrushio/connection/callerlink.h
@@ -49,7 +49,7 @@
      * Sets the handler that is called, once, if the caller disconnects before its answer is
      * written.
      */
-    void setGoneHandler(DisconnectHandler handler);
+    void setDisconnectHandler(DisconnectHandler handler);
 
     /** Releases the connection and calls the disconnect handler, if one is set. */
     void notifyDisconnect();
@@ -61,7 +61,7 @@
     DisconnectHandler m_disconnectHandler;
 };
 
-inline void CallerLink::setGoneHandler(DisconnectHandler handler)
+inline void CallerLink::setDisconnectHandler(DisconnectHandler handler)
 {
     m_disconnectHandler = std::move(handler);
 }
--- a/src/libbulrushio/connection/callerserver.cpp
+++ b/src/libbulrushio/connection/callerserver.cpp
@@ -87,7 +87,7 @@
     if (hasLength && parser->content_length > context.m_limits.max_body_size())
         return contentTooLarge;
     const auto expected = context.m_header.opt_value_of(restinio::http_field::expect);
-    if (expected && !isSameField({expected->data(), expected->size()}, "100-continue"))
+    if (expected && !isSameFieldName({expected->data(), expected->size()}, "100-continue"))
         return expectationFailed;
     return 0;
 }
@@ -116,10 +116,10 @@
 }
 
 /** \returns the length up to which bodies on the current connection are buffered completely. */
-std::uint64_t wholeBodyLimit()
+std::uint64_t bufferedBodyLimit()
 {
     const CallerConnection *connection = CallerConnection::current();
-    return connection ? connection->wholeBodyLimit() : smallBodyLimit;
+    return connection ? connection->bufferedBodyLimit() : smallBodyLimit;
 }
 
 int onHeadersComplete(http_parser *parser)
@@ -135,7 +135,7 @@
     if (connection && hasBody && context.m_header.has_field(restinio::http_field::expect))
         connection->sendContinue();
     const bool isSmall =
-        parser->content_length == ULLONG_MAX || parser->content_length <= wholeBodyLimit();
+        parser->content_length == ULLONG_MAX || parser->content_length <= bufferedBodyLimit();
     if (isSmall)
         return restinio::impl::restinio_headers_complete_cb(parser);
     // RESTinio's callback is skipped, as it would reserve memory for the complete body.
@@ -169,12 +169,12 @@
 {
     const std::size_t bufferedBytes = parserContext(parser).m_body.size() + length;
     if (isChunked(parser))
-        return bufferedBytes > wholeBodyLimit()
+        return bufferedBytes > bufferedBodyLimit()
             ? refuse(lengthRequired)
             : restinio::impl::restinio_body_cb(parser, at, length);
     // The parser has already subtracted these bytes from content_length.
     const std::uint64_t bodyLength = parser->content_length + bufferedBytes;
-    if (bodyLength > wholeBodyLimit())
+    if (bodyLength > bufferedBodyLimit())
         return startUpload(parser, bodyLength, {at, length});
     return restinio::impl::restinio_body_cb(parser, at, length);
 }
@@ -301,8 +301,9 @@
 {
     if (!m_handle) {
         if (handler)
-            asio::post(m_connection->socket().get_executor(),
-                       [handler = std::move(handler)] { handler(TransportError::CallerGone); });
+            asio::post(m_connection->socket().get_executor(), [handler = std::move(handler)] {
+                handler(TransportError::CallerDisconnected);
+            });
         return;
     }
     restinio::writable_items_container_t items;
@@ -314,7 +315,7 @@
         if (part != WritePart::More)
             connection->endExchange();
         const std::error_code writeError =
-            error ? make_error_code(TransportError::CallerGone) : std::error_code{};
+            error ? make_error_code(TransportError::CallerDisconnected) : std::error_code{};
         if (handler)
             asio::post(connection->socket().get_executor(),
                        [handler, writeError] { handler(writeError); });
@@ -400,7 +401,7 @@
                                         [this](auto &target) { configure(target); }))
 {
     m_registry->setServer(m_server);
-    m_registry->setBufferedBodyLimit(m_settings.wholeBodyLimit);
+    m_registry->setBufferedBodyLimit(m_settings.bufferedBodyLimit);
 }
 
 std::error_code CallerServer::Impl::listen()
--- a/src/libbulrushio/connection/callerserver.h
+++ b/src/libbulrushio/connection/callerserver.h
@@ -40,7 +40,7 @@
      * Bodies up to this length are buffered completely. The request handler reads longer ones part
      * by part if their length is known in advance; otherwise they are refused.
      */
-    std::uint64_t wholeBodyLimit = smallBodyLimit;
+    std::uint64_t bufferedBodyLimit = smallBodyLimit;
     /** Maximum length of a body. */
     std::uint64_t bodyLimit = std::uint64_t{128} * 1024 * 1024;
     std::size_t urlLimit = std::size_t{8} * 1024;
--- a/src/libbulrushio/connection/curltransfer.cpp
+++ b/src/libbulrushio/connection/curltransfer.cpp
@@ -264,7 +264,7 @@
     std::vector<std::string> lines{"Expect:", "Accept:"};
     bool hasContentType = false;
     for (const HttpHeader &header : m_request.headers) {
-        hasContentType = hasContentType || isSameField(header.name, "Content-Type");
+        hasContentType = hasContentType || isSameFieldName(header.name, "Content-Type");
         lines.push_back(header.value.empty() ? header.name + ';'
                                              : header.name + ": " + header.value);
     }
--- a/src/libbulrushio/connection/httpfield.cpp
+++ b/src/libbulrushio/connection/httpfield.cpp
@@ -28,7 +28,7 @@
 
 } // namespace
 
-bool isSameField(std::string_view left, std::string_view right)
+bool isSameFieldName(std::string_view left, std::string_view right)
 {
     return std::ranges::equal(left, right, {}, toLower, toLower);
 }
@@ -54,7 +54,7 @@
 const HttpHeader *findField(std::span<const HttpHeader> headers, std::string_view name)
 {
     const auto found = std::ranges::find_if(
-        headers, [name](const HttpHeader &header) { return isSameField(header.name, name); });
+        headers, [name](const HttpHeader &header) { return isSameFieldName(header.name, name); });
     return found == headers.end() ? nullptr : &*found;
 }
 
@@ -63,7 +63,7 @@
 {
     std::vector<std::string_view> values;
     for (const HttpHeader &header : headers) {
-        if (isSameField(header.name, name))
+        if (isSameFieldName(header.name, name))
             values.push_back(header.value);
     }
     return values;
@@ -73,7 +73,7 @@
 {
     while (!list.empty()) {
         const std::size_t comma = std::min(list.find(','), list.size());
-        if (isSameField(trimmed(list.substr(0, comma)), item))
+        if (isSameFieldName(trimmed(list.substr(0, comma)), item))
             return true;
         list.remove_prefix(std::min(comma + 1, list.size()));
     }
--- a/src/libbulrushio/connection/httpfield.h
+++ b/src/libbulrushio/connection/httpfield.h
@@ -9,7 +9,7 @@
 namespace bulrush::io {
 
 /** \returns whether two field names are equal, ignoring case. Thread safe. */
-bool isSameField(std::string_view left, std::string_view right);
+bool isSameFieldName(std::string_view left, std::string_view right);
 
 /** \returns whether \a text is a token of RFC 9110, as methods and field names are. Thread safe. */
 bool isToken(std::string_view text);
--- a/src/libbulrushio/connection/httpstatus.cpp
+++ b/src/libbulrushio/connection/httpstatus.cpp
@@ -65,7 +65,7 @@
     return {status, {{"Content-Type", "text/plain"}}, advice + '\n'};
 }
 
-HttpResponse textPage(int status, std::string body)
+HttpResponse plainTextResponse(int status, std::string body)
 {
     return {status, {{"Content-Type", "text/plain; charset=utf-8"}}, std::move(body)};
 }
--- a/src/libbulrushio/connection/httpstatus.h
+++ b/src/libbulrushio/connection/httpstatus.h
@@ -16,6 +16,6 @@
 HttpResponse refusal(int status);
 
 /** \returns an answer with \a body as plain text. Thread safe. */
-HttpResponse textPage(int status, std::string body);
+HttpResponse plainTextResponse(int status, std::string body);
 
 } // namespace bulrush::io
--- a/src/libbulrushio/connection/incomingrequest.cpp
+++ b/src/libbulrushio/connection/incomingrequest.cpp
@@ -18,9 +18,9 @@
     m_link->readBody(std::move(handler));
 }
 
-void IncomingRequest::setGoneHandler(CallerLink::DisconnectHandler handler)
+void IncomingRequest::setDisconnectHandler(CallerLink::DisconnectHandler handler)
 {
-    m_link->setGoneHandler(std::move(handler));
+    m_link->setDisconnectHandler(std::move(handler));
 }
 
 } // namespace bulrush::io
--- a/src/libbulrushio/connection/incomingrequest.h
+++ b/src/libbulrushio/connection/incomingrequest.h
@@ -36,9 +36,9 @@
     const std::string &remoteAddress() const;
 
     /** \returns whether body() is the complete body; otherwise readBody() must be used. */
-    bool isBodyWhole() const;
+    bool isBodyBuffered() const;
 
-    /** \returns the complete body. \pre isBodyWhole() */
+    /** \returns the complete body. \pre isBodyBuffered() */
     const std::string &body() const;
 
     /** \returns the body's length. */
@@ -47,7 +47,7 @@
     /**
      * Reads the next bytes of a body that is not buffered, and passes them to \a handler; no bytes
      * and no error mark its end. Nothing is read from the caller between calls.
-     * \pre !isBodyWhole(), and the previous read has completed
+     * \pre !isBodyBuffered(), and the previous read has completed
      */
     void readBody(CallerLink::BodyHandler handler);
 
@@ -55,7 +55,7 @@
      * Calls \a handler once if the caller closes its connection before its answer is written. The
      * close is not detected while part of the body is still unread.
      */
-    void setGoneHandler(CallerLink::DisconnectHandler handler);
+    void setDisconnectHandler(CallerLink::DisconnectHandler handler);
 
 private:
     RequestHead m_head;
@@ -75,7 +75,7 @@
     return m_remoteAddress;
 }
 
-inline bool IncomingRequest::isBodyWhole() const
+inline bool IncomingRequest::isBodyBuffered() const
 {
     return m_body.size() == m_bodyLength;
 }
--- a/src/libbulrushio/connection/proxyexchange.cpp
+++ b/src/libbulrushio/connection/proxyexchange.cpp
@@ -41,7 +41,7 @@
 
 bool isBulrushField(std::string_view name)
 {
-    return isSameField(name.substr(0, bulrushFieldPrefix.size()), bulrushFieldPrefix);
+    return isSameFieldName(name.substr(0, bulrushFieldPrefix.size()), bulrushFieldPrefix);
 }
 
 std::vector<HttpHeader> endToEndFields(std::span<const HttpHeader> headers, bool keepsBulrushFields)
@@ -49,7 +49,7 @@
     const std::vector<std::string_view> connectionOptions = fieldValues(headers, "Connection");
     const auto isDropped = [&](std::string_view name) {
         const auto isSame = [name](std::string_view other) {
-            return isSameField(name, other);
+            return isSameFieldName(name, other);
         };
         const auto isListed = [name](std::string_view list) {
             return listContains(list, name);
@@ -85,11 +85,11 @@
 
 } // namespace
 
-RanStatement ranStatementOf(std::string_view ran)
+RanStatement parseRanStatement(std::string_view ran)
 {
-    if (isSameField(ran, "yes"))
+    if (isSameFieldName(ran, "yes"))
         return RanStatement::Yes;
-    return isSameField(ran, "no") ? RanStatement::No : RanStatement::Missing;
+    return isSameFieldName(ran, "no") ? RanStatement::No : RanStatement::Missing;
 }
 
 ProxyExchange::ProxyExchange(HttpClient &client, std::shared_ptr<IncomingRequest> request,
@@ -105,14 +105,14 @@
 ProxyExchange::~ProxyExchange()
 {
     if (!m_isFinished)
-        m_request->setGoneHandler(nullptr);
+        m_request->setDisconnectHandler(nullptr);
 }
 
 void ProxyExchange::start()
 {
-    m_request->setGoneHandler([weak = weak_from_this()] {
+    m_request->setDisconnectHandler([weak = weak_from_this()] {
         if (const auto self = weak.lock(); self && self->m_transfer)
-            self->m_transfer->fail(TransportError::CallerGone);
+            self->m_transfer->fail(TransportError::CallerDisconnected);
     });
     m_transfer =
         std::make_unique<StreamTransfer>(m_client, outgoingRequest(), outgoingBody(),
@@ -143,8 +143,8 @@
     m_result.ran = firstFieldValue(head.headers, ranField);
     m_result.reason = firstFieldValue(head.headers, reasonField);
     m_answerHead = std::move(head);
-    const Outcome outcome =
-        outcomeOfAnswer(m_result.status, ranStatementOf(m_result.ran), m_result.reason, Duration{});
+    const Outcome outcome = outcomeOfAnswer(m_result.status, parseRanStatement(m_result.ran),
+                                            m_result.reason, Duration{});
     m_isRefused = !std::holds_alternative<WholeAnswer>(outcome);
     if (m_target.captureLimit > 0)
         m_result.contentType = firstFieldValue(m_answerHead.headers, "Content-Type");
@@ -201,7 +201,7 @@
 
 RequestBody ProxyExchange::outgoingBody() const
 {
-    if (!m_request->isBodyWhole())
+    if (!m_request->isBodyBuffered())
         return StreamedBody{m_request->bodyLength()};
     const std::string &method = m_request->head().method;
     const bool isBodyExpected = method == "POST" || method == "PUT" || method == "PATCH";
@@ -215,7 +215,7 @@
     if (m_isReadingBody || m_isFinished || m_bodyBytesRead == m_request->bodyLength())
         return;
     m_isReadingBody = true;
-    m_result.isBodyIntact = false;
+    m_result.isBodyResendable = false;
     m_request->readBody([weak = weak_from_this()](std::error_code error, const std::string &bytes) {
         if (const auto self = weak.lock())
             self->handleBodyRead(error, bytes);
@@ -259,7 +259,7 @@
 void ProxyExchange::beginAnswer()
 {
     ResponseHead head{m_answerHead.status,
-                      endToEndFields(m_answerHead.headers, m_target.passesOwnFields)};
+                      endToEndFields(m_answerHead.headers, m_target.relaysBulrushFields)};
     m_writer->begin(head, contentLength(m_answerHead.headers));
 }
 
@@ -274,20 +274,20 @@
         const bool announcesGetLength =
             m_request->head().method == "HEAD" || m_result.status == notModified;
         ResponseHead head{m_answerHead.status,
-                          endToEndFields(m_answerHead.headers, m_target.passesOwnFields)};
+                          endToEndFields(m_answerHead.headers, m_target.relaysBulrushFields)};
         m_writer->begin(head, announcesGetLength ? contentLength(m_answerHead.headers) : 0);
         m_writer->finish();
         return;
     }
     m_writer->send({m_answerHead.status,
-                    endToEndFields(m_answerHead.headers, m_target.passesOwnFields),
+                    endToEndFields(m_answerHead.headers, m_target.relaysBulrushFields),
                     std::move(m_bufferedAnswer)});
 }
 
 void ProxyExchange::finish(std::error_code error, TransferStage stage)
 {
     m_isFinished = true;
-    m_request->setGoneHandler(nullptr);
+    m_request->setDisconnectHandler(nullptr);
     m_result.error = error;
     m_result.stage = stage;
     m_result.hasBegunAnswer = m_writer->hasBegun();
--- a/src/libbulrushio/connection/proxyexchange.h
+++ b/src/libbulrushio/connection/proxyexchange.h
@@ -32,13 +32,13 @@
     /** Uses a new connection; required for work that must not run twice. */
     bool isFreshConnection = false;
     /** Relays the answer's X-Bulrush fields. Set if the caller is another daemon. */
-    bool passesOwnFields = false;
+    bool relaysBulrushFields = false;
     /** The answer's body is also stored if it is not longer than this; 0 stores none. */
     std::size_t captureLimit = 0;
 };
 
 /** The result of an exchange. */
-struct ExchangeEnd
+struct ExchangeResult
 {
     /** Clear if, and only if, the complete answer was relayed to the caller. */
     std::error_code error;
@@ -47,7 +47,7 @@
     /** Whether part of an answer was relayed to the caller, so that no other can be sent. */
     bool hasBegunAnswer = false;
     /** Whether the body can be sent again in another exchange. */
-    bool isBodyIntact = true;
+    bool isBodyResendable = true;
     /** Status of the server's answer; 0 if none was received. */
     int status = 0;
     /** Values of the server's X-Bulrush-Ran and X-Bulrush-Reason. */
@@ -61,7 +61,7 @@
 };
 
 /** \returns the meaning of \a ran, the value of an answer's X-Bulrush-Ran. Thread safe. */
-RanStatement ranStatementOf(std::string_view ran);
+RanStatement parseRanStatement(std::string_view ran);
 
 /**
  * Forwards a caller's request to a server and relays the server's answer.
@@ -79,7 +79,7 @@
 class ProxyExchange : public std::enable_shared_from_this<ProxyExchange>
 {
 public:
-    using ResultHandler = std::function<void(const ExchangeEnd &)>;
+    using ResultHandler = std::function<void(const ExchangeResult &)>;
 
     ProxyExchange(HttpClient &client, std::shared_ptr<IncomingRequest> request,
                   std::shared_ptr<ResponseWriter> writer, ProxyTarget target,
@@ -120,7 +120,7 @@
     std::unique_ptr<StreamTransfer> m_transfer;
     ResponseHead m_answerHead;
     std::string m_bufferedAnswer;
-    ExchangeEnd m_result;
+    ExchangeResult m_result;
     std::uint64_t m_bodyBytesRead = 0;
     std::size_t m_peakBufferedBytes = 0;
     std::size_t m_bytesInWrite = 0;
--- a/src/libbulrushio/connection/responsewriter.cpp
+++ b/src/libbulrushio/connection/responsewriter.cpp
@@ -17,9 +17,9 @@
 
 bool isManagedField(const HttpHeader &header)
 {
-    return isSameField(header.name, "Content-Length")
-        || isSameField(header.name, "Transfer-Encoding") || isSameField(header.name, "Connection")
-        || isSameField(header.name, "Keep-Alive");
+    return isSameFieldName(header.name, "Content-Length")
+        || isSameFieldName(header.name, "Transfer-Encoding")
+        || isSameFieldName(header.name, "Connection") || isSameFieldName(header.name, "Keep-Alive");
 }
 
 std::string chunk(std::string_view bytes)
@@ -109,7 +109,7 @@
     if (m_isOver)
         return;
     m_isOver = true;
-    m_link->setGoneHandler(nullptr);
+    m_link->setDisconnectHandler(nullptr);
     m_link->abort();
 }
 
@@ -133,7 +133,7 @@
 void ResponseWriter::writeLast(std::string bytes)
 {
     m_isOver = true;
-    m_link->setGoneHandler(nullptr);
+    m_link->setDisconnectHandler(nullptr);
     const WritePart part = m_isKeptAlive ? WritePart::Last : WritePart::LastAndClose;
     m_link->write(std::move(bytes), part, nullptr);
 }
--- a/src/libbulrushio/connection/servercall.h
+++ b/src/libbulrushio/connection/servercall.h
@@ -37,11 +37,11 @@
      * Time-out from the first byte of the answer to its end. It extends the deadline that timeout
      * sets, and never shortens it.
      */
-    Duration answerWithin = Duration::zero();
+    Duration answerTimeout = Duration::zero();
     /** The call fails unsent if its connection is established only after this time. */
-    Instant sendBy = Instant::max();
+    Instant sendDeadline = Instant::max();
     /** The connection fails if the server's host leaves sent bytes unacknowledged for this long. */
-    Duration acknowledgeWithin = std::chrono::milliseconds{2500};
+    Duration acknowledgeTimeout = std::chrono::milliseconds{2500};
     /**
      * The field of the request that its answer echoes. Answers with another value belong to other
      * requests and are dropped. Empty if answers echo no field.
--- a/src/libbulrushio/connection/serverclient.cpp
+++ b/src/libbulrushio/connection/serverclient.cpp
@@ -45,11 +45,12 @@
     {
         if (connection->isConnected()) {
             if (connectedTargets.insert(target).second)
-                notify(target.second, Link::Made);
+                notify(target.second, ConnectionEvent::Connected);
         } else if (connection->isClosed() && !isConnectedTo(target)) {
             connectedTargets.erase(target);
             if (connection->isLost())
-                notify(target.second, connection->isRefused() ? Link::Refused : Link::Lost);
+                notify(target.second,
+                       connection->isRefused() ? ConnectionEvent::Refused : ConnectionEvent::Lost);
         }
     }
 
@@ -68,10 +69,10 @@
                });
     }
 
-    void notify(const std::string &run, Link link) const
+    void notify(const std::string &run, ConnectionEvent event) const
     {
         if (connectionEventHandler)
-            connectionEventHandler(run, link);
+            connectionEventHandler(run, event);
     }
 };
 
@@ -87,12 +88,12 @@
     m_pool->idle.clear();
 }
 
-void ServerClient::setLinkHandler(ConnectionEventHandler handler)
+void ServerClient::setConnectionEventHandler(ConnectionEventHandler handler)
 {
     m_pool->connectionEventHandler = std::move(handler);
 }
 
-void ServerClient::keepConnected(const ServerCall &like)
+void ServerClient::ensureConnected(const ServerCall &like)
 {
     if (!m_pool->hasConnectionTo({like.server, like.run}))
         createConnection(like.server, like.run)->open(like);
--- a/src/libbulrushio/connection/serverclient.h
+++ b/src/libbulrushio/connection/serverclient.h
@@ -48,13 +48,13 @@
     CallTimes times(CallId id) const;
 
     /** Opens a connection for later calls to the server of \a like, unless there is one already. */
-    void keepConnected(const ServerCall &like);
+    void ensureConnected(const ServerCall &like);
 
     /** A change of the connectivity to a run of a server. */
-    enum class Link {
-        Made,    ///< the first connection was established
-        Lost,    ///< the last connection was lost, or could not be established
-        Refused, ///< the address refuses connections: the run has stopped
+    enum class ConnectionEvent {
+        Connected, ///< the first connection was established
+        Lost,      ///< the last connection was lost, or could not be established
+        Refused,   ///< the address refuses connections: the run has stopped
     };
 
     /**
@@ -62,13 +62,14 @@
      * that connection. A connection does not count as lost if the server closed it as announced, or
      * if the client closed it because a call timed out.
      */
-    using ConnectionEventHandler = std::function<void(const std::string &run, Link link)>;
+    using ConnectionEventHandler =
+        std::function<void(const std::string &run, ConnectionEvent event)>;
 
     /** Sets the handler of connectivity changes. */
-    void setLinkHandler(ConnectionEventHandler handler);
+    void setConnectionEventHandler(ConnectionEventHandler handler);
 
     /** \returns the number of connections opened so far. */
-    std::uint64_t openedCount() const;
+    std::uint64_t openedConnectionCount() const;
 
 private:
     struct Pool;
@@ -84,7 +85,7 @@
     std::uint64_t m_openedCount = 0;
 };
 
-inline std::uint64_t ServerClient::openedCount() const
+inline std::uint64_t ServerClient::openedConnectionCount() const
 {
     return m_openedCount;
 }
--- a/src/libbulrushio/connection/serverconnection.cpp
+++ b/src/libbulrushio/connection/serverconnection.cpp
@@ -88,7 +88,7 @@
     m_isOpening = true;
     m_call.connectTimeout = like.connectTimeout;
     m_call.timeout = like.timeout;
-    m_call.acknowledgeWithin = like.acknowledgeWithin;
+    m_call.acknowledgeTimeout = like.acknowledgeTimeout;
     connect();
 }
 
@@ -140,7 +140,7 @@
         return;
     }
     m_stateHandler(shared_from_this());
-    if (hostNow() > m_call.sendBy)
+    if (hostNow() > m_call.sendDeadline)
         failCall(TransportError::TimedOut);
     else
         write();
@@ -152,7 +152,8 @@
     m_socket.set_option(asio::ip::tcp::no_delay{true}, ignored);
     using std::chrono::duration_cast;
     using std::chrono::milliseconds;
-    const auto acknowledgeTimeoutMs = duration_cast<milliseconds>(m_call.acknowledgeWithin).count();
+    const auto acknowledgeTimeoutMs =
+        duration_cast<milliseconds>(m_call.acknowledgeTimeout).count();
     setSocketOption(m_socket, IPPROTO_TCP, TCP_USER_TIMEOUT,
                     static_cast<int>(acknowledgeTimeoutMs));
     // Closes with a reset, also when the system closes the socket at process exit: bytes that are
@@ -253,8 +254,8 @@
 
 void ServerConnection::handleBytes(std::string_view bytes)
 {
-    if (!m_parser.hasBegun() && m_call.answerWithin > Duration::zero())
-        extendDeadline(hostNow() + m_call.answerWithin);
+    if (!m_parser.hasBegun() && m_call.answerTimeout > Duration::zero())
+        extendDeadline(hostNow() + m_call.answerTimeout);
     while (!bytes.empty()) {
         bytes.remove_prefix(m_parser.feed(bytes));
         if (m_parser.error()) {
--- a/src/libbulrushio/connection/transporterror.cpp
+++ b/src/libbulrushio/connection/transporterror.cpp
@@ -29,7 +29,7 @@
         return "the answer belongs to another request";
     case TransportError::ServerRefused:
         return "the server refused the request before it ran";
-    case TransportError::CallerGone:
+    case TransportError::CallerDisconnected:
         return "the caller closed its connection";
     case TransportError::RequestTruncated:
         return "the caller's request is incomplete";
--- a/src/libbulrushio/connection/transporterror.h
+++ b/src/libbulrushio/connection/transporterror.h
@@ -16,10 +16,10 @@
     AnswerTooLarge,   ///< the answer exceeds the buffer limit
     AnswerMismatched, ///< the answer carries no request id, or that of another request
     ServerRefused,    ///< the server refused the request before it ran
-    CallerGone,       ///< the caller closed its connection before the end
-    RequestTruncated, ///< the caller's request is incomplete
-    ListenFailed,     ///< the listening address is not usable
-    InternalFailure,  ///< the underlying library failed for another reason
+    CallerDisconnected, ///< the caller closed its connection before the end
+    RequestTruncated,   ///< the caller's request is incomplete
+    ListenFailed,       ///< the listening address is not usable
+    InternalFailure,    ///< the underlying library failed for another reason
 };
 
 /** \returns the category of TransportError. Thread safe. */
--- a/src/libbulrushio/connection/uploadlink.cpp
+++ b/src/libbulrushio/connection/uploadlink.cpp
@@ -35,7 +35,7 @@
 {
     m_bodyHandler = std::move(handler);
     if (m_isFinished)
-        postBodyResult(TransportError::CallerGone, {});
+        postBodyResult(TransportError::CallerDisconnected, {});
     else if (!m_firstBytes.empty())
         postBodyResult({}, std::exchange(m_firstBytes, {}));
     else if (m_bytesLeft == 0)
@@ -133,7 +133,7 @@
 {
     if (m_isFinished) {
         asio::post(m_connection->socket().get_executor(), [self = shared_from_this()] {
-            self->handleWritten(TransportError::CallerGone);
+            self->handleWritten(TransportError::CallerDisconnected);
         });
         return;
     }
@@ -145,8 +145,9 @@
     asio::async_write(m_connection->socket(), asio::buffer(m_writes.front().bytes),
                       [self = shared_from_this()](asio::error_code error, std::size_t) {
                           self->m_writeTimer.cancel();
-                          self->handleWritten(error ? make_error_code(TransportError::CallerGone)
-                                                    : std::error_code{});
+                          self->handleWritten(
+                              error ? make_error_code(TransportError::CallerDisconnected)
+                                    : std::error_code{});
                       });
 }
 
--- a/src/libbulrushio/connection/wholebody.cpp
+++ b/src/libbulrushio/connection/wholebody.cpp
@@ -42,9 +42,9 @@
 
 } // namespace
 
-void readWholeBody(const std::shared_ptr<IncomingRequest> &request, CompleteBodyHandler handler)
+void readCompleteBody(const std::shared_ptr<IncomingRequest> &request, CompleteBodyHandler handler)
 {
-    if (request->isBodyWhole())
+    if (request->isBodyBuffered())
         handler({}, request->body());
     else
         std::make_shared<BodyReader>(request, std::move(handler))->readNext();
--- a/src/libbulrushio/connection/wholebody.h
+++ b/src/libbulrushio/connection/wholebody.h
@@ -18,6 +18,6 @@
  * already buffered, the handler is called from within this function. For messages between daemons,
  * whose length is bounded. Must be called on the server's event loop.
  */
-void readWholeBody(const std::shared_ptr<IncomingRequest> &request, CompleteBodyHandler handler);
+void readCompleteBody(const std::shared_ptr<IncomingRequest> &request, CompleteBodyHandler handler);
 
 } // namespace bulrush::io
--- a/src/libbulrushio/process/entrysettingsreader.cpp
+++ b/src/libbulrushio/process/entrysettingsreader.cpp
@@ -25,7 +25,7 @@
     addresses->finish();
 }
 
-void readRetries(YamlFields &fields, RetryTerms &retries)
+void readRetries(YamlFields &fields, RetryAllowance &retries)
 {
     constexpr double maxRatio = 10.0;
     constexpr double maxSlack = 1'000'000.0;
@@ -70,7 +70,7 @@
     return !document.error && document.root.IsMap() && document.root["store"].IsDefined();
 }
 
-EntrySettingsReading readEntrySettings(std::string_view path)
+EntrySettingsResult readEntrySettings(std::string_view path)
 {
     const std::string file{path};
     ConfigReport report;
