--- a/src/libbulrushio/process/entrysettingsreader.h
+++ b/src/libbulrushio/process/entrysettingsreader.h
@@ -9,7 +9,7 @@
 namespace bulrush::io {
 
 /** Result of reading settings. \a settings are valid only if \a error is clear. */
-struct EntrySettingsReading
+struct EntrySettingsResult
 {
     std::error_code error;
     EntrySettings settings;
@@ -27,6 +27,6 @@
  * Reads an entry daemon's settings from the YAML file at \a path and checks every field. Does not
  * throw if the file is invalid. Thread safe.
  */
-EntrySettingsReading readEntrySettings(std::string_view path);
+EntrySettingsResult readEntrySettings(std::string_view path);
 
 } // namespace bulrush::io
--- a/src/libbulrushio/process/jsonreader.cpp
+++ b/src/libbulrushio/process/jsonreader.cpp
@@ -154,14 +154,14 @@
     return json.isObject() && json[name].isBool() && json[name].asBool();
 }
 
-std::string compactText(const Json::Value &json)
+std::string toCompactJson(const Json::Value &json)
 {
     Json::StreamWriterBuilder builder;
     builder["indentation"] = "";
     return Json::writeString(builder, json);
 }
 
-Json::Value parsedJson(const std::string &text)
+Json::Value parseJson(const std::string &text)
 {
     if (!isUtf8(text))
         return {};
--- a/src/libbulrushio/process/jsonreader.h
+++ b/src/libbulrushio/process/jsonreader.h
@@ -38,7 +38,7 @@
     void fail();
 
     /** \returns whether all members read so far were present and valid. */
-    bool isGood() const;
+    bool isValid() const;
 
 private:
     const Json::Value &member(const char *name, Json::ValueType type);
@@ -57,17 +57,17 @@
 bool isTrue(const Json::Value &json, const char *name);
 
 /** \returns \a json serialized on one line, without indentation. */
-std::string compactText(const Json::Value &json);
+std::string toCompactJson(const Json::Value &json);
 
 /** \returns the JSON parsed from \a text, or null if it is not valid JSON or not valid UTF-8. */
-Json::Value parsedJson(const std::string &text);
+Json::Value parseJson(const std::string &text);
 
 inline void JsonReader::fail()
 {
     m_isValid = false;
 }
 
-inline bool JsonReader::isGood() const
+inline bool JsonReader::isValid() const
 {
     return m_isValid;
 }
--- a/src/libbulrushio/process/leasecodec.cpp
+++ b/src/libbulrushio/process/leasecodec.cpp
@@ -17,8 +17,8 @@
 {
     Json::Value json{Json::objectValue};
     json["service"] = piece.service.value();
-    json["begin"] = hexOfHash(piece.range.begin);
-    json["end"] = hexOfHash(piece.range.end);
+    json["begin"] = hashToHex(piece.range.begin);
+    json["end"] = hashToHex(piece.range.end);
     return json;
 }
 
@@ -26,8 +26,8 @@
 {
     SlicePiece piece;
     piece.service = ServiceName{reader.text("service")};
-    const auto begin = hashOfHex(reader.text("begin"));
-    const auto end = hashOfHex(reader.text("end"));
+    const auto begin = hashFromHex(reader.text("begin"));
+    const auto end = hashFromHex(reader.text("end"));
     if (!begin || !end || *begin > *end) {
         reader.fail();
         return piece;
@@ -69,7 +69,7 @@
     for (const Json::Value &entry : reader.list(name)) {
         JsonReader entryReader{entry};
         result.push_back(read(entryReader));
-        if (!entryReader.isGood())
+        if (!entryReader.isValid())
             reader.fail();
     }
     return result;
@@ -150,7 +150,7 @@
     request.heldRights = reader.fence("heldRights");
     request.stopReports = decodeList(reader, "stopReports", decodeReport);
     request.lostServers = readServerNames(reader, "lostServers");
-    if (!reader.isGood())
+    if (!reader.isValid())
         return std::nullopt;
     return request;
 }
@@ -180,7 +180,7 @@
         reply.rights = RightsReplaced{decodeList(reader, "rights", decodeRight),
                                       decodeList(reader, "stops", decodeStop)};
     }
-    if (!reader.isGood())
+    if (!reader.isValid())
         return std::nullopt;
     return reply;
 }
@@ -207,7 +207,7 @@
     order.server = ServerName{reader.text("server")};
     order.through = Incarnation{reader.text("through")};
     order.slices = decodeSlices(reader);
-    if (!reader.isGood())
+    if (!reader.isValid())
         return std::nullopt;
     return order;
 }
--- a/src/libbulrushio/process/logging.cpp
+++ b/src/libbulrushio/process/logging.cpp
@@ -142,7 +142,7 @@
     return std::to_string(std::chrono::duration_cast<std::chrono::milliseconds>(span).count());
 }
 
-std::uint64_t droppedLogLines()
+std::uint64_t droppedLogLineCount()
 {
     return droppedLineCount.load(std::memory_order_relaxed);
 }
--- a/src/libbulrushio/process/logging.h
+++ b/src/libbulrushio/process/logging.h
@@ -39,6 +39,6 @@
 void logEvent(LogLevel level, std::string_view event, const std::vector<LogField> &fields = {});
 
 /** \returns the number of log lines dropped since the start. Thread safe. */
-std::uint64_t droppedLogLines();
+std::uint64_t droppedLogLineCount();
 
 } // namespace bulrush::io
--- a/src/libbulrushio/process/platformclient.cpp
+++ b/src/libbulrushio/process/platformclient.cpp
@@ -46,7 +46,7 @@
     HttpRequest call = request("POST", "/table/transact", encodeTransaction(transaction));
     call.isFreshConnection = true;
     return m_fetch(std::move(call), [transaction, handler](const HttpResult &result) {
-        handler(transactOutcomeFrom(transaction, result));
+        handler(decodeTransactOutcome(transaction, result));
     });
 }
 
@@ -65,7 +65,7 @@
 {
     HttpRequest call = request("POST", "/table/read", encodeRead(ids));
     return m_fetch(std::move(call), [ids = std::move(ids), handler](const HttpResult &result) {
-        handler(readRowsFrom(ids, result));
+        handler(decodeReadResult(ids, result));
     });
 }
 
@@ -96,7 +96,7 @@
 PlatformClient::TransferId PlatformClient::hosts(const HostsHandler &handler)
 {
     return m_fetch(request("GET", "/hosts", {}),
-                   [handler](const HttpResult &result) { handler(hostsFrom(result)); });
+                   [handler](const HttpResult &result) { handler(decodeHosts(result)); });
 }
 
 HttpRequest PlatformClient::request(std::string_view method, std::string_view path,
--- a/src/libbulrushio/process/platformhosts.cpp
+++ b/src/libbulrushio/process/platformhosts.cpp
@@ -40,7 +40,7 @@
     host.name = reader.text("name");
     host.domain = reader.text("domain");
     host.address = reader.text("address");
-    if (!reader.isGood() || !kind || !state)
+    if (!reader.isValid() || !kind || !state)
         return std::nullopt;
 
     host.kind = *kind;
@@ -50,14 +50,14 @@
 
 } // namespace
 
-HostsResult hostsFrom(const HttpResult &result)
+HostsResult decodeHosts(const HttpResult &result)
 {
     HostsResult hosts;
     hosts.error = platformErrorOf(result);
     if (hosts.error)
         return hosts;
 
-    const Json::Value body = parsedJson(result.response.body);
+    const Json::Value body = parseJson(result.response.body);
     JsonReader reader{body};
     hosts.age = std::chrono::milliseconds{reader.number("ageMs")};
     for (const Json::Value &entry : reader.list("hosts")) {
@@ -66,7 +66,7 @@
         else
             ++hosts.ignoredCount;
     }
-    if (!reader.isGood())
+    if (!reader.isValid())
         return {PlatformError::BadAnswer, {}, {}, 0};
 
     return hosts;
--- a/src/libbulrushio/process/platformhosts.h
+++ b/src/libbulrushio/process/platformhosts.h
@@ -38,6 +38,6 @@
 };
 
 /** \returns the list of hosts in an answer to `GET /hosts`. Thread safe. */
-HostsResult hostsFrom(const HttpResult &result);
+HostsResult decodeHosts(const HttpResult &result);
 
 } // namespace bulrush::io
--- a/src/libbulrushio/process/platformtable.cpp
+++ b/src/libbulrushio/process/platformtable.cpp
@@ -62,7 +62,7 @@
 
 } // namespace
 
-Json::Value markedValue(Json::Value value, const Transaction &transaction)
+Json::Value withTransactionMark(Json::Value value, const Transaction &transaction)
 {
     if (value.isObject())
         value[markMember] = markOf(transaction);
@@ -84,11 +84,11 @@
     };
     // All writes take effect atomically, so one written row proves that all took effect.
     if (std::ranges::any_of(rows, isWrittenByTransaction))
-        return SettledMine{std::move(rows)};
+        return SettledCommitted{std::move(rows)};
 
     switch (evidenceOf(transaction, rows)) {
     case RowEvidence::OtherWroteFirst:
-        return SettledOther{std::move(rows)};
+        return SettledSuperseded{std::move(rows)};
     case RowEvidence::OverwrittenRepeatedly:
         return SettledUndecidable{std::move(rows)};
     case RowEvidence::None:
--- a/src/libbulrushio/process/platformtable.h
+++ b/src/libbulrushio/process/platformtable.h
@@ -99,13 +99,13 @@
 // Results of reading the rows of a transaction whose outcome was Unknown.
 
 /** The transaction took effect: at least one row still has the value that it wrote. */
-struct SettledMine
+struct SettledCommitted
 {
     std::vector<TableRow> rows;
 };
 
 /** Another transaction wrote first, so this one had no effect and cannot take effect any more. */
-struct SettledOther
+struct SettledSuperseded
 {
     std::vector<TableRow> rows;
 };
@@ -130,10 +130,11 @@
  * only until the rows are deleted. Code that deletes rows that may be created again must ensure
  * that no creation is in flight.
  */
-using Settlement = std::variant<SettledMine, SettledOther, SettledUndecidable, StillUnknown>;
+using Settlement =
+    std::variant<SettledCommitted, SettledSuperseded, SettledUndecidable, StillUnknown>;
 
 /** \returns \a value with the mark of \a transaction added if it is an object. Thread safe. */
-Json::Value markedValue(Json::Value value, const Transaction &transaction);
+Json::Value withTransactionMark(Json::Value value, const Transaction &transaction);
 
 /** \returns whether \a transaction was the last to write \a row. Thread safe. */
 bool isWrittenBy(const TableRow &row, const Transaction &transaction);
--- a/src/libbulrushio/process/platformtablecodec.cpp
+++ b/src/libbulrushio/process/platformtablecodec.cpp
@@ -32,7 +32,7 @@
     TableRow row;
     row.id = {reader.text("table"), reader.text("key")};
     row.version = reader.number("version");
-    if (!reader.isGood() || !json.isMember("value"))
+    if (!reader.isValid() || !json.isMember("value"))
         return std::nullopt;
 
     row.value = json["value"];
@@ -77,7 +77,7 @@
     JsonReader reader{body};
     const bool isCommitted = reader.flag("committed");
     auto rows = decodeRows(reader.list("conflicts"));
-    if (!reader.isGood() || isCommitted || !rows || rows->empty())
+    if (!reader.isValid() || isCommitted || !rows || rows->empty())
         return Unknown{PlatformError::BadAnswer};
 
     const auto isWrittenByTransaction = [&transaction](const TableRow &row) {
@@ -117,10 +117,10 @@
     body["writes"] = Json::Value{Json::arrayValue};
     for (const RowWrite &write : transaction.writes) {
         Json::Value entry = encodeRowId(write.id);
-        entry["value"] = markedValue(write.value, transaction);
+        entry["value"] = withTransactionMark(write.value, transaction);
         body["writes"].append(std::move(entry));
     }
-    return compactText(body);
+    return toCompactJson(body);
 }
 
 std::string encodeRead(std::span<const RowId> ids)
@@ -129,7 +129,7 @@
     body["keys"] = Json::Value{Json::arrayValue};
     for (const RowId &id : ids)
         body["keys"].append(encodeRowId(id));
-    return compactText(body);
+    return toCompactJson(body);
 }
 
 std::string encodeScan(std::string_view table, std::string_view prefix, std::string_view after,
@@ -140,10 +140,10 @@
     body["prefix"] = std::string{prefix};
     body["after"] = std::string{after};
     body["limit"] = Json::Value{Json::UInt64{limit}};
-    return compactText(body);
+    return toCompactJson(body);
 }
 
-TransactOutcome transactOutcomeFrom(const Transaction &transaction, const HttpResult &result)
+TransactOutcome decodeTransactOutcome(const Transaction &transaction, const HttpResult &result)
 {
     if (result.error) {
         const std::error_code failure = transportErrorOf(result);
@@ -153,9 +153,9 @@
     }
     switch (result.response.status) {
     case statusOk:
-        return decodeCommitted(transaction, parsedJson(result.response.body));
+        return decodeCommitted(transaction, parseJson(result.response.body));
     case statusConflict:
-        return decodeConflict(transaction, parsedJson(result.response.body));
+        return decodeConflict(transaction, parseJson(result.response.body));
     case statusBadRequest:
         return Refused{PlatformError::Rejected};
     default:
@@ -163,7 +163,7 @@
     }
 }
 
-RowsResult readRowsFrom(std::span<const RowId> ids, const HttpResult &result)
+RowsResult decodeReadResult(std::span<const RowId> ids, const HttpResult &result)
 {
     RowsResult read = decodeScanResult(result);
     if (!read.error && !std::ranges::equal(read.rows, ids, {}, &TableRow::id))
@@ -177,7 +177,7 @@
     if (const std::error_code failure = platformErrorOf(result))
         return {failure, {}};
 
-    const Json::Value body = parsedJson(result.response.body);
+    const Json::Value body = parseJson(result.response.body);
     auto rows = body.isObject() ? decodeRows(body["rows"]) : std::nullopt;
     if (!rows)
         return {PlatformError::BadAnswer, {}};
--- a/src/libbulrushio/process/platformtablecodec.h
+++ b/src/libbulrushio/process/platformtablecodec.h
@@ -31,10 +31,10 @@
  * \returns the outcome of an attempt to send \a transaction, derived from the HTTP \a result. The
  * outcome is Unknown if the effect is not certain. Thread safe.
  */
-TransactOutcome transactOutcomeFrom(const Transaction &transaction, const HttpResult &result);
+TransactOutcome decodeTransactOutcome(const Transaction &transaction, const HttpResult &result);
 
 /** \returns the rows in the answer to a read of \a ids, in the order of \a ids. Thread safe. */
-RowsResult readRowsFrom(std::span<const RowId> ids, const HttpResult &result);
+RowsResult decodeReadResult(std::span<const RowId> ids, const HttpResult &result);
 
 /** \returns the rows in the answer to a scan. Thread safe. */
 RowsResult decodeScanResult(const HttpResult &result);
--- a/src/libbulrushio/process/scalartype.cpp
+++ b/src/libbulrushio/process/scalartype.cpp
@@ -10,7 +10,7 @@
 
 namespace bulrush::io {
 
-constinit const std::string_view allowedName =
+constinit const std::string_view validNameDescription =
     "a name of 1 to 63 lower-case letters, digits and hyphens, a letter or digit first";
 
 namespace {
@@ -132,7 +132,7 @@
 
 } // namespace
 
-bool isName(std::string_view text)
+bool isValidName(std::string_view text)
 {
     constexpr std::size_t maxNameLength = 63;
     return !text.empty() && text.size() <= maxNameLength && text.front() != '-'
--- a/src/libbulrushio/process/scalartype.h
+++ b/src/libbulrushio/process/scalartype.h
@@ -33,11 +33,11 @@
     T value;
 };
 
-/** \returns whether \a text is a valid name, as described by allowedName. Thread safe. */
-bool isName(std::string_view text);
+/** \returns whether \a text is a valid name, as described by validNameDescription. Thread safe. */
+bool isValidName(std::string_view text);
 
 /** Description of a valid name, for ScalarType::allowed. */
-extern const std::string_view allowedName;
+extern const std::string_view validNameDescription;
 
 /** An integer from \a minimum to \a maximum. */
 ScalarType<std::uint64_t> wholeNumber(std::uint64_t minimum, std::uint64_t maximum);
@@ -76,11 +76,11 @@
 ScalarType<Id> identifier()
 {
     const auto parse = [](std::string_view text) -> std::optional<Id> {
-        if (!isName(text))
+        if (!isValidName(text))
             return std::nullopt;
         return Id{std::string{text}};
     };
-    return {parse, std::string{allowedName}};
+    return {parse, std::string{validNameDescription}};
 }
 
 /** One of the texts of \a choices. */
--- a/src/libbulrushio/process/settingsreader.cpp
+++ b/src/libbulrushio/process/settingsreader.cpp
@@ -33,7 +33,7 @@
         , m_fields(m_report, {}, {m_path, 1})
     { }
 
-    SettingsReading parse();
+    SettingsResult parse();
 
 private:
     std::error_code mergeFiles();
@@ -52,7 +52,7 @@
     DaemonSettings m_settings;
 };
 
-SettingsReading SettingsParser::parse()
+SettingsResult SettingsParser::parse()
 {
     const std::error_code failure = mergeFiles();
     if (failure)
@@ -189,7 +189,7 @@
 
 } // namespace
 
-SettingsReading readSettings(std::string_view path)
+SettingsResult readSettings(std::string_view path)
 {
     return SettingsParser{std::string{path}}.parse();
 }
--- a/src/libbulrushio/process/settingsreader.h
+++ b/src/libbulrushio/process/settingsreader.h
@@ -9,7 +9,7 @@
 namespace bulrush::io {
 
 /** Result of reading settings. \a settings are valid only if \a error is clear. */
-struct SettingsReading
+struct SettingsResult
 {
     std::error_code error;
     DaemonSettings settings;
@@ -21,6 +21,6 @@
  * Reads a daemon's settings from the YAML file at \a path and the files that it includes, and
  * checks every field. Does not throw if a file is invalid. Thread safe.
  */
-SettingsReading readSettings(std::string_view path);
+SettingsResult readSettings(std::string_view path);
 
 } // namespace bulrush::io
--- a/src/libbulrushio/process/sharecodec.cpp
+++ b/src/libbulrushio/process/sharecodec.cpp
@@ -40,7 +40,7 @@
     limit.demand.inUse = readAmount(fields, json, "inUse");
     limit.held = readAmount(fields, json, "held");
     limit.demand.acknowledged = fields.fence("acknowledged");
-    if (!fields.isGood())
+    if (!fields.isValid())
         reader.fail();
     return limit;
 }
@@ -62,7 +62,7 @@
     grant.sequence = fields.fence("sequence");
     grant.amount = readAmount(fields, json, "amount");
     grant.length = fields.span("lengthNs");
-    if (!fields.isGood())
+    if (!fields.isValid())
         reader.fail();
     return grant;
 }
@@ -95,11 +95,11 @@
         demand.organisation = OrganisationName{fields.text("organisation")};
         demand.rate = decodeDemand(fields, "rate");
         demand.concurrency = decodeDemand(fields, "concurrency");
-        if (!fields.isGood())
+        if (!fields.isValid())
             return std::nullopt;
         request.organisations.push_back(std::move(demand));
     }
-    if (!reader.isGood())
+    if (!reader.isValid())
         return std::nullopt;
     return request;
 }
@@ -130,11 +130,11 @@
         grant.organisation = OrganisationName{fields.text("organisation")};
         grant.rate = decodeGrant(fields, "rate");
         grant.concurrency = decodeGrant(fields, "concurrency");
-        if (!fields.isGood())
+        if (!fields.isValid())
             return std::nullopt;
         reply.organisations.push_back(std::move(grant));
     }
-    if (!reader.isGood())
+    if (!reader.isValid())
         return std::nullopt;
     return reply;
 }
--- a/src/libbulrushio/process/stewardcodec.cpp
+++ b/src/libbulrushio/process/stewardcodec.cpp
@@ -27,7 +27,7 @@
         JsonReader reader{entry};
         candidates.push_back({Incarnation{reader.text("incarnation")},
                               DomainName{reader.text("domain")}, reader.text("address")});
-        if (!reader.isGood())
+        if (!reader.isValid())
             row.fail();
     }
     return candidates;
@@ -82,13 +82,13 @@
     row.successor = Incarnation{reader.text("successor")};
     row.writer = Incarnation{reader.text("writer")};
     row.writeId = StewardWriteId{reader.text("writeId")};
-    if (!reader.isGood())
+    if (!reader.isValid())
         return std::nullopt;
     return row;
 }
 
-Json::Value encodePromiseQuestion(const DomainName &domain, const Incarnation &from,
-                                  const AskPromise &question)
+Json::Value encodePromiseRequest(const DomainName &domain, const Incarnation &from,
+                                 const AskPromise &question)
 {
     Json::Value json{Json::objectValue};
     json["domain"] = domain.value();
@@ -100,12 +100,12 @@
     return json;
 }
 
-std::optional<PromiseAsked> decodePromiseQuestion(const Json::Value &json)
+std::optional<PromiseAsked> decodePromiseRequest(const Json::Value &json)
 {
     JsonReader reader{json};
     const PromiseAsked question{Incarnation{reader.text("from")}, reader.number("epoch"),
                                 reader.span("lengthNs"), reader.number("askId")};
-    if (!reader.isGood())
+    if (!reader.isValid())
         return std::nullopt;
     return question;
 }
@@ -126,7 +126,7 @@
     JsonReader reader{json};
     const PromiseReleased release{reader.number("epoch"), reader.number("askId"),
                                   reader.span("lengthNs")};
-    if (!reader.isGood())
+    if (!reader.isValid())
         return std::nullopt;
     return release;
 }
@@ -150,7 +150,7 @@
 
     const PromiseAnswered answer{Incarnation{reader.text("from")}, reader.number("epoch"),
                                  reader.number("askId"), *verdict};
-    if (!reader.isGood())
+    if (!reader.isValid())
         return std::nullopt;
     return answer;
 }
--- a/src/libbulrushio/process/stewardcodec.h
+++ b/src/libbulrushio/process/stewardcodec.h
@@ -17,11 +17,11 @@
 std::optional<StewardRow> decodeStewardRow(const Json::Value &json);
 
 /** \returns a promise request encoded as the parameters of a remote call. */
-Json::Value encodePromiseQuestion(const DomainName &domain, const Incarnation &from,
-                                  const AskPromise &question);
+Json::Value encodePromiseRequest(const DomainName &domain, const Incarnation &from,
+                                 const AskPromise &question);
 
 /** \returns the promise request in \a json, or nothing if it is invalid. */
-std::optional<PromiseAsked> decodePromiseQuestion(const Json::Value &json);
+std::optional<PromiseAsked> decodePromiseRequest(const Json::Value &json);
 
 /** \returns \a answer encoded as the result of a remote call. */
 Json::Value encodePromiseAnswer(const PromiseAnswered &answer);
--- a/src/libbulrushio/version/assignmentcodec.cpp
+++ b/src/libbulrushio/version/assignmentcodec.cpp
@@ -63,7 +63,7 @@
 
 } // namespace
 
-std::string hexOfHash(KeyHash hash)
+std::string hashToHex(KeyHash hash)
 {
     std::array<char, hashDigits> digits{};
     const auto end = std::to_chars(digits.data(), digits.data() + digits.size(), hash, hexBase).ptr;
@@ -72,7 +72,7 @@
     return std::string(hashDigits - significant.size(), '0').append(significant);
 }
 
-std::optional<KeyHash> hashOfHex(std::string_view digits)
+std::optional<KeyHash> hashFromHex(std::string_view digits)
 {
     KeyHash hash = 0;
     const char *const end = digits.data() + digits.size();
@@ -101,8 +101,8 @@
 {
     Json::Value json{Json::objectValue};
     json["service"] = owner.service.value();
-    json["begin"] = hexOfHash(owner.range.begin);
-    json["end"] = hexOfHash(owner.range.end);
+    json["begin"] = hashToHex(owner.range.begin);
+    json["end"] = hashToHex(owner.range.end);
     json["server"] = owner.server.value();
     json["fence"] = encodeFence(owner.fence);
     return json;
@@ -114,8 +114,8 @@
         || !hasString(json, "end"))
         return std::nullopt;
 
-    const auto begin = hashOfHex(json["begin"].asString());
-    const auto end = hashOfHex(json["end"].asString());
+    const auto begin = hashFromHex(json["begin"].asString());
+    const auto end = hashFromHex(json["end"].asString());
     const auto fence = decodeFence(json["fence"]);
     if (!begin || !end || !fence || *begin > *end)
         return std::nullopt;
--- a/src/libbulrushio/version/assignmentcodec.h
+++ b/src/libbulrushio/version/assignmentcodec.h
@@ -11,10 +11,10 @@
 namespace bulrush::io {
 
 /** \returns \a hash as 16 hexadecimal digits, the format of the backend servers' interface. */
-std::string hexOfHash(KeyHash hash);
+std::string hashToHex(KeyHash hash);
 
 /** \returns the hash of 16 hexadecimal digits, or nothing if \a digits are anything else. */
-std::optional<KeyHash> hashOfHex(std::string_view digits);
+std::optional<KeyHash> hashFromHex(std::string_view digits);
 
 /** \returns \a fence as an object with the members "epoch" and "sequence". */
 Json::Value encodeFence(const Fence &fence);
--- a/src/libbulrushio/version/contractreader.cpp
+++ b/src/libbulrushio/version/contractreader.cpp
@@ -62,8 +62,8 @@
         : m_name(std::move(name))
     { }
 
-    ContractReading parse(std::string_view text);
-    ContractReading unreadableResult(std::error_code error);
+    ContractResult parse(std::string_view text);
+    ContractResult unreadableResult(std::error_code error);
 
 private:
     void readAll(YamlFields &fields);
@@ -78,7 +78,7 @@
     Contract m_contract;
 };
 
-ContractReading ContractParser::parse(std::string_view text)
+ContractResult ContractParser::parse(std::string_view text)
 {
     const YamlDocument document = parseYaml(text, m_name, m_report);
     if (document.error)
@@ -94,7 +94,7 @@
     return {{}, std::move(m_contract), {}};
 }
 
-ContractReading ContractParser::unreadableResult(std::error_code error)
+ContractResult ContractParser::unreadableResult(std::error_code error)
 {
     m_report.add({m_name, 1}, {}, error.message());
     return {error, {}, m_report.sorted()};
@@ -211,12 +211,12 @@
 
 } // namespace
 
-ContractReading readContract(std::string_view text, std::string_view name)
+ContractResult readContract(std::string_view text, std::string_view name)
 {
     return ContractParser{std::string{name}}.parse(text);
 }
 
-ContractReading readContractFile(std::string_view path)
+ContractResult readContractFile(std::string_view path)
 {
     const FileText file = readTextFile(path);
     if (file.error)
--- a/src/libbulrushio/version/contractreader.h
+++ b/src/libbulrushio/version/contractreader.h
@@ -9,7 +9,7 @@
 namespace bulrush::io {
 
 /** Result of reading a contract. \a contract is valid only if \a error is clear. */
-struct ContractReading
+struct ContractResult
 {
     std::error_code error;
     Contract contract;
@@ -21,9 +21,9 @@
  * Reads a contract from YAML \a text and validates it. Problems give \a name as their file. Used by
  * both the daemon and bulrushctl. Does not throw if the text is invalid. Thread safe.
  */
-ContractReading readContract(std::string_view text, std::string_view name);
+ContractResult readContract(std::string_view text, std::string_view name);
 
 /** Reads a contract from the file at \a path. Thread safe. */
-ContractReading readContractFile(std::string_view path);
+ContractResult readContractFile(std::string_view path);
 
 } // namespace bulrush::io
--- a/src/libbulrushio/version/crashrowcodec.cpp
+++ b/src/libbulrushio/version/crashrowcodec.cpp
@@ -41,7 +41,7 @@
     JsonReader reader{json};
     CrashReport report{readRequest(reader), ServerName{reader.text("server")},
                        readServerNames(reader, "after")};
-    if (!reader.isGood())
+    if (!reader.isValid())
         return std::nullopt;
     return report;
 }
@@ -50,7 +50,7 @@
 {
     JsonReader reader{json};
     CrashRetraction retraction{readRequest(reader), readServerNames(reader, "servers")};
-    if (!reader.isGood())
+    if (!reader.isValid())
         return std::nullopt;
     return retraction;
 }
@@ -68,12 +68,12 @@
     Json::Value json;
     json["reports"] = std::move(reports);
     json["retractions"] = std::move(retractions);
-    return compactText(json);
+    return toCompactJson(json);
 }
 
 std::optional<CrashRow> decodeCrashRow(std::string_view text)
 {
-    const Json::Value json = parsedJson(std::string{text});
+    const Json::Value json = parseJson(std::string{text});
     JsonReader reader{json};
     CrashRow row;
     for (const Json::Value &entry : reader.list("reports")) {
@@ -88,7 +88,7 @@
             return std::nullopt;
         row.retractions.push_back(std::move(*retraction));
     }
-    if (!reader.isGood())
+    if (!reader.isValid())
         return std::nullopt;
     return row;
 }
--- a/src/libbulrushio/version/keyassignmentcodec.cpp
+++ b/src/libbulrushio/version/keyassignmentcodec.cpp
@@ -103,12 +103,12 @@
     json["sequence"] = Json::UInt64{assignment.sequence};
     json["servers"] = servers.names();
     json["ranges"] = std::move(ranges);
-    return compactText(json);
+    return toCompactJson(json);
 }
 
 std::optional<KeyAssignment> decodeAssignment(std::string_view text)
 {
-    const Json::Value json = parsedJson(std::string{text});
+    const Json::Value json = parseJson(std::string{text});
     JsonReader reader{json};
     KeyAssignment assignment;
     assignment.service = ServiceName{reader.text("service")};
@@ -120,7 +120,7 @@
             return std::nullopt;
         assignment.ranges.push_back(std::move(*owned));
     }
-    if (!reader.isGood() || !isWellFormed(assignment))
+    if (!reader.isValid() || !isWellFormed(assignment))
         return std::nullopt;
     return assignment;
 }
@@ -131,19 +131,19 @@
     json["holder"] = row.holder.value();
     json["address"] = toString(row.address);
     json["renewals"] = Json::UInt64{row.renewals};
-    return compactText(json);
+    return toCompactJson(json);
 }
 
 std::optional<PlannerRow> decodePlannerRow(std::string_view text)
 {
-    const Json::Value json = parsedJson(std::string{text});
+    const Json::Value json = parseJson(std::string{text});
     JsonReader reader{json};
     PlannerRow row;
     row.holder = Incarnation{reader.text("holder")};
     row.renewals = reader.number("renewals");
     const std::optional<Endpoint> address =
         endpoint(PortZero::Refused).parse(reader.text("address"));
-    if (!reader.isGood() || !address)
+    if (!reader.isValid() || !address)
         return std::nullopt;
     row.address = *address;
     return row;
--- a/src/libbulrushio/version/loadreportcodec.cpp
+++ b/src/libbulrushio/version/loadreportcodec.cpp
@@ -36,7 +36,7 @@
 
 KeyHash decodeHash(JsonReader &reader, const char *name)
 {
-    const auto hash = hashOfHex(reader.text(name));
+    const auto hash = hashFromHex(reader.text(name));
     if (!hash)
         reader.fail();
     return hash.value_or(0);
@@ -49,7 +49,7 @@
         const SliceRange range{decodeHash(entry, "begin"), decodeHash(entry, "end")};
         const double load = decodeLoad(entry);
         const bool isAfter = slices.empty() || slices.back().range.end < range.begin;
-        if (!entry.isGood() || !isAfter || range.end < range.begin)
+        if (!entry.isValid() || !isAfter || range.end < range.begin)
             reader.fail();
         slices.push_back({range, load});
     }
@@ -60,7 +60,7 @@
     for (const Json::Value &json : reader.list("hotKeys")) {
         JsonReader entry{json};
         const KeyLoad key{decodeHash(entry, "key"), decodeLoad(entry)};
-        if (!entry.isGood() || (!keys.empty() && keys.back().key >= key.key))
+        if (!entry.isValid() || (!keys.empty() && keys.back().key >= key.key))
             reader.fail();
         keys.push_back(key);
     }
@@ -74,15 +74,15 @@
     json["slices"] = Json::Value{Json::arrayValue};
     for (const SliceLoad &slice : report.slices) {
         Json::Value entry{Json::objectValue};
-        entry["begin"] = hexOfHash(slice.range.begin);
-        entry["end"] = hexOfHash(slice.range.end);
+        entry["begin"] = hashToHex(slice.range.begin);
+        entry["end"] = hashToHex(slice.range.end);
         entry["milliLoad"] = encodeLoad(slice.load);
         json["slices"].append(std::move(entry));
     }
     json["hotKeys"] = Json::Value{Json::arrayValue};
     for (const KeyLoad &key : report.hotKeys) {
         Json::Value entry{Json::objectValue};
-        entry["key"] = hexOfHash(key.key);
+        entry["key"] = hashToHex(key.key);
         entry["milliLoad"] = encodeLoad(key.load);
         json["hotKeys"].append(std::move(entry));
     }
@@ -92,15 +92,15 @@
 std::optional<LoadReport> decodeLoadReport(const Json::Value &json)
 {
     JsonReader reader{json};
-    const bool isBounded = reader.list("slices").size() <= maximumReportedSlices
-        && reader.list("hotKeys").size() <= maximumReportedKeys;
+    const bool isBounded = reader.list("slices").size() <= maxReportedSlices
+        && reader.list("hotKeys").size() <= maxReportedKeys;
     if (!isBounded)
         return std::nullopt;
 
     LoadReport report;
     decodeSlices(reader, report.slices);
     decodeKeys(reader, report.hotKeys);
-    if (!reader.isGood())
+    if (!reader.isValid())
         return std::nullopt;
     return report;
 }
--- a/src/libbulrushio/version/loadreportcodec.h
+++ b/src/libbulrushio/version/loadreportcodec.h
@@ -12,10 +12,10 @@
 namespace bulrush::io {
 
 /** Maximum number of slices in a load report between daemons. */
-constexpr std::size_t maximumReportedSlices = 256;
+constexpr std::size_t maxReportedSlices = 256;
 
 /** Maximum number of hot keys in a load report between daemons. */
-constexpr std::size_t maximumReportedKeys = 64;
+constexpr std::size_t maxReportedKeys = 64;
 
 /**
  * \returns \a report as JSON. Loads are rounded to thousandths of a request per second. Thread
--- a/src/libbulrushio/version/loadsamplecodec.cpp
+++ b/src/libbulrushio/version/loadsamplecodec.cpp
@@ -28,7 +28,7 @@
 Json::Value jsonOf(const LoadSample &sample)
 {
     Json::Value keys{Json::arrayValue};
-    for (const KeyPlace place : sample.keys)
+    for (const KeyPosition place : sample.keys)
         keys.append(place);
     Json::Value work{Json::arrayValue};
     for (const ServerWork &entry : sample.work)
@@ -48,7 +48,7 @@
     work.server = ServerName{reader.text("server")};
     work.meanTime = std::chrono::microseconds{reader.number("us")};
     const std::uint64_t count = reader.number("count");
-    if (!reader.isGood() || count > std::numeric_limits<std::uint32_t>::max())
+    if (!reader.isValid() || count > std::numeric_limits<std::uint32_t>::max())
         return std::nullopt;
     work.count = static_cast<std::uint32_t>(count);
     return work;
@@ -60,7 +60,7 @@
     LoadSample sample;
     sample.service = ServiceName{reader.text("service")};
     for (const Json::Value &key : reader.list("keys")) {
-        if (!key.isUInt() || key.asUInt() >= keyPlaces)
+        if (!key.isUInt() || key.asUInt() >= keyPositionCount)
             return std::nullopt;
         sample.keys.push_back(key.asUInt());
     }
@@ -71,7 +71,7 @@
         sample.work.push_back(std::move(*work));
     }
     sample.ended = readServerNames(reader, "ended");
-    if (!reader.isGood())
+    if (!reader.isValid())
         return std::nullopt;
     return sample;
 }
@@ -85,12 +85,12 @@
         list.append(jsonOf(sample));
     Json::Value json;
     json["samples"] = std::move(list);
-    return compactText(json);
+    return toCompactJson(json);
 }
 
 std::optional<std::vector<LoadSample>> decodeLoadSamples(std::string_view text)
 {
-    const Json::Value json = parsedJson(std::string{text});
+    const Json::Value json = parseJson(std::string{text});
     JsonReader reader{json};
     std::vector<LoadSample> samples;
     for (const Json::Value &entry : reader.list("samples")) {
@@ -99,7 +99,7 @@
             return std::nullopt;
         samples.push_back(std::move(*sample));
     }
-    if (!reader.isGood())
+    if (!reader.isValid())
         return std::nullopt;
     return samples;
 }
@@ -112,12 +112,12 @@
         for (const KeyShare &share : serviceShares.shares)
             keys[std::to_string(share.key)] = share.share;
     }
-    return compactText(json);
+    return toCompactJson(json);
 }
 
 std::optional<std::vector<KeyShares>> decodeKeyShares(std::string_view text)
 {
-    const Json::Value json = parsedJson(std::string{text});
+    const Json::Value json = parseJson(std::string{text});
     if (!json.isObject())
         return std::nullopt;
     std::vector<KeyShares> all;
@@ -127,10 +127,10 @@
         KeyShares serviceShares{ServiceName{service}, {}};
         for (const std::string &name : json[service].getMemberNames()) {
             const Json::Value &share = json[service][name];
-            const auto key = wholeNumber(0, keyPlaces - 1).parse(name);
+            const auto key = wholeNumber(0, keyPositionCount - 1).parse(name);
             if (!key || !share.isNumeric() || !(share.asDouble() >= 0.0 && share.asDouble() <= 1.0))
                 return std::nullopt;
-            serviceShares.shares.push_back({static_cast<KeyPlace>(*key), share.asDouble()});
+            serviceShares.shares.push_back({static_cast<KeyPosition>(*key), share.asDouble()});
         }
         all.push_back(std::move(serviceShares));
     }
--- a/src/libbulrushio/version/renewalcodec.cpp
+++ b/src/libbulrushio/version/renewalcodec.cpp
@@ -9,7 +9,7 @@
 
 namespace bulrush::io {
 
-std::string encodeQuestion(const RenewalQuestion &question)
+std::string encodeRenewalQuery(const RenewalQuery &question)
 {
     Json::Value json;
     json["service"] = question.service.value();
@@ -18,28 +18,28 @@
         json["version"] = Json::UInt64{question.version};
     }
     json["servers"] = jsonOf(question.servers);
-    return compactText(json);
+    return toCompactJson(json);
 }
 
-std::optional<RenewalQuestion> decodeQuestion(std::string_view text)
+std::optional<RenewalQuery> decodeRenewalQuery(std::string_view text)
 {
-    const Json::Value json = parsedJson(std::string{text});
+    const Json::Value json = parseJson(std::string{text});
     JsonReader reader{json};
-    RenewalQuestion question;
+    RenewalQuery question;
     question.service = ServiceName{reader.text("service")};
-    if (reader.isGood() && json.isMember("assignment")) {
+    if (reader.isValid() && json.isMember("assignment")) {
         question.assignment = decodeAssignment(reader.text("assignment"));
         question.version = reader.number("version");
         if (!question.assignment || question.assignment->service != question.service)
             return std::nullopt;
     }
     question.servers = readServerNames(reader, "servers");
-    if (!reader.isGood())
+    if (!reader.isValid())
         return std::nullopt;
     return question;
 }
 
-std::string encodeAnswer(const RenewerAnswer &answer)
+std::string encodeRenewalAnswer(const RenewerAnswer &answer)
 {
     Json::Value grants{Json::arrayValue};
     for (const auto &[server, ago] : answer.lastGrantAgo) {
@@ -54,12 +54,12 @@
     json["service"] = answer.service.value();
     json["sequence"] = Json::UInt64{answer.sequence};
     json["grants"] = std::move(grants);
-    return compactText(json);
+    return toCompactJson(json);
 }
 
-std::optional<RenewerAnswer> decodeAnswer(std::string_view text)
+std::optional<RenewerAnswer> decodeRenewalAnswer(std::string_view text)
 {
-    const Json::Value json = parsedJson(std::string{text});
+    const Json::Value json = parseJson(std::string{text});
     JsonReader reader{json};
     RenewerAnswer answer;
     answer.host = HostName{reader.text("host")};
@@ -70,10 +70,10 @@
         JsonReader grant{entry};
         const ServerName server{grant.text("server")};
         answer.lastGrantAgo[server] = grant.span("ago");
-        if (!grant.isGood())
+        if (!grant.isValid())
             return std::nullopt;
     }
-    if (!reader.isGood())
+    if (!reader.isValid())
         return std::nullopt;
     return answer;
 }
@@ -85,17 +85,17 @@
     json["address"] = toString(row.address);
     json["domain"] = row.domain.value();
     json["processors"] = row.processors;
-    return compactText(json);
+    return toCompactJson(json);
 }
 
 std::optional<DaemonRow> decodeDaemonRow(std::string_view text)
 {
-    const Json::Value json = parsedJson(std::string{text});
+    const Json::Value json = parseJson(std::string{text});
     JsonReader reader{json};
     DaemonRow row;
     row.incarnation = Incarnation{reader.text("incarnation")};
     const auto address = endpoint(PortZero::Refused).parse(reader.text("address"));
-    if (!reader.isGood() || !address)
+    if (!reader.isValid() || !address)
         return std::nullopt;
     row.address = *address;
     // Rows of older daemon versions have no domain. No other daemon follows the writer of such a
--- a/src/libbulrushio/version/renewalcodec.h
+++ b/src/libbulrushio/version/renewalcodec.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "process/renewerbook.h"
+#include "process/renewerregistry.h"
 #include "version/keyassignment.h"
 
 #include <cstdint>
@@ -12,7 +12,7 @@
 namespace bulrush::io {
 
 /** A planner's query to a daemon about the grants of a service. */
-struct RenewalQuestion
+struct RenewalQuery
 {
     ServiceName service;
     /**
@@ -27,16 +27,16 @@
 };
 
 /** \returns \a question encoded as JSON text. Thread safe. */
-std::string encodeQuestion(const RenewalQuestion &question);
+std::string encodeRenewalQuery(const RenewalQuery &question);
 
 /** \returns the query in \a text, or nothing if it is invalid. Thread safe. */
-std::optional<RenewalQuestion> decodeQuestion(std::string_view text);
+std::optional<RenewalQuery> decodeRenewalQuery(std::string_view text);
 
 /** \returns \a answer encoded as JSON text. Thread safe. */
-std::string encodeAnswer(const RenewerAnswer &answer);
+std::string encodeRenewalAnswer(const RenewerAnswer &answer);
 
 /** \returns the answer in \a text, or nothing if it is invalid. Thread safe. */
-std::optional<RenewerAnswer> decodeAnswer(std::string_view text);
+std::optional<RenewerAnswer> decodeRenewalAnswer(std::string_view text);
 
 /** \returns \a row encoded as JSON text. Thread safe. */
 std::string encodeDaemonRow(const DaemonRow &row);
--- a/tests/assignmentcodec/test_assignmentcodec.cpp
+++ b/tests/assignmentcodec/test_assignmentcodec.cpp
@@ -31,7 +31,7 @@
 BOOST_AUTO_TEST_CASE(overlapsAndMissingFieldsAreRefused)
 {
     Json::Value overlapping = encodeAssignment(sample());
-    overlapping["slices"][0]["end"] = hexOfHash(100);
+    overlapping["slices"][0]["end"] = hashToHex(100);
     BOOST_TEST(!decodeAssignment(overlapping).has_value());
 
     Json::Value unfenced = encodeAssignment(sample());
@@ -42,8 +42,8 @@
 
 BOOST_AUTO_TEST_CASE(hashesAreSixteenHexDigits)
 {
-    BOOST_TEST(hexOfHash(255) == "00000000000000ff");
-    BOOST_TEST(hashOfHex("00000000000000ff").value() == 255U);
-    BOOST_TEST(!hashOfHex("ff").has_value());
-    BOOST_TEST(!hashOfHex("00000000000000fg").has_value());
+    BOOST_TEST(hashToHex(255) == "00000000000000ff");
+    BOOST_TEST(hashFromHex("00000000000000ff").value() == 255U);
+    BOOST_TEST(!hashFromHex("ff").has_value());
+    BOOST_TEST(!hashFromHex("00000000000000fg").has_value());
 }
--- a/tests/callerserver/test_callerserver.cpp
+++ b/tests/callerserver/test_callerserver.cpp
@@ -232,7 +232,7 @@
     std::string body;
     std::error_code failure;
     handle = [&](Exchange &exchange) {
-        BOOST_TEST(!exchange.request->isBodyWhole());
+        BOOST_TEST(!exchange.request->isBodyBuffered());
         readAll(exchange, body, failure);
     };
     serve();
@@ -377,7 +377,7 @@
 {
     int disconnects = 0;
     handle = [&](Exchange &exchange) {
-        exchange.request->setGoneHandler([&disconnects] { ++disconnects; });
+        exchange.request->setDisconnectHandler([&disconnects] { ++disconnects; });
     };
     serve();
     RawCaller caller{loop, server->port(), get};
@@ -391,7 +391,7 @@
     exchanges[0].writer->write("hello",
                                [&writeError](std::error_code error) { writeError = error; });
     runUntil([&] { return static_cast<bool>(writeError); });
-    BOOST_TEST(writeError == make_error_code(TransportError::CallerGone));
+    BOOST_TEST(writeError == make_error_code(TransportError::CallerDisconnected));
 }
 
 BOOST_FIXTURE_TEST_CASE(reportsCallerDisconnectAfterUpload, Fixture)
@@ -399,7 +399,7 @@
     int disconnects = 0;
     std::string body;
     handle = [&](Exchange &exchange) {
-        exchange.request->setGoneHandler([&disconnects] { ++disconnects; });
+        exchange.request->setDisconnectHandler([&disconnects] { ++disconnects; });
         auto read = std::make_shared<std::function<void()>>();
         *read = [&body, request = exchange.request, weak = std::weak_ptr{read}, read] {
             request->readBody([&body, read](std::error_code, const std::string &bytes) {
--- a/tests/callerserver/test_proxyexchange.cpp
+++ b/tests/callerserver/test_proxyexchange.cpp
@@ -31,7 +31,7 @@
     std::shared_ptr<IncomingRequest> request;
     std::shared_ptr<ResponseWriter> writer;
     std::shared_ptr<ProxyExchange> exchange;
-    std::optional<ExchangeEnd> exchangeResult;
+    std::optional<ExchangeResult> exchangeResult;
     CallerServer server{loop, {}, [this](auto incoming, auto outgoing) {
                             request = std::move(incoming);
                             writer = std::move(outgoing);
@@ -48,7 +48,7 @@
     void start()
     {
         exchange = std::make_shared<ProxyExchange>(client, request, writer, target,
-                                                   [this](const ExchangeEnd &result) {
+                                                   [this](const ExchangeResult &result) {
                                                        exchangeResult = result;
                                                        if (!exchangeResult->hasBegunAnswer)
                                                            writer->send({502, {}, "failed"});
@@ -143,7 +143,7 @@
 
 BOOST_FIXTURE_TEST_CASE(relaysBulrushFieldsToOtherDaemons, Fixture)
 {
-    target.passesOwnFields = true;
+    target.relaysBulrushFields = true;
     const std::string answer = relay(get, answering(answerText("hi")));
     BOOST_TEST(answer.find(bulrushFields) != std::string::npos);
 }
@@ -240,7 +240,7 @@
     RawCaller caller{loop, server.port(), post(200'000) + std::string(200'000, 'x')};
     runUntil([&] { return caller.isClosed() && exchangeResult.has_value(); });
     checkResult(TransportError::ConnectionFailed, TransferStage::NotConnected, false);
-    BOOST_TEST(exchangeResult->isBodyIntact);
+    BOOST_TEST(exchangeResult->isBodyResendable);
     BOOST_TEST(caller.status() == 502);
 }
 
@@ -270,7 +270,7 @@
     runUntil([&] { return hasBegun; });
     caller.close();
     runUntil([&] { return hasClosed && exchangeResult.has_value(); });
-    checkResult(TransportError::CallerGone, TransferStage::Sent, false);
+    checkResult(TransportError::CallerDisconnected, TransferStage::Sent, false);
 }
 
 BOOST_FIXTURE_TEST_CASE(truncatedUploadNeverLooksComplete, Fixture)
@@ -293,7 +293,7 @@
     runUntil([&] { return hasClosed && exchangeResult.has_value(); });
     checkResult(TransportError::RequestTruncated, TransferStage::Sending, false);
     BOOST_TEST(received < 200'000u);
-    BOOST_TEST(!exchangeResult->isBodyIntact);
+    BOOST_TEST(!exchangeResult->isBodyResendable);
 }
 
 BOOST_FIXTURE_TEST_CASE(buffersOfLargeTransfersAreBounded, Fixture)
@@ -367,7 +367,7 @@
     BOOST_TEST(!exchangeResult.has_value());
     caller.close();
     runUntil([&] { return exchangeResult.has_value(); });
-    checkResult(TransportError::CallerGone, TransferStage::Sent, true);
+    checkResult(TransportError::CallerDisconnected, TransferStage::Sent, true);
 }
 
 BOOST_FIXTURE_TEST_CASE(slowServerThrottlesCaller, Fixture)
@@ -391,5 +391,5 @@
     openSocket->close();
     runUntil([&] { return exchangeResult.has_value(); });
     checkResult(TransportError::ConnectionLost, TransferStage::Sending, false);
-    BOOST_TEST(!exchangeResult->isBodyIntact);
+    BOOST_TEST(!exchangeResult->isBodyResendable);
 }
--- a/tests/crashes/test_crashledger.cpp
+++ b/tests/crashes/test_crashledger.cpp
@@ -1,6 +1,6 @@
 #define BOOST_TEST_MODULE CrashLedgers
 
-#include "process/crashledger.h"
+#include "process/crashregistry.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -28,12 +28,12 @@
     Daemons()
     {
         for (const HostName &host : hosts) {
-            registries.emplace(host, CrashLedger{host});
-            registries.at(host).rowsSeen();
+            registries.emplace(host, CrashRegistry{host});
+            registries.at(host).markRowsComplete();
         }
     }
 
-    CrashLedger &at(std::size_t index)
+    CrashRegistry &at(std::size_t index)
     {
         return registries.at(hosts[index]);
     }
@@ -43,7 +43,7 @@
                      const ServerName &crashed)
     {
         const Quarantine quarantine = quarantineAt(index);
-        const auto after = quarantine.endedUnder(request);
+        const auto after = quarantine.crashedServers(request);
         const CrashReport report{request, crashed, {after.begin(), after.end()}};
         at(index).reported({&report, 1}, now);
         replicate();
@@ -59,16 +59,16 @@
     void replicate()
     {
         for (auto &[host, registry] : registries) {
-            const auto write = registry.dueWrite(now);
+            const auto write = registry.startDueWrite(now);
             if (!write)
                 continue;
             ++writes;
             rows[host] = {++version, write->row};
-            registry.written(RowWriteEnd::Done, version, now);
+            registry.handleWriteResult(RowWriteResult::Done, version, now);
         }
         for (auto &[host, registry] : registries) {
             for (const auto &[writer, row] : rows)
-                registry.rowSeen(writer, row.first, row.second, now);
+                registry.applyRow(writer, row.first, row.second, now);
         }
     }
 
@@ -80,7 +80,7 @@
 
     Quarantine quarantineAt(std::size_t index)
     {
-        if (const auto next = at(index).changed(now))
+        if (const auto next = at(index).takeUpdate(now))
             quarantines[index] = *next;
         return quarantines[index];
     }
@@ -98,7 +98,7 @@
     }
 
     Instant now{100s};
-    std::map<HostName, CrashLedger> registries;
+    std::map<HostName, CrashRegistry> registries;
     std::map<HostName, std::pair<std::uint64_t, CrashRow>> rows;
     std::map<std::size_t, Quarantine> quarantines;
     std::uint64_t version = 0;
@@ -140,7 +140,7 @@
     for (int i = 1; i <= 6; ++i) {
         reportCrash(0, good, server(i));
         answerRequest(1, good);
-        advance(CrashLedger::maxPublishDelay);
+        advance(CrashRegistry::maxPublishDelay);
     }
     BOOST_TEST(!isBlockedAnywhere(good));
 }
@@ -151,10 +151,10 @@
     // After one crash nothing is published: most requests that a crash interrupts succeed later.
     const int before = writes;
     answerRequest(1, good);
-    advance(CrashLedger::maxPublishDelay);
+    advance(CrashRegistry::maxPublishDelay);
     BOOST_TEST(writes == before);
     reportCrash(1, good, server(2));
-    BOOST_TEST(quarantineAt(0).endedUnder(good).size() == 1U);
+    BOOST_TEST(quarantineAt(0).crashedServers(good).size() == 1U);
 }
 
 BOOST_FIXTURE_TEST_CASE(lateAnswerLiftsBlock, Daemons)
@@ -164,7 +164,7 @@
     reportCrash(2, good, server(3));
     BOOST_TEST(isBlockedEverywhere(good));
     answerRequest(1, good);
-    advance(CrashLedger::maxPublishDelay);
+    advance(CrashRegistry::maxPublishDelay);
     BOOST_TEST(!isBlockedAnywhere(good));
 }
 
@@ -185,12 +185,12 @@
     for (int i = 1; i <= 3; ++i)
         reportCrash(0, bad, server(i));
     for (const HostName &host : hosts)
-        registries.at(host) = CrashLedger{host};
+        registries.at(host) = CrashRegistry{host};
     quarantines.clear();
     replicate();
     BOOST_TEST(isBlockedEverywhere(bad));
     for (const HostName &host : hosts)
-        registries.at(host).rowsSeen();
+        registries.at(host).markRowsComplete();
     // The next write keeps the reports of the earlier run.
     reportCrash(0, good, server(4));
     BOOST_TEST(isBlockedEverywhere(bad));
@@ -199,11 +199,11 @@
 BOOST_FIXTURE_TEST_CASE(reportsBeforeOwnRowIsReceivedAreMergedIntoRow, Daemons)
 {
     reportCrash(0, bad, server(1));
-    at(0) = CrashLedger{hosts[0]};
+    at(0) = CrashRegistry{hosts[0]};
     const CrashReport report{good, server(2), {}};
     at(0).reported({&report, 1}, now);
     replicate();
-    at(0).rowsSeen();
+    at(0).markRowsComplete();
     replicate();
     BOOST_TEST(rows.at(hosts[0]).second.reports.size() == 2U);
 }
@@ -211,19 +211,19 @@
 BOOST_FIXTURE_TEST_CASE(removedOrInvalidRowIsRewritten, Daemons)
 {
     reportCrash(0, bad, server(1));
-    at(0).rowSeen(hosts[0], ++version, std::nullopt, now);
+    at(0).applyRow(hosts[0], ++version, std::nullopt, now);
     const CrashReport second{bad, server(2), {}};
     at(0).reported({&second, 1}, now);
-    const auto firstWrite = at(0).dueWrite(now);
+    const auto firstWrite = at(0).startDueWrite(now);
     BOOST_REQUIRE(firstWrite.has_value());
     BOOST_TEST(firstWrite->expectedVersion == 0U);
-    at(0).written(RowWriteEnd::Done, ++version, now);
+    at(0).handleWriteResult(RowWriteResult::Done, ++version, now);
     // A row version from before the write is ignored.
-    at(0).rowSeen(hosts[0], version - 1, std::nullopt, now);
-    at(0).rowSeen(hosts[0], ++version, CrashRow{}, now);
+    at(0).applyRow(hosts[0], version - 1, std::nullopt, now);
+    at(0).applyRow(hosts[0], ++version, CrashRow{}, now);
     const CrashReport third{bad, server(3), {}};
     at(0).reported({&third, 1}, now);
-    const auto again = at(0).dueWrite(now);
+    const auto again = at(0).startDueWrite(now);
     BOOST_REQUIRE(again.has_value());
     BOOST_TEST(again->expectedVersion == version);
     BOOST_TEST(again->row.reports.size() == 3U);
@@ -233,7 +233,7 @@
 {
     for (int i = 1; i <= 3; ++i)
         reportCrash(1, bad, server(i));
-    advance(CrashLedger::reportRetention - 1s);
+    advance(CrashRegistry::reportRetention - 1s);
     BOOST_TEST(isBlockedEverywhere(bad));
     advance(2s);
     BOOST_TEST(!isBlockedAnywhere(bad));
@@ -245,7 +245,7 @@
     for (int i = 1; i <= 3; ++i)
         reportCrash(1, bad, server(i));
     registries.erase(hosts[1]);
-    advance(CrashLedger::reportRetention + 1s);
+    advance(CrashRegistry::reportRetention + 1s);
     BOOST_TEST(!quarantineAt(0).blocks(bad));
     BOOST_TEST(!quarantineAt(2).blocks(bad));
 }
@@ -268,31 +268,31 @@
         const RequestFingerprint other{{"GET", "shop.example", "/" + std::to_string(i), ""}};
         reportCrash(1, other, server(3));
     }
-    BOOST_TEST(rows.at(hosts[1]).second.reports.size() == CrashLedger::maxReports);
+    BOOST_TEST(rows.at(hosts[1]).second.reports.size() == CrashRegistry::maxReports);
     reportCrash(2, bad, server(4));
     BOOST_TEST(isBlockedEverywhere(bad));
 }
 
 BOOST_AUTO_TEST_CASE(failedWriteIsRetriedAfterBackoff)
 {
-    CrashLedger registry{hosts[0]};
+    CrashRegistry registry{hosts[0]};
     const Instant now{100s};
     const CrashReport report{bad, server(1), {}};
     registry.reported({&report, 1}, now);
     // No write before the own row is received: it would lose the reports of an earlier run.
-    BOOST_TEST(!registry.dueWrite(now).has_value());
-    registry.rowsSeen();
-    BOOST_TEST(registry.dueWrite(now).has_value());
-    BOOST_TEST(!registry.dueWrite(now).has_value());
-    registry.written(RowWriteEnd::Refused, 0, now);
-    BOOST_TEST(!registry.dueWrite(now).has_value());
-    const auto again = registry.dueWrite(now + CrashLedger::minWriteBackoff);
+    BOOST_TEST(!registry.startDueWrite(now).has_value());
+    registry.markRowsComplete();
+    BOOST_TEST(registry.startDueWrite(now).has_value());
+    BOOST_TEST(!registry.startDueWrite(now).has_value());
+    registry.handleWriteResult(RowWriteResult::Refused, 0, now);
+    BOOST_TEST(!registry.startDueWrite(now).has_value());
+    const auto again = registry.startDueWrite(now + CrashRegistry::minWriteBackoff);
     BOOST_REQUIRE(again.has_value());
     BOOST_TEST(again->row.reports.size() == 1U);
-    registry.written(RowWriteEnd::Unknown, 0, now);
+    registry.handleWriteResult(RowWriteResult::Unknown, 0, now);
     // The write with the unknown result was executed.
-    registry.rowSeen(hosts[0], 7, again->row, now);
-    const auto third = registry.dueWrite(now + 10s);
+    registry.applyRow(hosts[0], 7, again->row, now);
+    const auto third = registry.startDueWrite(now + 10s);
     BOOST_REQUIRE(third.has_value());
     BOOST_TEST(third->expectedVersion == 7U);
 }
@@ -301,9 +301,9 @@
 {
     at(0).setDaemons(hosts);
     reportCrash(0, bad, server(1));
-    BOOST_TEST((at(0).changed(now) != nullptr));
+    BOOST_TEST((at(0).takeUpdate(now) != nullptr));
     at(0).setDaemons(hosts);
-    BOOST_TEST((at(0).changed(now) == nullptr));
+    BOOST_TEST((at(0).takeUpdate(now) == nullptr));
     at(0).setDaemons({hosts[0], hosts[1]});
-    BOOST_TEST((at(0).changed(now) != nullptr));
+    BOOST_TEST((at(0).takeUpdate(now) != nullptr));
 }
--- a/tests/crashes/test_crashwatch.cpp
+++ b/tests/crashes/test_crashwatch.cpp
@@ -30,9 +30,9 @@
     CrashWatch watch;
     const Instant now{10s};
     BOOST_TEST(!watch.lost(reportOf(1), CrashWatch::Loss::Broke, now).has_value());
-    BOOST_TEST(watch.takeLook(server, now));
-    BOOST_TEST(!watch.takeLook(server, now + 500ms));
-    BOOST_TEST(watch.takeLook(server, now + 1s));
+    BOOST_TEST(watch.startLivenessCheck(server, now));
+    BOOST_TEST(!watch.startLivenessCheck(server, now + 500ms));
+    BOOST_TEST(watch.startLivenessCheck(server, now + 1s));
     watch.forget(now + CrashWatch::requestRetention + 1ms);
     BOOST_TEST(watch.serverEnded(server, now + CrashWatch::requestRetention + 1ms).empty());
 }
@@ -53,7 +53,7 @@
     CrashWatch watch;
     const Instant now{10s};
     watch.lost(reportOf(1), CrashWatch::Loss::Abandoned, now);
-    BOOST_TEST(watch.doubted().empty());
+    BOOST_TEST(watch.suspectedServers().empty());
     BOOST_TEST(watch.serverEnded(server, now + 1s).size() == 1U);
 }
 
--- a/tests/crashes/test_crashworld.cpp
+++ b/tests/crashes/test_crashworld.cpp
@@ -1,7 +1,7 @@
 #define BOOST_TEST_MODULE CrashWorlds
 
-#include "process/crashledger.h"
-#include "process/requestpassage.h"
+#include "process/crashregistry.h"
+#include "process/requestadmission.h"
 
 #include <boost/test/data/test_case.hpp>
 #include <boost/test/unit_test.hpp>
@@ -43,7 +43,7 @@
         { }
 
         HostName name;
-        CrashLedger registry;
+        CrashRegistry registry;
         Quarantine quarantine;
         AnsweredRequests answeredRequests{Instant{100s}};
         /** Last received version of each row, by writer. */
@@ -81,7 +81,7 @@
         for (std::size_t i = 0; i < hostCount; ++i) {
             hosts.emplace_back(HostName{"h" + std::to_string(i)});
             hosts.back().receivedVersions.resize(hostCount);
-            hosts.back().registry.rowsSeen();
+            hosts.back().registry.markRowsComplete();
         }
         for (Host &host : hosts)
             host.registry.setDaemons(names());
@@ -98,10 +98,10 @@
     bool isHeldBack(const RequestFingerprint &request, std::size_t index) const
     {
         const Host &host = hosts[index];
-        const RequestPassage admission =
-            passageOf(request, host.quarantine, host.answeredRequests, now);
-        if (admission != RequestPassage::OneAtATime)
-            return admission != RequestPassage::Free;
+        const RequestAdmission admission =
+            admissionOf(request, host.quarantine, host.answeredRequests, now);
+        if (admission != RequestAdmission::OneAtATime)
+            return admission != RequestAdmission::Unrestricted;
         return std::ranges::any_of(inFlight, [&](const Work &work) {
             return work.host == index && work.request == request;
         });
@@ -135,7 +135,7 @@
             ++refused[request];
             return;
         }
-        const auto after = hosts[host].quarantine.endedUnder(request);
+        const auto after = hosts[host].quarantine.crashedServers(request);
         if (attempt > 1 && !after.empty())
             return;
         const std::size_t server = randomIndex(servers.size());
@@ -200,12 +200,12 @@
     void advance(std::size_t index)
     {
         Host &host = hosts[index];
-        if (const auto write = host.registry.dueWrite(now)) {
+        if (const auto write = host.registry.startDueWrite(now)) {
             rows[index] = {++version, write->row, now};
-            host.registry.written(RowWriteEnd::Done, version, now);
+            host.registry.handleWriteResult(RowWriteResult::Done, version, now);
             ++writes;
         }
-        if (const auto update = host.registry.changed(now))
+        if (const auto update = host.registry.takeUpdate(now))
             host.quarantine = *update;
     }
 
@@ -218,7 +218,7 @@
                 || now < row.writtenAt + propagationDelay(from, index))
                 continue;
             host.receivedVersions[from] = row.version;
-            host.registry.rowSeen(hosts[from].name, row.version, row.row, now);
+            host.registry.applyRow(hosts[from].name, row.version, row.row, now);
         }
         advance(index);
     }
@@ -226,15 +226,15 @@
     void restart(std::size_t index)
     {
         Host &host = hosts[index];
-        host.registry = CrashLedger{host.name};
+        host.registry = CrashRegistry{host.name};
         host.registry.setDaemons(names());
         host.answeredRequests = AnsweredRequests{now};
         for (std::size_t from = 0; from < rows.size(); ++from) {
             host.receivedVersions[from] = rows[from].version;
             if (rows[from].version > 0)
-                host.registry.rowSeen(hosts[from].name, rows[from].version, rows[from].row, now);
+                host.registry.applyRow(hosts[from].name, rows[from].version, rows[from].row, now);
         }
-        host.registry.rowsSeen();
+        host.registry.markRowsComplete();
         host.quarantine = {};
         advance(index);
     }
@@ -366,8 +366,8 @@
     Simulation simulation{size.hosts, size.servers, 1};
     simulation.simulate(60s, 400ms, true);
     for (const Simulation::Row &row : simulation.rows) {
-        BOOST_TEST(row.row.reports.size() <= CrashLedger::maxReports);
-        BOOST_TEST(row.row.retractions.size() <= CrashLedger::maxRetractions);
+        BOOST_TEST(row.row.reports.size() <= CrashRegistry::maxReports);
+        BOOST_TEST(row.row.retractions.size() <= CrashRegistry::maxRetractions);
     }
     BOOST_TEST_MESSAGE(size.hosts << " daemons: " << simulation.writes << " writes in 60 s");
 }
--- a/tests/entryfleet/test_entryanswers.cpp
+++ b/tests/entryfleet/test_entryanswers.cpp
@@ -201,7 +201,7 @@
     BOOST_TEST(heads == 2);
 }
 
-BOOST_AUTO_TEST_CASE(theAnswerOfAServerThatFailedIsDeliveredIfNoOtherDoesBetter)
+BOOST_AUTO_TEST_CASE(failedAnswerIsDeliveredIfNoOtherServerSucceeds)
 {
     std::atomic<int> heads = 0;
     ScriptedFleet fleet{[&heads](Socket &socket, int) -> asio::awaitable<void> {
@@ -227,7 +227,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(aRequestThatFoundNoConnectionByItsDeadlineHasNotRun)
+BOOST_AUTO_TEST_CASE(requestWithoutAConnectionByItsDeadlineHasNotRun)
 {
     // A listener that accepts no connection: its backlog of one is full.
     asio::io_context loop;
@@ -254,7 +254,7 @@
     BOOST_TEST((std::chrono::steady_clock::now() - start < 1s));
 }
 
-BOOST_AUTO_TEST_CASE(whatIsRefusedWhileServersAreFullAndSpoilAnswersHasNotRun)
+BOOST_AUTO_TEST_CASE(requestsRejectedByFullAndFaultyServersHaveNotRun)
 {
     EntryFleet fleet{{"a1", "b1"}};
     fleet.writeConfig();
--- a/tests/entryfleet/test_entrycallers.cpp
+++ b/tests/entryfleet/test_entrycallers.cpp
@@ -39,7 +39,7 @@
 
 } // namespace
 
-BOOST_FIXTURE_TEST_CASE(readsSentBeforeTheFirstIsAnsweredRunAtOnceAndAreAnsweredInOrder, PairFleet)
+BOOST_FIXTURE_TEST_CASE(pipelinedReadsRunConcurrentlyAndAreAnsweredInOrder, PairFleet)
 {
     // Two at a time, the eight reads would take a second. Their owners run twelve at once.
     for (const std::string id : {"c1", "c2", "c3", "c4"}) {
@@ -68,7 +68,7 @@
     }
 }
 
-BOOST_FIXTURE_TEST_CASE(whatIsSentBehindARequestThatEndsTheConnectionIsNotRun, PairFleet)
+BOOST_FIXTURE_TEST_CASE(requestsAfterConnectionCloseAreNotRun, PairFleet)
 {
     RawConnection closing{callersAddress("a1")};
     std::string last = readOf("last", 3);
@@ -81,7 +81,7 @@
         BOOST_TEST(run.request != "behind");
 }
 
-BOOST_FIXTURE_TEST_CASE(readsThatWereTakenAreAnsweredThroughAShutdown, PairFleet)
+BOOST_FIXTURE_TEST_CASE(acceptedReadsAreAnsweredDuringAShutdown, PairFleet)
 {
     RawConnection caller{callersAddress("a1")};
     std::string requests;
@@ -97,7 +97,7 @@
     }
 }
 
-BOOST_FIXTURE_TEST_CASE(retriesOfAServiceStayWithinWhatItsOwnRequestsAllow, PairFleet)
+BOOST_FIXTURE_TEST_CASE(retriesOfAServiceStayWithinItsOwnBudget, PairFleet)
 {
     constexpr int reads = 120;
     for (int i = 0; i < reads; ++i) {
@@ -144,7 +144,7 @@
     BOOST_TEST(repeated > 0);
 }
 
-BOOST_AUTO_TEST_CASE(theWorkOfACallerThatLeftIsGivenUpAtOnce)
+BOOST_AUTO_TEST_CASE(requestOfADisconnectedCallerIsCancelledAtOnce)
 {
     std::atomic<std::int64_t> startedAt = 0;
     std::atomic<std::int64_t> endedAt = 0;
@@ -173,7 +173,7 @@
     BOOST_TEST((Clock::duration{endedAt - disconnectedAt} < 500ms));
 }
 
-BOOST_FIXTURE_TEST_CASE(callersThatSendByHalvesHoldNobodyBack, PairFleet)
+BOOST_FIXTURE_TEST_CASE(callersWithPartialRequestsDoNotBlockOthers, PairFleet)
 {
     std::vector<std::unique_ptr<RawConnection>> slow;
     for (int i = 0; i < 200; ++i) {
--- a/tests/entryfleet/test_entryconfig.cpp
+++ b/tests/entryfleet/test_entryconfig.cpp
@@ -104,7 +104,7 @@
     }
 }
 
-BOOST_FIXTURE_TEST_CASE(aServerThatDrainsIsLeftInTimeThroughAFeedThatHeardNothing, ServingFleet)
+BOOST_FIXTURE_TEST_CASE(drainingServerGetsNoLateRequestsIfTheFeedMissesChanges, ServingFleet)
 {
     setStoreFault("a1", "deaf");
     writeRecord("p1", "draining");
--- a/tests/entryfleet/test_entryconfigwaits.cpp
+++ b/tests/entryfleet/test_entryconfigwaits.cpp
@@ -47,8 +47,7 @@
     BOOST_TEST(took <= std::chrono::duration<double>(configBound).count());
 }
 
-BOOST_FIXTURE_TEST_CASE(aReadThatTookLongDoesNotTakeBackAConfigurationThatCameMeanwhile,
-                        TwoDomainFleet)
+BOOST_FIXTURE_TEST_CASE(slowReadDoesNotRevertANewerConfiguration, TwoDomainFleet)
 {
     daemon(second).kill();
     removeDaemonRow(second);
--- a/tests/entryfleet/test_entrycrashes.cpp
+++ b/tests/entryfleet/test_entrycrashes.cpp
@@ -119,7 +119,7 @@
     BOOST_TEST(lateCrashes() <= maxLateCrashes, lateCrashes() << " of " << crashes.size());
 }
 
-BOOST_FIXTURE_TEST_CASE(copiesThatWaitAtAllDaemonsDontAllGoToTheNextOwnerOfTheirKey, SlowCrashFleet)
+BOOST_FIXTURE_TEST_CASE(waitingCopiesDoNotAllReachTheNextOwnerOfTheirKey, SlowCrashFleet)
 {
     const auto failedAttempts = [this] {
         std::int64_t all = 0;
--- a/tests/entryfleet/test_entryfaults.cpp
+++ b/tests/entryfleet/test_entryfaults.cpp
@@ -76,7 +76,7 @@
     BOOST_TEST(firstOverlap() == "");
 }
 
-BOOST_FIXTURE_TEST_CASE(allLosePowerAndComeBackWithOtherServers, FaultFleet)
+BOOST_FIXTURE_TEST_CASE(allProcessesAreLostAndOtherServersStart, FaultFleet)
 {
     for (const std::string host : {"a1", "a2", "b1"})
         daemon(host).kill();
@@ -151,7 +151,7 @@
     BOOST_TEST(firstOverlap() == "");
 }
 
-BOOST_FIXTURE_TEST_CASE(aDomainWhoseDaemonsReachNoStoreServesByWhatOthersKnow, FaultFleet)
+BOOST_FIXTURE_TEST_CASE(domainWithoutTheStoreServesByStateFromOtherDomains, FaultFleet)
 {
     for (const std::string host : {"a1", "a2"})
         setStoreFault(host, "silent");
--- a/tests/entryfleet/test_entrykeys.cpp
+++ b/tests/entryfleet/test_entrykeys.cpp
@@ -11,7 +11,7 @@
 using namespace bulrush::test;
 using namespace std::chrono_literals;
 
-BOOST_FIXTURE_TEST_CASE(keysOfADrainingServerMoveWarmWithoutAFailure, ServingFleet)
+BOOST_FIXTURE_TEST_CASE(keysOfADrainingServerMoveWithoutAFailure, ServingFleet)
 {
     const std::string owner = ownerOf("a1", 0);
     writeRecord(owner, "draining");
@@ -45,7 +45,7 @@
     BOOST_TEST(firstOverlap() == "");
 }
 
-BOOST_FIXTURE_TEST_CASE(anotherServerAtTheAddressEndsTheWaitForALostOne, ServingFleet)
+BOOST_FIXTURE_TEST_CASE(newServerAtTheAddressOfALostOneEndsTheWait, ServingFleet)
 {
     const std::string owner = ownerOf("a1", 0);
     const std::string address = server(owner).address();
@@ -130,7 +130,7 @@
     BOOST_TEST(firstOverlap() == "");
 }
 
-BOOST_FIXTURE_TEST_CASE(keysLiveWhileTheStoreTurnsAHostAway, ServingFleet)
+BOOST_FIXTURE_TEST_CASE(keysStayServedWhileTheStoreRejectsAHost, ServingFleet)
 {
     setStoreFault("a1", "many");
     BOOST_TEST(countFailedReadsFor(6000ms, "b1") == 0);
@@ -174,7 +174,7 @@
     BOOST_TEST(firstOverlap() == "");
 }
 
-BOOST_FIXTURE_TEST_CASE(allDaemonsKilledAtOnceFindTheKeysWhereTheyAre, ServingFleet)
+BOOST_FIXTURE_TEST_CASE(ownersAreKeptWhenAllDaemonsAreKilledAtOnce, ServingFleet)
 {
     const std::string owner = ownerOf("a1", 0);
     for (const std::string host : {"a1", "a2", "b1"})
--- a/tests/entryfleet/test_entryoutage.cpp
+++ b/tests/entryfleet/test_entryoutage.cpp
@@ -23,7 +23,7 @@
     BOOST_TEST(firstOverlap() == "");
 }
 
-BOOST_FIXTURE_TEST_CASE(keysLiveAsLongAsTheLastAnswerAndTheHoldAllow, ServingFleet)
+BOOST_FIXTURE_TEST_CASE(keysStayServedUntilTheRightToRenewAndTheHoldEnd, ServingFleet)
 {
     // The right to renew starts at the store's last answer, which is at most 1.9 s old. Owned keys
     // are granted once more before that right ends.
@@ -37,7 +37,7 @@
     BOOST_TEST(firstOverlap() == "");
 }
 
-BOOST_FIXTURE_TEST_CASE(aStoreThatRefusesIsNotPressed, ServingFleet)
+BOOST_FIXTURE_TEST_CASE(daemonsBackOffFromAStoreThatRefuses, ServingFleet)
 {
     const std::vector<std::string> hosts{"a1", "a2", "b1"};
     const auto calls = [&] {
--- a/tests/entryfleet/test_entryreaders.cpp
+++ b/tests/entryfleet/test_entryreaders.cpp
@@ -89,7 +89,7 @@
     requireConfigAdopted("");
 }
 
-BOOST_FIXTURE_TEST_CASE(daemonsWhoseRowsAreRemovedWriteThemAnewAndFollowOn, ReaderFleet)
+BOOST_FIXTURE_TEST_CASE(daemonsRewriteTheirRemovedRowsAndContinueToFollow, ReaderFleet)
 {
     const std::string reading = reader();
     for (const std::string &host : hosts)
@@ -109,7 +109,7 @@
         BOOST_TEST(counter(host, written) >= 2);
 }
 
-BOOST_FIXTURE_TEST_CASE(aServerThatDrainsIsLeftInTimeByThoseWhoFollowTheReader, ReaderFleet)
+BOOST_FIXTURE_TEST_CASE(followersStopUsingADrainingServerInTime, ReaderFleet)
 {
     writeRecord("p1", "draining");
     const auto drainingSince = Clock::now();
--- a/tests/entryfleet/test_entryrequests.cpp
+++ b/tests/entryfleet/test_entryrequests.cpp
@@ -77,7 +77,7 @@
     BOOST_TEST(send("a1", "GET", "/new/x").status == 200);
 }
 
-BOOST_FIXTURE_TEST_CASE(aServerThatDrainsGetsNoMoreWork, PairFleet)
+BOOST_FIXTURE_TEST_CASE(drainingServerGetsNoMoreRequests, PairFleet)
 {
     writeRecord("p1", "draining");
     std::this_thread::sleep_for(2s);
--- a/tests/entryfleet/test_entryservers.cpp
+++ b/tests/entryfleet/test_entryservers.cpp
@@ -28,7 +28,7 @@
     BOOST_TEST(firstOverlap() == "");
 }
 
-BOOST_FIXTURE_TEST_CASE(recordsOfOtherWritersNameNoServerAndTheOthersHold, ServingFleet)
+BOOST_FIXTURE_TEST_CASE(invalidRecordsAreIgnoredAndOtherServersKeepServing, ServingFleet)
 {
     const std::vector<std::string> invalidRecords = {
         "",
--- a/tests/entryfleet/test_entryshutdown.cpp
+++ b/tests/entryfleet/test_entryshutdown.cpp
@@ -90,7 +90,7 @@
 }
 
 // The daemon must not close a connection before it has written the rejection.
-BOOST_FIXTURE_TEST_CASE(aConnectionOnWhichARequestIsComingKeepsTheProcessFromEnding, SlowFleet)
+BOOST_FIXTURE_TEST_CASE(partlyReceivedRequestDelaysTheShutdown, SlowFleet)
 {
     RawConnection caller{callersAddress("a1")};
     ::kill(daemon("a1").pid(), SIGTERM);
@@ -155,7 +155,7 @@
     BOOST_TEST(last.find("Connection: close") != std::string::npos, last);
 }
 
-BOOST_FIXTURE_TEST_CASE(hostsThatLeaveCloseTogetherCutNothingOff, SlowFleet)
+BOOST_FIXTURE_TEST_CASE(overlappingShutdownsOfTwoHostsCutNoRequestsOff, SlowFleet)
 {
     std::vector<std::future<SyncHttpResult>> payments;
     for (int i = 0; i < 4; ++i)
--- a/tests/entrysettings/test_entrysettings.cpp
+++ b/tests/entrysettings/test_entrysettings.cpp
@@ -108,7 +108,7 @@
 {
     const SettingsFile file{validSettings + "drainTime: 4s\nlogLevel: warning\n"};
     BOOST_TEST(io::hasStore(file.path()));
-    const io::EntrySettingsReading reading = io::readEntrySettings(file.path());
+    const io::EntrySettingsResult reading = io::readEntrySettings(file.path());
     BOOST_REQUIRE(!reading.error);
     BOOST_TEST(reading.settings.host.value() == "front-1");
     BOOST_TEST(reading.settings.store.port == 8384);
@@ -122,11 +122,11 @@
     std::ostringstream text;
     text << std::ifstream{BULRUSH_SOURCE_DIR "/deploy/settings.yaml.template"}.rdbuf();
     const SettingsFile file{fillTemplate(text.str())};
-    const io::EntrySettingsReading reading = io::readEntrySettings(file.path());
+    const io::EntrySettingsResult reading = io::readEntrySettings(file.path());
     BOOST_TEST(!reading.error);
     BOOST_TEST(reading.settings.callers.port == 8381);
     BOOST_TEST(reading.settings.operators.port == 8388);
-    BOOST_TEST((reading.settings.retries == RetryTerms{0.25, 64.0}));
+    BOOST_TEST((reading.settings.retries == RetryAllowance{0.25, 64.0}));
     BOOST_TEST(reading.settings.processors == 0.1);
     BOOST_TEST(reading.settings.linkMegabits == 20.0);
     BOOST_TEST((reading.settings.serverDrain == 2500ms));
@@ -165,7 +165,7 @@
 BOOST_AUTO_TEST_CASE(retriesAreNumbersWithinBounds)
 {
     const SettingsFile file{validSettings + "retries:\n  slack: 12.5\n"};
-    BOOST_TEST((io::readEntrySettings(file.path()).settings.retries == RetryTerms{0.2, 12.5}));
+    BOOST_TEST((io::readEntrySettings(file.path()).settings.retries == RetryAllowance{0.2, 12.5}));
     for (const std::string wrong : {"-1", "many", "0.2s", "1e3", ""}) {
         const std::string problem =
             problemsOf(validSettings + "retries:\n  ratio: " + wrong + "\n");
--- a/tests/keydecisions/test_daemonrows.cpp
+++ b/tests/keydecisions/test_daemonrows.cpp
@@ -45,8 +45,8 @@
 
     void applyRows()
     {
-        coordinator.plannerRowSeen(0, {}, now);
-        coordinator.rowsSeen(rowsVersion);
+        coordinator.applyPlannerRow(0, {}, now);
+        coordinator.markRowsApplied(rowsVersion);
     }
 
     /** \returns the write of the daemon's own row among \a actions, or null. */
@@ -65,9 +65,9 @@
         const std::vector<KeyAction> actions = advance(100ms);
         const WriteDaemonRow *write = registration(actions);
         BOOST_REQUIRE(write);
-        coordinator.daemonRowWritten(RowWriteEnd::Done, version, now);
-        coordinator.daemonRowSeen(self, version, write->row, now);
-        coordinator.rowsSeen(version);
+        coordinator.handleDaemonRowResult(RowWriteResult::Done, version, now);
+        coordinator.applyDaemonRow(self, version, write->row, now);
+        coordinator.markRowsApplied(version);
     }
 };
 
@@ -80,28 +80,29 @@
     {
         applyRows();
         for (std::size_t i = 0; i < daemons; ++i)
-            coordinator.daemonRowSeen(
+            coordinator.applyDaemonRow(
                 hostOf(i), versionOf(i),
                 DaemonRow{Incarnation{hostOf(i).value() + "/1"}, {"10.0.1.1", 80}}, now);
         KeyAssignment assignment;
         assignment.service = service;
         assignment.sequence = 2;
-        assignment.ranges = {{{0, keyPlaces - 1}, ServerName{"new"}, 2, {}, ServerName{"old"}, 2}};
-        coordinator.assignmentSeen(assignment, rowsVersion, now);
+        assignment.ranges = {
+            {{0, keyPositionCount - 1}, ServerName{"new"}, 2, {}, ServerName{"old"}, 2}};
+        coordinator.applyAssignment(assignment, rowsVersion, now);
         advance(100ms);
-        coordinator.plannerRowWritten(RowWriteEnd::Done, rowsVersion + 1, now);
+        coordinator.handlePlannerRowResult(RowWriteResult::Done, rowsVersion + 1, now);
         advance(100ms);
         BOOST_REQUIRE(coordinator.isPlanning());
     }
 
     void answer(std::size_t index)
     {
-        coordinator.renewerAnswered({hostOf(index),
-                                     Incarnation{hostOf(index).value() + "/1"},
-                                     service,
-                                     2,
-                                     {{ServerName{"old"}, 0ms}}},
-                                    now);
+        coordinator.recordRenewerAnswer({hostOf(index),
+                                         Incarnation{hostOf(index).value() + "/1"},
+                                         service,
+                                         2,
+                                         {{ServerName{"old"}, 0ms}}},
+                                        now);
     }
 
     /** Confirms the renewal of the planner's lease if one is among \a actions. */
@@ -109,8 +110,8 @@
     {
         for (const KeyAction &action : actions) {
             if (const auto *write = std::get_if<WritePlannerRow>(&action))
-                coordinator.plannerRowWritten(RowWriteEnd::Done, write->write.expectedVersion + 1,
-                                              now);
+                coordinator.handlePlannerRowResult(RowWriteResult::Done,
+                                                   write->write.expectedVersion + 1, now);
         }
     }
 
@@ -140,7 +141,7 @@
 {
     applyRows();
     registerSelf(50);
-    coordinator.daemonRowSeen(self, 60, std::nullopt, now);
+    coordinator.applyDaemonRow(self, 60, std::nullopt, now);
     const std::vector<KeyAction> actions = advance(5s);
     const WriteDaemonRow *write = registration(actions);
     BOOST_REQUIRE(write);
@@ -156,7 +157,7 @@
         if (!registration(actions))
             continue;
         ++attempts;
-        coordinator.daemonRowWritten(RowWriteEnd::Refused, 0, now);
+        coordinator.handleDaemonRowResult(RowWriteResult::Refused, 0, now);
     }
     // The delay starts at 0.5 s and doubles up to 8 s, which gives 6 to 8 attempts in half a
     // minute.
@@ -208,7 +209,7 @@
             if (!std::holds_alternative<RemoveDaemonRows>(action))
                 continue;
             ++attempts;
-            coordinator.daemonRowsRemoved(RowWriteEnd::Refused, now);
+            coordinator.handleRemovalResult(RowWriteResult::Refused, now);
         }
     }
     BOOST_TEST(attempts >= 3);
--- a/tests/keydecisions/test_keyadmission.cpp
+++ b/tests/keydecisions/test_keyadmission.cpp
@@ -14,19 +14,20 @@
 
 const Instant now{100s};
 const ServiceName service{"s"};
-constexpr KeyPlace hotKey = 20;
-constexpr KeyPlace otherKey = 40'000;
+constexpr KeyPosition hotKey = 20;
+constexpr KeyPosition otherKey = 40'000;
 constexpr double capacity = 16.0;
 
 /** Two servers, each with half of the keys and 4 requests/s spread over them. */
 struct Fixture
 {
-    KeyAssignment assignment{service,
-                             1,
-                             {{{0, keyPlaces / 2 - 1}, ServerName{"one"}, 1, "", {}, 0},
-                              {{keyPlaces / 2, keyPlaces - 1}, ServerName{"two"}, 1, "", {}, 0}}};
+    KeyAssignment assignment{
+        service,
+        1,
+        {{{0, keyPositionCount / 2 - 1}, ServerName{"one"}, 1, "", {}, 0},
+         {{keyPositionCount / 2, keyPositionCount - 1}, ServerName{"two"}, 1, "", {}, 0}}};
     std::vector<KeyServer> servers{{ServerName{"one"}, capacity}, {ServerName{"two"}, capacity}};
-    KeyTraffic traffic{std::vector<double>(keyPlaces, 4.0 * 2 / keyPlaces), 4.0};
+    KeyTraffic traffic{std::vector<double>(keyPositionCount, 4.0 * 2 / keyPositionCount), 4.0};
 
     KeyShares shares() const
     {
@@ -104,7 +105,7 @@
     const std::vector<KeyShares> original{{service, {{7, 0.25}, {20, 0.5}}}};
     const auto decoded = io::decodeKeyShares(io::encodeKeyShares(original));
     BOOST_REQUIRE(decoded.has_value());
-    for (const KeyPlace key : {KeyPlace{7}, KeyPlace{20}}) {
+    for (const KeyPosition key : {KeyPosition{7}, KeyPosition{20}}) {
         KeyGate gate;
         gate.set(*decoded, now);
         BOOST_TEST(gate.admits(service, key, 2400, now));
--- a/tests/keydecisions/test_keycodecs.cpp
+++ b/tests/keydecisions/test_keycodecs.cpp
@@ -19,7 +19,7 @@
     const ServerName two{"i-2"};
     return {ServiceName{"catalogue"},
             9,
-            {{{0, 99}, one, 3, "warm", {}, 0}, {{100, keyPlaces - 1}, two, 9, "", one, 9}}};
+            {{{0, 99}, one, 3, "warm", {}, 0}, {{100, keyPositionCount - 1}, two, 9, "", one, 9}}};
 }
 
 /** Checks that a text truncated at any length is rejected. */
@@ -66,37 +66,37 @@
 BOOST_AUTO_TEST_CASE(queriesAndAnswersSurviveEncoding)
 {
     const KeyAssignment known = assignment();
-    const io::RenewalQuestion question{known.service, known, 77, {ServerName{"i-1"}}};
-    const auto decoded = io::decodeQuestion(io::encodeQuestion(question));
+    const io::RenewalQuery question{known.service, known, 77, {ServerName{"i-1"}}};
+    const auto decoded = io::decodeRenewalQuery(io::encodeRenewalQuery(question));
     BOOST_REQUIRE(decoded.has_value());
     BOOST_TEST((decoded->service == question.service));
     BOOST_TEST((decoded->assignment == question.assignment));
     BOOST_TEST(decoded->version == 77U);
     BOOST_TEST((decoded->servers == question.servers));
-    const io::RenewalQuestion brief{known.service, std::nullopt, 0, question.servers};
-    const auto decodedBrief = io::decodeQuestion(io::encodeQuestion(brief));
+    const io::RenewalQuery brief{known.service, std::nullopt, 0, question.servers};
+    const auto decodedBrief = io::decodeRenewalQuery(io::encodeRenewalQuery(brief));
     BOOST_REQUIRE(decodedBrief.has_value());
     BOOST_TEST(!decodedBrief->assignment.has_value());
     BOOST_TEST((decodedBrief->service == question.service));
-    checkPrefixes(io::encodeQuestion(question), io::decodeQuestion);
+    checkPrefixes(io::encodeRenewalQuery(question), io::decodeRenewalQuery);
     const RenewerAnswer answer{
         HostName{"a1"}, Incarnation{"a1/1"}, ServiceName{"s"}, 4, {{ServerName{"i-1"}, 1500ms}}};
-    const auto back = io::decodeAnswer(io::encodeAnswer(answer));
+    const auto back = io::decodeRenewalAnswer(io::encodeRenewalAnswer(answer));
     BOOST_REQUIRE(back.has_value());
     BOOST_TEST((back->lastGrantAgo == answer.lastGrantAgo));
     BOOST_TEST(back->sequence == 4U);
-    checkPrefixes(io::encodeAnswer(answer), io::decodeAnswer);
+    checkPrefixes(io::encodeRenewalAnswer(answer), io::decodeRenewalAnswer);
 }
 
 BOOST_AUTO_TEST_CASE(loadSamplesSurviveEncodingAndInvalidKeysAreRejected)
 {
     std::array samples{LoadSample{ServiceName{"s"},
-                                  {1, 2, keyPlaces - 1},
+                                  {1, 2, keyPositionCount - 1},
                                   {{ServerName{"i-1"}, 250ms, 3}},
                                   {ServerName{"i-2"}}}};
     const auto back = io::decodeLoadSamples(io::encodeLoadSamples(samples));
     BOOST_REQUIRE(back.has_value());
     BOOST_TEST((back->front() == samples.front()));
-    samples.front().keys.push_back(keyPlaces);
+    samples.front().keys.push_back(keyPositionCount);
     BOOST_TEST(!io::decodeLoadSamples(io::encodeLoadSamples(samples)).has_value());
 }
--- a/tests/keydecisions/test_keyplanner.cpp
+++ b/tests/keydecisions/test_keyplanner.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-constexpr KeyPlace hotKey = 30'000;
+constexpr KeyPosition hotKey = 30'000;
 
 std::vector<KeyServer> servers(std::size_t count, double capacity = 15.0)
 {
@@ -25,7 +25,7 @@
 
 KeyTraffic traffic(double evenRate, double hotRate = 0.0)
 {
-    KeyTraffic result{std::vector<double>(keyPlaces, evenRate / keyPlaces), 8.0};
+    KeyTraffic result{std::vector<double>(keyPositionCount, evenRate / keyPositionCount), 8.0};
     result.rates[hotKey] += hotRate;
     return result;
 }
@@ -83,30 +83,30 @@
 BOOST_AUTO_TEST_CASE(firstPlanCoversAllKeysEvenly)
 {
     const KeyAssignment assignment = evenly(8);
-    KeyPlace covered = 0;
-    std::map<std::string, KeyPlace> sizes;
+    KeyPosition covered = 0;
+    std::map<std::string, KeyPosition> sizes;
     for (const OwnedRange &owned : assignment.ranges) {
         covered += owned.range.size();
         sizes[owned.owner.value()] += owned.range.size();
         BOOST_TEST(!owned.isMoving());
         BOOST_TEST(owned.fence == 1U);
     }
-    BOOST_TEST(covered == keyPlaces);
+    BOOST_TEST(covered == keyPositionCount);
     BOOST_TEST(sizes.size() == 8U);
     for (const auto &[server, size] : sizes)
-        BOOST_TEST(std::abs(static_cast<double>(size) - keyPlaces / 8.0) < 600, server);
+        BOOST_TEST(std::abs(static_cast<double>(size) - keyPositionCount / 8.0) < 600, server);
 }
 
 BOOST_AUTO_TEST_CASE(firstPlanGivesEachOfManyServersItsShare)
 {
     constexpr std::size_t count = 157;
-    std::map<std::string, KeyPlace> sizes;
+    std::map<std::string, KeyPosition> sizes;
     for (const OwnedRange &owned : evenly(count).ranges)
         sizes[owned.owner.value()] += owned.range.size();
     // Guards against giving all keys to sixteen servers at first, and then to six more per round.
     BOOST_TEST(sizes.size() == count);
     for (const auto &[server, size] : sizes)
-        BOOST_TEST(size < 2 * keyPlaces / count, server);
+        BOOST_TEST(size < 2 * keyPositionCount / count, server);
 }
 
 BOOST_AUTO_TEST_CASE(balancesManyServersWithinSixRounds)
@@ -115,9 +115,9 @@
     // share.
     constexpr std::size_t count = 157;
     constexpr double total = 1600.0;
-    KeyTraffic load{std::vector<double>(keyPlaces), 3.0};
+    KeyTraffic load{std::vector<double>(keyPositionCount), 3.0};
     double sum = 0.0;
-    for (KeyPlace place = 0; place < keyPlaces; ++place)
+    for (KeyPosition place = 0; place < keyPositionCount; ++place)
         sum += load.rates[place] = std::pow(1.0 + place, -0.66);
     for (double &rate : load.rates)
         rate *= total / sum;
@@ -136,7 +136,7 @@
 BOOST_AUTO_TEST_CASE(hotKeyThatFitsNoServerDoesNotBlockOtherMoves)
 {
     KeyTraffic load = traffic(40.0, 30.0);
-    for (KeyPlace place = 0; place < keyPlaces / 4; ++place)
+    for (KeyPosition place = 0; place < keyPositionCount / 4; ++place)
         load.rates[place] *= 3.0;
     const KeyAssignment assignment = balanced(evenly(4), servers(4, 20.0), load);
     const std::string hot = assignment.find(hotKey)->owner.value();
@@ -155,7 +155,7 @@
     std::vector<KeyServer> left = servers(4);
     left.erase(left.begin() + 1);
     const KeyAssignment after = planned(before, left);
-    KeyPlace moved = 0;
+    KeyPosition moved = 0;
     for (const OwnedRange &owned : after.ranges) {
         BOOST_TEST(owned.owner.value() != "s1");
         if (!owned.isMoving())
@@ -165,8 +165,8 @@
         BOOST_TEST(owned.moveSequence == after.sequence);
         moved += owned.range.size();
     }
-    BOOST_TEST(moved > keyPlaces / 5);
-    BOOST_TEST(moved < keyPlaces / 3);
+    BOOST_TEST(moved > keyPositionCount / 5);
+    BOOST_TEST(moved < keyPositionCount / 3);
 }
 
 BOOST_AUTO_TEST_CASE(losingANewOwnerBeforeTheGrantKeepsTheWait)
@@ -186,7 +186,7 @@
     const KeyAssignment assignment = evenly(4);
     KeyTraffic load = traffic(16.0);
     // One server has a fifth more load than the others, measured from about thirty requests.
-    for (KeyPlace place = 0; place < keyPlaces / 4; ++place)
+    for (KeyPosition place = 0; place < keyPositionCount / 4; ++place)
         load.rates[place] *= 1.2;
     BOOST_TEST(!KeyPlanner::plan(assignment, servers(4), load).has_value());
 }
@@ -194,7 +194,7 @@
 BOOST_AUTO_TEST_CASE(relievesABusyServer)
 {
     KeyTraffic load = traffic(40.0);
-    for (KeyPlace place = 0; place < keyPlaces / 4; ++place)
+    for (KeyPosition place = 0; place < keyPositionCount / 4; ++place)
         load.rates[place] *= 2.5;
     const KeyAssignment assignment = balanced(evenly(4), servers(4, 20.0), load);
     for (const auto &[server, share] : shares(assignment, load))
--- a/tests/keydecisions/test_keyrenewal.cpp
+++ b/tests/keydecisions/test_keyrenewal.cpp
@@ -28,18 +28,18 @@
         for (std::size_t i = 0; i < servers; ++i) {
             const ServerName id{"s" + std::to_string(i)};
             const DomainName domain{i % 4 == 0 ? "b" : "a"};
-            directory.take({id, service, {"10.0.0.2", 80}, domain, 3, false, {}}, now - 1s,
-                           now - 1s);
-            const auto first = static_cast<KeyPlace>(i * 100);
+            directory.applyRecord({id, service, {"10.0.0.2", 80}, domain, 3, false, {}}, now - 1s,
+                                  now - 1s);
+            const auto first = static_cast<KeyPosition>(i * 100);
             assignment.ranges.push_back({{first, first + 99}, id, 1, {}, {}, 0});
         }
         renewal.setAssignment(assignment);
         // All servers are connected for a long time, and the store answers.
         for (Duration before = 9s; before >= 1s; before -= 1s)
-            renewal.storeAnswered(now - before);
+            renewal.recordStoreAnswer(now - before);
         for (const OwnedRange &owned : assignment.ranges)
-            renewal.connectionMade(owned.owner, now - 9s);
-        renewal.storeAnswered(now);
+            renewal.recordConnection(owned.owner, now - 9s);
+        renewal.recordStoreAnswer(now);
     }
 
     /** \returns the number of grants sent within \a duration while the store answers. */
@@ -47,7 +47,7 @@
     {
         std::size_t count = 0;
         for (Duration passed = from; passed < from + duration; passed += 100ms) {
-            renewal.storeAnswered(now + passed);
+            renewal.recordStoreAnswer(now + passed);
             count += renewal.due(directory, now + passed).size();
         }
         return count;
@@ -90,9 +90,9 @@
 BOOST_FIXTURE_TEST_CASE(grantsOverANewConnectionOnceTheRecordIsConfirmed, Fixture)
 {
     const ServerName server = keepOneServer();
-    renewal.connectionLost(server);
+    renewal.recordConnectionLost(server);
     BOOST_TEST(grantsWithin(0s, 1s) == 0U);
-    renewal.connectionMade(server, now + 1s);
+    renewal.recordConnection(server, now + 1s);
     BOOST_TEST(grantsWithin(1s, timings.recordExpiry) == 0U);
     BOOST_TEST(grantsWithin(1s + timings.recordExpiry, 1s) == 1U);
 }
@@ -100,8 +100,8 @@
 BOOST_FIXTURE_TEST_CASE(unansweredGrantMakesTheConnectionBrieflySuspect, Fixture)
 {
     const ServerName server = keepOneServer();
-    renewal.connectionGivenUp(server);
-    renewal.connectionMade(server, now);
+    renewal.recordConnectionReset(server);
+    renewal.recordConnection(server, now);
     BOOST_TEST(grantsWithin(0s, timings.recordUpdateDelay) == 0U);
     BOOST_TEST(grantsWithin(timings.recordUpdateDelay, 1s) == 1U);
 }
@@ -109,8 +109,8 @@
 BOOST_FIXTURE_TEST_CASE(storeOutageExtendsTheSuspectPeriod, Fixture)
 {
     const ServerName server = keepOneServer();
-    renewal.connectionLost(server);
-    renewal.connectionMade(server, now);
+    renewal.recordConnectionLost(server);
+    renewal.recordConnection(server, now);
     // The store does not answer for 3 s, so that a run started meanwhile cannot write its record.
     BOOST_TEST(grantsWithin(3s, timings.recordExpiry) == 0U);
     BOOST_TEST(grantsWithin(3s + timings.recordExpiry, 1s) == 1U);
@@ -119,8 +119,8 @@
 BOOST_FIXTURE_TEST_CASE(grantsAFenceThatNoOtherRunCanHaveAtOnce, Fixture)
 {
     const ServerName server = keepOneServer();
-    renewal.connectionLost(server);
-    renewal.connectionMade(server, now);
+    renewal.recordConnectionLost(server);
+    renewal.recordConnection(server, now);
     BOOST_TEST(grantsWithin(0s, 200ms) == 0U);
     assignment.sequence = 2;
     assignment.ranges[0].fence = 2;
@@ -131,6 +131,6 @@
 BOOST_FIXTURE_TEST_CASE(reconnectWithoutLossIsNotSuspect, Fixture)
 {
     const ServerName server = keepOneServer();
-    renewal.connectionMade(server, now);
+    renewal.recordConnection(server, now);
     BOOST_TEST(grantsWithin(0s, 200ms) == 1U);
 }
--- a/tests/keydecisions/test_plannerlease.cpp
+++ b/tests/keydecisions/test_plannerlease.cpp
@@ -27,7 +27,7 @@
         const auto write = lease.advance(now);
         BOOST_REQUIRE(write.has_value());
         BOOST_TEST(write->expectedVersion == 0U);
-        lease.handleWriteResult(RowWriteEnd::Done, 5, now + 5ms);
+        lease.handleWriteResult(RowWriteResult::Done, 5, now + 5ms);
     }
 };
 
@@ -84,7 +84,7 @@
     BOOST_REQUIRE(write.has_value());
     lease.applyRow(7, write->row, start + 300ms);
     BOOST_TEST(lease.isHeld(start + 1s));
-    lease.handleWriteResult(RowWriteEnd::Unknown, 0, start + 1500ms);
+    lease.handleWriteResult(RowWriteResult::Unknown, 0, start + 1500ms);
     BOOST_TEST(lease.isHeld(start + 2s));
 }
 
@@ -110,7 +110,7 @@
     const auto write = lease.advance(start + 100ms);
     BOOST_REQUIRE(write.has_value());
     BOOST_TEST(write->row.holder.isEmpty());
-    lease.handleWriteResult(RowWriteEnd::Done, 8, start + 110ms);
+    lease.handleWriteResult(RowWriteResult::Done, 8, start + 110ms);
     BOOST_TEST(!lease.advance(start + 60s).has_value());
 }
 
@@ -124,7 +124,7 @@
             continue;
         BOOST_TEST(lease.isWriting());
         ++writes;
-        lease.handleWriteResult(RowWriteEnd::Refused, 0, now + 4ms);
+        lease.handleWriteResult(RowWriteResult::Refused, 0, now + 4ms);
         BOOST_TEST(!lease.isWriting());
     }
     BOOST_TEST(writes >= 9);
@@ -135,8 +135,8 @@
 {
     Duration longest{};
     for (std::uint64_t hash = 0; hash < 1000; ++hash)
-        longest = std::max(longest, plannerPatience(hash, 0.2));
+        longest = std::max(longest, plannerTakeoverDelay(hash, 0.2));
     for (std::uint64_t hash = 0; hash < 1000; ++hash)
-        BOOST_TEST((plannerPatience(hash, 0.1) > longest));
-    BOOST_TEST((plannerPatience(1, 0.5) != plannerPatience(2, 0.5)));
+        BOOST_TEST((plannerTakeoverDelay(hash, 0.1) > longest));
+    BOOST_TEST((plannerTakeoverDelay(1, 0.5) != plannerTakeoverDelay(2, 0.5)));
 }
--- a/tests/keydecisions/test_readerchoice.cpp
+++ b/tests/keydecisions/test_readerchoice.cpp
@@ -109,12 +109,12 @@
 {
     choice.setDaemons(std::vector{daemon("a1", 1), daemon("a3", 3), daemon("a4", 4),
                                   daemon("a5", 5), daemon("a2", 6)});
-    const std::vector<RowsReader> alternatives = choice.readersBeside(HostName{"a1"}, now);
+    const std::vector<RowsReader> alternatives = choice.alternateReaders(HostName{"a1"}, now);
     BOOST_REQUIRE(alternatives.size() == 2U);
     BOOST_TEST(alternatives[0].host.value() == "a3");
     BOOST_TEST(alternatives[1].host.value() == "a4");
     choice.recordFailure(HostName{"a4"}, ReaderFailure::Silent, now);
-    BOOST_TEST(choice.readersBeside(HostName{"a1"}, now).size() == 1U);
+    BOOST_TEST(choice.alternateReaders(HostName{"a1"}, now).size() == 1U);
 }
 
 BOOST_FIXTURE_TEST_CASE(distinguishesRefusalFromSilenceOfTheFirstReaders, Fixture)
--- a/tests/keydecisions/test_renewerbook.cpp
+++ b/tests/keydecisions/test_renewerbook.cpp
@@ -1,7 +1,7 @@
-#define BOOST_TEST_MODULE RenewerBook
+#define BOOST_TEST_MODULE RenewerRegistry
 
 #include "process/grantlog.h"
-#include "process/renewerbook.h"
+#include "process/renewerregistry.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -31,7 +31,7 @@
 struct Fixture
 {
     KeyTimings timings;
-    RenewerBook registry{timings};
+    RenewerRegistry registry{timings};
 
     Fixture()
     {
@@ -92,7 +92,7 @@
     registry.recordAnswer(answer(one, "one/1", 5, 2s), start + 100ms);
     registry.recordQuery(two, start + 700ms);
     BOOST_TEST(registry.lost(start + 1s).empty());
-    const auto lostDaemons = registry.lost(start + RenewerBook::lostTimeout);
+    const auto lostDaemons = registry.lost(start + RenewerRegistry::lostTimeout);
     BOOST_REQUIRE(lostDaemons.size() == 1U);
     BOOST_TEST(lostDaemons.front().host.value() == "two");
 }
--- a/tests/keyworld/keysimulation.cpp
+++ b/tests/keyworld/keysimulation.cpp
@@ -96,7 +96,7 @@
         server->leases = standins::LeaseTable{cells, i % 2 == 0 ? 20'000 : 0};
         server->name = ServerName{"s" + std::to_string(i) + "-0"};
         server->port = static_cast<std::uint16_t>(i + 1);
-        m_directory.take(recordOf(server->name, i, server->port), m_now - 10s, m_now - 10s);
+        m_directory.applyRecord(recordOf(server->name, i, server->port), m_now - 10s, m_now - 10s);
         m_servers.push_back(std::move(server));
     }
     for (std::size_t i = 0; i < daemonCount; ++i) {
@@ -294,12 +294,13 @@
     daemon.appliedVersion = 0;
     daemon.connectedRuns.clear();
     const std::string name = "d" + std::to_string(index) + "/" + std::to_string(incarnation);
-    daemon.coordinator = std::make_unique<KeyCoordinator>(KeySelf{hostOf(index),
-                                                                  Incarnation{name},
-                                                                  domainOf(index),
-                                                                  {"10.0.1.1", 1},
-                                                                  100ms * static_cast<int>(index)},
-                                                          m_now);
+    daemon.coordinator =
+        std::make_unique<KeyCoordinator>(DaemonIdentity{hostOf(index),
+                                                        Incarnation{name},
+                                                        domainOf(index),
+                                                        {"10.0.1.1", 1},
+                                                        100ms * static_cast<int>(index)},
+                                         m_now);
     tick(index, incarnation);
     followRows(index, incarnation, m_now);
 }
@@ -341,22 +342,22 @@
         after(transit(), [this, index, incarnation = daemon.incarnation, name, run, isReached] {
             runAtDaemon(index, incarnation, [this, index, name, run, isReached] {
                 if (!isReached) {
-                    connectionLost(index, name);
+                    recordConnectionLost(index, name);
                     return;
                 }
                 m_daemons[index]->connectedRuns[name] = run;
-                m_daemons[index]->coordinator->connectionMade(name, m_now);
+                m_daemons[index]->coordinator->recordConnection(name, m_now);
             });
         });
     }
 }
 
-void KeySimulation::connectionLost(std::size_t index, const ServerName &name)
+void KeySimulation::recordConnectionLost(std::size_t index, const ServerName &name)
 {
     if (m_planted == PlantedFault::RenewsOtherRun)
         return;
     m_daemons[index]->connectedRuns.erase(name);
-    m_daemons[index]->coordinator->connectionLost(name);
+    m_daemons[index]->coordinator->recordConnectionLost(name);
 }
 
 void KeySimulation::dispatch(std::size_t index, const KeyAction &action)
@@ -401,23 +402,24 @@
     const bool isDelayed = m_commitsToDelay > 0 && m_commitsToDelay-- > 0;
     const bool isLate = isDelayed || (m_hasFaults && happens(0.04));
     const Duration lateBy = isDelayed ? m_commitDelay : Duration{1s + 1ms * randomBelow(5000)};
-    const auto answer = [this, index, incarnation, onResult](RowWriteEnd end,
+    const auto answer = [this, index, incarnation, onResult](RowWriteResult end,
                                                              std::uint64_t version) {
         runAtDaemon(index, incarnation, [onResult, end, version] { onResult(end, version); });
     };
     if (!canReachStore(daemon)) {
-        after(1s, [answer] { answer(RowWriteEnd::Unknown, 0); });
+        after(1s, [answer] { answer(RowWriteResult::Unknown, 0); });
         return;
     }
     after(isLate ? lateBy : transit(), [=, this] {
         const std::uint64_t version = apply();
         if (isLost || isLate)
             return;
-        after(transit(),
-              [=] { answer(version > 0 ? RowWriteEnd::Done : RowWriteEnd::Refused, version); });
+        after(transit(), [=] {
+            answer(version > 0 ? RowWriteResult::Done : RowWriteResult::Refused, version);
+        });
     });
     if (isLost || isLate)
-        after(1500ms, [answer] { answer(RowWriteEnd::Unknown, 0); });
+        after(1500ms, [answer] { answer(RowWriteResult::Unknown, 0); });
 }
 
 void KeySimulation::execute(std::size_t index, const WritePlannerRow &action)
@@ -432,8 +434,8 @@
         m_planner = write.row;
         return m_plannerVersion = ++m_version;
     };
-    commit(index, apply, [this, index](RowWriteEnd end, std::uint64_t version) {
-        m_daemons[index]->coordinator->plannerRowWritten(end, version, m_now);
+    commit(index, apply, [this, index](RowWriteResult end, std::uint64_t version) {
+        m_daemons[index]->coordinator->handlePlannerRowResult(end, version, m_now);
     });
 }
 
@@ -458,8 +460,8 @@
                    + std::to_string(std::ranges::count_if(next.ranges, &OwnedRange::isMoving)));
         return m_assignmentVersion = ++m_version;
     };
-    commit(index, apply, [this, index, next](RowWriteEnd end, std::uint64_t version) {
-        m_daemons[index]->coordinator->assignmentCommitted(next, end, version, m_now);
+    commit(index, apply, [this, index, next](RowWriteResult end, std::uint64_t version) {
+        m_daemons[index]->coordinator->handleCommitResult(next, end, version, m_now);
     });
 }
 
@@ -475,7 +477,7 @@
                 m_planted != PlantedFault::NoCheckAfterFreeze || m_now - madeAt < 500ms;
             if (isChecked && !daemon.coordinator->isStillDue(action, daemon.directory, m_now))
                 return;
-            daemon.coordinator->grantSent(action, m_now);
+            daemon.coordinator->recordGrantSent(action, m_now);
             sendGrant(index, incarnation, action);
         });
     });
@@ -505,13 +507,13 @@
           [this, index, incarnation, action, mayHaveArrived, isAnswered] {
               runAtDaemon(index, incarnation, [this, index, action, mayHaveArrived, isAnswered] {
                   KeyCoordinator &coordinator = *m_daemons[index]->coordinator;
-                  coordinator.grantEnded(action, mayHaveArrived, m_now);
+                  coordinator.recordGrantResult(action, mayHaveArrived, m_now);
                   // The call timed out and its connection is reset; the next connection attempt
                   // shows whether the server is up.
                   if (isAnswered || m_planted == PlantedFault::RenewsOtherRun)
                       return;
                   m_daemons[index]->connectedRuns.erase(action.owned.owner);
-                  coordinator.connectionGivenUp(action.owned.owner);
+                  coordinator.recordConnectionReset(action.owned.owner);
               });
           });
     if (!arrives)
@@ -544,8 +546,8 @@
     daemon.connectedRuns.erase(action.owned.owner);
     after(transit(), [this, index, incarnation, action] {
         runAtDaemon(index, incarnation, [this, index, action] {
-            m_daemons[index]->coordinator->grantEnded(action, true, m_now);
-            connectionLost(index, action.owned.owner);
+            m_daemons[index]->coordinator->recordGrantResult(action, true, m_now);
+            recordConnectionLost(index, action.owned.owner);
         });
     });
     return true;
@@ -584,7 +586,7 @@
     return m_now >= from.partitionedFromPeersUntil && m_now >= to.partitionedFromPeersUntil;
 }
 
-void KeySimulation::execute(std::size_t index, const AskRenewer &action)
+void KeySimulation::execute(std::size_t index, const QueryRenewer &action)
 {
     const std::uint64_t incarnation = m_daemons[index]->incarnation;
     std::size_t peer = 0;
@@ -598,8 +600,9 @@
         runAtDaemon(peer, m_daemons[peer]->incarnation, [=, this] {
             KeyCoordinator &peerCoordinator = *m_daemons[peer]->coordinator;
             if (action.isBehind)
-                peerCoordinator.assignmentSeen(assignment, version, m_now);
-            RenewerAnswer answer = peerCoordinator.answerOn(service, action.servers, m_now);
+                peerCoordinator.applyAssignment(assignment, version, m_now);
+            RenewerAnswer answer =
+                peerCoordinator.makeRenewerAnswer(service, action.servers, m_now);
             if (m_planted == PlantedFault::ForgetsGrants) {
                 for (auto &[server, ago] : answer.lastGrantAgo)
                     ago = 1h;
@@ -608,7 +611,7 @@
                 return;
             after(transit(), [=, this] {
                 runAtDaemon(index, incarnation, [=, this] {
-                    m_daemons[index]->coordinator->renewerAnswered(answer, m_now);
+                    m_daemons[index]->coordinator->recordRenewerAnswer(answer, m_now);
                 });
             });
         });
@@ -628,8 +631,8 @@
             m_daemonRows.erase(host);
         return m_version;
     };
-    commit(index, apply, [this, index](RowWriteEnd end, std::uint64_t version) {
-        m_daemons[index]->coordinator->daemonRowWritten(end, version, m_now);
+    commit(index, apply, [this, index](RowWriteResult end, std::uint64_t version) {
+        m_daemons[index]->coordinator->handleDaemonRowResult(end, version, m_now);
     });
 }
 
@@ -645,8 +648,8 @@
             m_daemonRows.erase(row.host);
         return ++m_version;
     };
-    commit(index, apply, [this, index](RowWriteEnd end, std::uint64_t) {
-        m_daemons[index]->coordinator->daemonRowsRemoved(end, m_now);
+    commit(index, apply, [this, index](RowWriteResult end, std::uint64_t) {
+        m_daemons[index]->coordinator->handleRemovalResult(end, m_now);
     });
 }
 
@@ -678,7 +681,7 @@
         // The stalled feed has missed the changes, and reports that there were none.
         after(transitTime, [=, this] {
             runAtDaemon(index, incarnation, [=, this] {
-                m_daemons[index]->coordinator->storeAnswered(givenAt);
+                m_daemons[index]->coordinator->recordStoreAnswer(givenAt);
                 followRows(index, incarnation, m_now);
             });
         });
@@ -694,19 +697,19 @@
     after(transitTime, [=, this] {
         runAtDaemon(index, incarnation, [=, this] {
             Daemon &target = *m_daemons[index];
-            target.coordinator->plannerRowSeen(plannerVersion, planner, m_now);
+            target.coordinator->applyPlannerRow(plannerVersion, planner, m_now);
             if (assignmentVersion > 0)
-                target.coordinator->assignmentSeen(assignment, assignmentVersion, m_now);
+                target.coordinator->applyAssignment(assignment, assignmentVersion, m_now);
             for (std::size_t i = 0; i < daemonCount; ++i) {
                 const auto row = rows.find(hostOf(i));
                 if (row != rows.end())
-                    target.coordinator->daemonRowSeen(row->first, row->second.second,
-                                                      row->second.first, m_now);
+                    target.coordinator->applyDaemonRow(row->first, row->second.second,
+                                                       row->second.first, m_now);
                 else
-                    target.coordinator->daemonRowSeen(hostOf(i), version, std::nullopt, m_now);
+                    target.coordinator->applyDaemonRow(hostOf(i), version, std::nullopt, m_now);
             }
-            target.coordinator->rowsSeen(version);
-            target.coordinator->storeAnswered(givenAt);
+            target.coordinator->markRowsApplied(version);
+            target.coordinator->recordStoreAnswer(givenAt);
             target.appliedVersion = version;
             followRows(index, incarnation, m_now);
         });
@@ -812,7 +815,7 @@
     addToTrace(server.name.value() + " drains");
     ServerRecord record = m_directory.find(server.name)->record;
     record.isDraining = true;
-    m_directory.take(record, m_now, m_now);
+    m_directory.applyRecord(record, m_now, m_now);
     after(4s, [this, &server, id = record.id] {
         m_directory.remove(ServerName{wireNameOf(id)}, m_now);
         replaceServer(server);
@@ -835,7 +838,7 @@
         server.name =
             ServerName{"s" + std::to_string(server.index) + "-" + std::to_string(++server.run)};
         ++server.starts;
-        m_directory.take(recordOf(server.name, server.index, server.port), m_now, m_now);
+        m_directory.applyRecord(recordOf(server.name, server.index, server.port), m_now, m_now);
     });
 }
 
@@ -874,7 +877,7 @@
               [this, &server, run] { writeRecord(server, run); });
         return;
     }
-    m_directory.take(recordOf(server.name, server.index, server.port), m_now, m_now);
+    m_directory.applyRecord(recordOf(server.name, server.index, server.port), m_now, m_now);
 }
 
 /** Closes the connections of daemons to \a server, unless a partition hides that from them. */
@@ -894,7 +897,7 @@
             if (wireNameOf(name) != wireNameOf(server.name))
                 continue;
             after(transit(), [this, i, incarnation = daemon.incarnation, name = name] {
-                runAtDaemon(i, incarnation, [this, i, name] { connectionLost(i, name); });
+                runAtDaemon(i, incarnation, [this, i, name] { recordConnectionLost(i, name); });
             });
         }
     }
--- a/tests/keyworld/keysimulation.h
+++ b/tests/keyworld/keysimulation.h
@@ -115,7 +115,7 @@
     bool failOnOldConnection(std::size_t index, std::uint64_t incarnation, const Server &server,
                              const SendGrant &action);
     void execute(std::size_t index, const SendRelease &action);
-    void execute(std::size_t index, const AskRenewer &action);
+    void execute(std::size_t index, const QueryRenewer &action);
     void execute(std::size_t index, const WriteDaemonRow &action);
     void execute(std::size_t index, const RemoveDaemonRows &action);
     void runAtDaemon(std::size_t index, std::uint64_t incarnation, Step step);
@@ -124,7 +124,7 @@
 
     std::uint64_t daemonRowVersion(const HostName &host) const;
 
-    using CommitHandler = std::function<void(RowWriteEnd, std::uint64_t)>;
+    using CommitHandler = std::function<void(RowWriteResult, std::uint64_t)>;
     void commit(std::size_t index, std::function<std::uint64_t()> apply, CommitHandler onResult);
     void followRows(std::size_t index, std::uint64_t incarnation, Instant sentAt);
     bool canReachPeer(const Daemon &from, const Daemon &to) const;
@@ -136,7 +136,7 @@
     void writeRecord(Server &server, std::uint64_t run);
     void closeConnections(const Server &server);
     void connectServers(std::size_t index);
-    void connectionLost(std::size_t index, const ServerName &name);
+    void recordConnectionLost(std::size_t index, const ServerName &name);
     void injectStoreFault();
     void injectViewFault();
     void check();
--- a/tests/keyworld/test_leasetable.cpp
+++ b/tests/keyworld/test_leasetable.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr std::size_t cells = 64;
-constexpr KeyRange keys{0, keyPlaces / cells - 1};
+constexpr KeyRange keys{0, keyPositionCount / cells - 1};
 const Instant start = Instant{100s};
 
 } // namespace
@@ -63,7 +63,7 @@
 
 BOOST_AUTO_TEST_CASE(exactTableTracksEachKeySeparately)
 {
-    LeaseTable server{keyPlaces};
+    LeaseTable server{keyPositionCount};
     server.grant({10, 20}, 1, 4s, start, start);
     BOOST_TEST(!server.holds(9, start));
     BOOST_TEST(server.holds(10, start));
--- a/tests/limits/test_sharecodec.cpp
+++ b/tests/limits/test_sharecodec.cpp
@@ -31,7 +31,7 @@
 /** \returns \a json as it comes out of the other end of a connection. */
 Json::Value sent(const Json::Value &json)
 {
-    return parsedJson(compactText(json));
+    return parseJson(toCompactJson(json));
 }
 
 void checkSame(const LimitDemand &first, const LimitDemand &second)
--- a/tests/linkbudget/test_linkbudget.cpp
+++ b/tests/linkbudget/test_linkbudget.cpp
@@ -16,7 +16,7 @@
 {
     int accepted = 0;
     for (int i = 0; i < answers; ++i)
-        accepted += link.take(longAnswer, now) ? 1 : 0;
+        accepted += link.tryReserve(longAnswer, now) ? 1 : 0;
     return accepted;
 }
 
@@ -41,13 +41,13 @@
 {
     LinkBudget link{10.0};
     for (int i = 0; i < 100; ++i)
-        BOOST_TEST(link.take(LinkBudget::shortAnswerSize, start));
-    BOOST_TEST(!link.take(longAnswer, start + 1s));
-    BOOST_TEST(link.take(longAnswer, start + 3s));
+        BOOST_TEST(link.tryReserve(LinkBudget::shortAnswerSize, start));
+    BOOST_TEST(!link.tryReserve(longAnswer, start + 1s));
+    BOOST_TEST(link.tryReserve(longAnswer, start + 3s));
 }
 
 BOOST_AUTO_TEST_CASE(idleLinkAcceptsAnAnswerLongerThanTheBacklog)
 {
     LinkBudget link{1.0};
-    BOOST_TEST(link.take(longAnswer, start));
+    BOOST_TEST(link.tryReserve(longAnswer, start));
 }
--- a/tests/loads/test_loads.cpp
+++ b/tests/loads/test_loads.cpp
@@ -43,8 +43,8 @@
 {
     const std::map<ServiceName, LoadReport> reports{{catalogue, smallReport()},
                                                     {ServiceName{"scores"}, {}}};
-    const std::string text = io::compactText(io::encodeLoadReports(reports));
-    const auto read = io::decodeLoadReports(io::parsedJson(text));
+    const std::string text = io::toCompactJson(io::encodeLoadReports(reports));
+    const auto read = io::decodeLoadReports(io::parseJson(text));
     BOOST_REQUIRE(read.has_value());
     BOOST_TEST((*read == reports));
 }
@@ -52,8 +52,8 @@
 BOOST_AUTO_TEST_CASE(largestReportFitsSizeLimit)
 {
     const Json::Value json =
-        io::encodeLoadReport(largestReport(io::maximumReportedSlices, io::maximumReportedKeys));
-    BOOST_TEST(io::compactText(json).size() <= maxBytes);
+        io::encodeLoadReport(largestReport(io::maxReportedSlices, io::maxReportedKeys));
+    BOOST_TEST(io::toCompactJson(json).size() <= maxBytes);
     BOOST_TEST(io::decodeLoadReport(json).has_value());
 }
 
@@ -62,8 +62,8 @@
     const auto isRead = [](const LoadReport &report) {
         return io::decodeLoadReport(io::encodeLoadReport(report)).has_value();
     };
-    BOOST_TEST(!isRead(largestReport(io::maximumReportedSlices + 1, 0)));
-    BOOST_TEST(!isRead(largestReport(0, io::maximumReportedKeys + 1)));
+    BOOST_TEST(!isRead(largestReport(io::maxReportedSlices + 1, 0)));
+    BOOST_TEST(!isRead(largestReport(0, io::maxReportedKeys + 1)));
     BOOST_TEST(!isRead({{{{0, 9}, 1.0}, {{9, 20}, 1.0}}, {}}));
     BOOST_TEST(!isRead({{{{9, 0}, 1.0}}, {}}));
     BOOST_TEST(!isRead({{}, {{5, 1.0}, {5, 1.0}}}));
--- a/tests/loadworld/loadsimulation.cpp
+++ b/tests/loadworld/loadsimulation.cpp
@@ -25,10 +25,10 @@
 
 const ServiceName service{"s"};
 
-std::discrete_distribution<KeyPlace> keyDistribution()
+std::discrete_distribution<KeyPosition> keyDistribution()
 {
-    std::vector<double> rates(keyPlaces);
-    for (KeyPlace place = 0; place < keyPlaces; ++place)
+    std::vector<double> rates(keyPositionCount);
+    for (KeyPosition place = 0; place < keyPositionCount; ++place)
         rates[place] = std::pow(1.0 + place, rateExponent);
     return {rates.begin(), rates.end()};
 }
@@ -119,7 +119,7 @@
         add(entry.key, entry.startedAt, entry.answerBy, true);
 }
 
-void LoadSimulation::add(KeyPlace key, Instant startedAt, Instant answerBy, bool isRetry)
+void LoadSimulation::add(KeyPosition key, Instant startedAt, Instant answerBy, bool isRetry)
 {
     Daemon &daemon = *m_daemons[m_random() % m_daemons.size()];
     daemon.sample.keys.push_back(key);
@@ -142,18 +142,18 @@
     daemon.queue.add(std::move(waiting));
 }
 
-KeyPlace LoadSimulation::drawKey()
+KeyPosition LoadSimulation::drawKey()
 {
     double chance = std::uniform_real_distribution{}(m_random);
     const Duration passed = m_now - m_start;
-    constexpr KeyPlace between = 9'973;
-    KeyPlace place = between;
+    constexpr KeyPosition between = 9'973;
+    KeyPosition place = between;
     for (const HotPeriod &period : m_scenario.hotPeriods) {
-        place = (place + between) % (keyPlaces / 2);
+        place = (place + between) % (keyPositionCount / 2);
         if (passed < period.from || passed >= period.until)
             continue;
         if (chance < period.share)
-            return place + static_cast<KeyPlace>(m_random() % period.keys);
+            return place + static_cast<KeyPosition>(m_random() % period.keys);
         chance -= period.share;
     }
     return m_keys(m_random);
@@ -226,7 +226,7 @@
     Daemon &daemon = *m_daemons[work.daemon];
     const ServerLoad load = loadOf(m_servers.at(name));
     const bool isRejected = work.until == Instant::min();
-    daemon.gauges.attemptEnded(name, isRejected ? AttemptSign::NotRun : AttemptSign::Served,
+    daemon.gauges.attemptEnded(name, isRejected ? AttemptOutcome::NotRun : AttemptOutcome::Served,
                                m_now - work.sentAt, load, m_now);
     const auto place = daemon.open.find(work.ticket);
     if (place == daemon.open.end())
--- a/tests/loadworld/loadsimulation.h
+++ b/tests/loadworld/loadsimulation.h
@@ -22,7 +22,7 @@
     Duration until;
     /** Fraction of all requests, and the number of adjacent keys that receive them. */
     double share = 0.0;
-    KeyPlace keys = 1;
+    KeyPosition keys = 1;
 };
 
 /** Parameters of a simulation. */
@@ -78,7 +78,7 @@
 private:
     struct Request
     {
-        KeyPlace key = 0;
+        KeyPosition key = 0;
         Instant startedAt;
         Instant answerBy;
         int attempts = 0;
@@ -101,14 +101,14 @@
     struct Retry
     {
         Instant at;
-        KeyPlace key;
+        KeyPosition key;
         Instant answerBy;
         Instant startedAt;
     };
 
     void arrive();
-    void add(KeyPlace key, Instant startedAt, Instant answerBy, bool isRetry);
-    KeyPlace drawKey();
+    void add(KeyPosition key, Instant startedAt, Instant answerBy, bool isRetry);
+    KeyPosition drawKey();
     void dispatch(Daemon &daemon, std::size_t index);
     void send(std::size_t daemon, std::uint64_t ticket, const ServerName &server);
     void refuse(Daemon &daemon, std::uint64_t ticket);
@@ -127,7 +127,7 @@
     std::vector<std::unique_ptr<Daemon>> m_daemons;
     std::map<ServerName, Server> m_servers;
     std::vector<ServerName> m_names;
-    std::discrete_distribution<KeyPlace> m_keys;
+    std::discrete_distribution<KeyPosition> m_keys;
     RoutingState m_state;
     KeyAssignment m_assignment;
     Instant m_moveEndsAt = Instant::max();
--- a/tests/logflood/test_logflood.cpp
+++ b/tests/logflood/test_logflood.cpp
@@ -89,7 +89,7 @@
     for (std::thread &thread : threads)
         thread.join();
     const auto took = std::chrono::steady_clock::now() - start;
-    const std::uint64_t dropped = io::droppedLogLines();
+    const std::uint64_t dropped = io::droppedLogLineCount();
     const std::string text = output.restoreAndRead();
     const std::uint64_t written = occurrences(text, " info host-1 request id=");
 
--- a/tests/platformadapter/test_mutations.cpp
+++ b/tests/platformadapter/test_mutations.cpp
@@ -48,10 +48,10 @@
                                                  {"X-Bulrushswitch-Shard-Key", text},
                                                  {"X-Bulrushswitch-Server-Load", text},
                                                  {"Connection", text}};
-    const RequestTerms terms = requestTerms(headers);
+    const RequestMetadata terms = requestMetadata(headers);
     forwardedFields(headers, ServerName{text}, std::chrono::milliseconds{5});
-    answerTerms(421, headers, ServerName{text});
-    return !terms.key || *terms.key < keyPlaces;
+    answerMetadata(421, headers, ServerName{text});
+    return !terms.key || *terms.key < keyPositionCount;
 }
 
 const std::vector<Decoder> &decoders()
@@ -60,13 +60,13 @@
         ServiceName{"s"},
         9,
         {{{0, 99}, ServerName{"one"}, 3, "warm", {}, 0},
-         {{100, keyPlaces - 1}, ServerName{"two"}, 9, "", ServerName{"one"}, 9}}};
+         {{100, keyPositionCount - 1}, ServerName{"two"}, 9, "", ServerName{"one"}, 9}}};
     static const std::vector<Decoder> all = {
         {"server's record",
          R"({"service":"c","address":"10.0.0.9:8080","zone":"a","version":"v1","slots":3,"state":"ready",)"
          R"("coldRemainingS":0.5,"seq":4,"born":1764720000})",
          [](const std::string &text) {
-             return decodeServer("i", text).has_value();
+             return decodeServerRecord("i", text).has_value();
          }},
         {"configuration",
          R"({"version":"0c","services":[{"name":"c","maxConns":110,"sharded":true}],"limits":{"headerBytes":9,)"
@@ -108,9 +108,10 @@
          [](const std::string &text) {
              return io::decodeCrashRow(text).has_value();
          }},
-        {"question", io::encodeQuestion({assignment.service, assignment, 12, {ServerName{"one"}}}),
+        {"question",
+         io::encodeRenewalQuery({assignment.service, assignment, 12, {ServerName{"one"}}}),
          [](const std::string &text) {
-             return io::decodeQuestion(text).has_value();
+             return io::decodeRenewalQuery(text).has_value();
          }},
         {"loads",
          io::encodeLoadSamples(std::vector<LoadSample>{
--- a/tests/platformadapter/test_platformformats.cpp
+++ b/tests/platformadapter/test_platformformats.cpp
@@ -94,7 +94,7 @@
 
 BOOST_AUTO_TEST_CASE(decodesServerRecord)
 {
-    const auto record = decodeServer(
+    const auto record = decodeServerRecord(
         "i-1", R"({"service":"cat","address":"10.0.0.9:8080","zone":"a","version":"v1","slots":3,
                    "state":"draining","coldRemainingS":1.5,"seq":4})");
     BOOST_REQUIRE(record.has_value());
@@ -102,17 +102,18 @@
     BOOST_TEST(record->address.port == 8080);
     BOOST_TEST(record->isDraining);
     BOOST_TEST((record->coldRemaining == 1500ms));
-    BOOST_TEST(!decodeServer("i-1", R"({"service":"cat","zone":"a","state":"ready"})").has_value());
-    BOOST_TEST(!decodeServer("i-1", "").has_value());
+    BOOST_TEST(
+        !decodeServerRecord("i-1", R"({"service":"cat","zone":"a","state":"ready"})").has_value());
+    BOOST_TEST(!decodeServerRecord("i-1", "").has_value());
 }
 
 BOOST_AUTO_TEST_CASE(distinguishesRunsByStartTime)
 {
     const std::string text = R"({"service":"cat","address":"10.0.0.9:8080","zone":"a",
         "version":"v1","slots":3,"state":"ready","coldRemainingS":0,"seq":4,"born":1764720000123})";
-    const auto record = decodeServer("i-1", text);
+    const auto record = decodeServerRecord("i-1", text);
     BOOST_REQUIRE(record.has_value());
-    const auto later = decodeServer("i-1", replaceFirst(text, "0123}", "0124}"));
+    const auto later = decodeServerRecord("i-1", replaceFirst(text, "0123}", "0124}"));
     BOOST_REQUIRE(later.has_value());
     BOOST_TEST((record->id != later->id));
     BOOST_TEST(later->isOtherRunOf(*record));
@@ -122,7 +123,7 @@
     BOOST_TEST(io::findField(releaseOfRun.headers, targetServerField)->value == "i-1");
     BOOST_TEST(releaseOfRun.run == record->id.value());
     const std::vector<io::HttpHeader> answer = {{"X-Bulrushswitch-Instance-Id", "i-1"}};
-    BOOST_TEST(!answerTerms(421, answer, record->id).isReplaced);
+    BOOST_TEST(!answerMetadata(421, answer, record->id).isReplaced);
     // Names that contain the separator are not mistaken for runs of another server.
     for (const std::string name : {"i-1@5", "i-1@", "@", "i@1@2"}) {
         BOOST_TEST(wireName(runName(name, std::nullopt)) == name);
@@ -134,7 +135,7 @@
 {
     const std::string validRecord = R"({"service":"cat","address":"10.0.0.9:8080","zone":"a",
         "version":"v1","slots":3,"state":"ready","coldRemainingS":0.5,"seq":4,"born":1764720000})";
-    BOOST_REQUIRE(decodeServer("i-1", validRecord).has_value());
+    BOOST_REQUIRE(decodeServerRecord("i-1", validRecord).has_value());
     const std::vector<std::pair<std::string, std::string>> invalidReplacements = {
         {R"("service":"cat",)", ""},
         {R"("cat")", "7"},
@@ -169,11 +170,12 @@
         {"{", "["},
     };
     for (const auto &[from, to] : invalidReplacements)
-        BOOST_TEST(!decodeServer("i-1", replaceFirst(validRecord, from, to)).has_value(),
+        BOOST_TEST(!decodeServerRecord("i-1", replaceFirst(validRecord, from, to)).has_value(),
                    from << " -> " << to);
     // Unknown fields are ignored.
-    BOOST_TEST(decodeServer("i-1", replaceFirst(validRecord, R"("seq":4)", R"("seq":4,"new":{})"))
-                   .has_value());
+    BOOST_TEST(
+        decodeServerRecord("i-1", replaceFirst(validRecord, R"("seq":4)", R"("seq":4,"new":{})"))
+            .has_value());
 }
 
 BOOST_AUTO_TEST_CASE(unreadableRowDoesNotAffectOthers)
@@ -213,19 +215,19 @@
     const auto answered = [](int status) {
         return io::HttpResult{{}, io::TransferStage::Answered, {status, {}, {}}};
     };
-    BOOST_TEST((grantAnswerOf(answered(200)) == GrantAnswer::Granted));
-    BOOST_TEST((grantAnswerOf(answered(409)) == GrantAnswer::Outdated));
-    BOOST_TEST((grantAnswerOf(answered(400)) == GrantAnswer::Refused));
-    BOOST_TEST((grantAnswerOf(answered(421)) == GrantAnswer::Replaced));
+    BOOST_TEST((decodeGrantAnswer(answered(200)) == GrantAnswer::Granted));
+    BOOST_TEST((decodeGrantAnswer(answered(409)) == GrantAnswer::Outdated));
+    BOOST_TEST((decodeGrantAnswer(answered(400)) == GrantAnswer::Refused));
+    BOOST_TEST((decodeGrantAnswer(answered(421)) == GrantAnswer::Replaced));
     const io::HttpResult lost{
         std::make_error_code(std::errc::timed_out), io::TransferStage::Sent, {}};
-    BOOST_TEST((grantAnswerOf(lost) == GrantAnswer::NoAnswer));
-    BOOST_TEST(!releaseAnswerOf(lost).isReleased);
-    BOOST_TEST(!releaseAnswerOf(answered(400)).isReleased);
+    BOOST_TEST((decodeGrantAnswer(lost) == GrantAnswer::NoAnswer));
+    BOOST_TEST(!decodeReleaseAnswer(lost).isReleased);
+    BOOST_TEST(!decodeReleaseAnswer(answered(400)).isReleased);
     // Another server has the address, so the intended server has stopped and holds no keys.
-    BOOST_TEST(releaseAnswerOf(answered(421)).isReleased);
-    BOOST_TEST(releaseAnswerOf(answered(421)).handover == "");
-    BOOST_TEST(releaseAnswerOf(answered(200)).isReleased);
+    BOOST_TEST(decodeReleaseAnswer(answered(421)).isReleased);
+    BOOST_TEST(decodeReleaseAnswer(answered(421)).handover == "");
+    BOOST_TEST(decodeReleaseAnswer(answered(200)).isReleased);
 }
 
 BOOST_AUTO_TEST_CASE(dropsHopByHopFields)
@@ -242,7 +244,7 @@
         {"X-Bulrushswitch-Target-Instance", "forged"},
         {"X-Bulrushswitch-Shard-Key", "65535"},
     };
-    const RequestTerms terms = requestTerms(headers);
+    const RequestMetadata terms = requestMetadata(headers);
     BOOST_TEST(terms.id == "r1");
     BOOST_TEST((terms.deadline == 4s));
     BOOST_TEST(terms.key.value() == 65'535U);
@@ -261,23 +263,23 @@
     for (const std::string key : {"65536", "-1", "1x", ""}) {
         const std::vector<io::HttpHeader> headers = {{"X-Bulrushswitch-Shard-Key", key},
                                                      {"X-Bulrushswitch-Deadline-Ms", key}};
-        BOOST_TEST(!requestTerms(headers).key.has_value());
+        BOOST_TEST(!requestMetadata(headers).key.has_value());
     }
 }
 
 BOOST_AUTO_TEST_CASE(detectsAnswersToRequestsThatDidNotRun)
 {
     const ServerName target{"i-1"};
-    BOOST_TEST(answerTerms(421, {}, target).isNotRun);
-    BOOST_TEST(!answerTerms(421, {}, target).isReplaced);
+    BOOST_TEST(answerMetadata(421, {}, target).isNotRun);
+    BOOST_TEST(!answerMetadata(421, {}, target).isReplaced);
     const std::vector<io::HttpHeader> other = {{"X-Bulrushswitch-Instance-Id", "i-2"}};
-    BOOST_TEST(answerTerms(421, other, target).isReplaced);
+    BOOST_TEST(answerMetadata(421, other, target).isReplaced);
     const std::vector<io::HttpHeader> same = {{"X-Bulrushswitch-Instance-Id", "i-1"}};
-    BOOST_TEST(!answerTerms(421, same, target).isReplaced);
-    BOOST_TEST(!answerTerms(503, {}, target).isNotRun);
+    BOOST_TEST(!answerMetadata(421, same, target).isReplaced);
+    BOOST_TEST(!answerMetadata(503, {}, target).isNotRun);
     const std::vector<io::HttpHeader> headers = {{"X-Bulrushswitch-Not-Executed", "1"},
                                                  {"X-Bulrushswitch-Server-Load", "3, 5,3"}};
-    BOOST_TEST(answerTerms(503, headers, target).isNotRun);
+    BOOST_TEST(answerMetadata(503, headers, target).isNotRun);
     BOOST_TEST((serverLoad(headers) == ServerLoad{3, 5, 3}));
     const std::vector<io::HttpHeader> wrong = {{"X-Bulrushswitch-Server-Load", "3,x,3"}};
     BOOST_TEST(!serverLoad(wrong).has_value());
--- a/tests/platformadapter/test_storeclient.cpp
+++ b/tests/platformadapter/test_storeclient.cpp
@@ -102,7 +102,7 @@
     BOOST_TEST(changed.rows[0].isRemoved);
     BOOST_TEST(changed.version > initialCommit.version);
     control(R"({"dropHistory":true})");
-    BOOST_TEST(follow(initialCommit.version, 1s).error == StoreError::HistoryGone);
+    BOOST_TEST(follow(initialCommit.version, 1s).error == StoreError::HistoryExpired);
 }
 
 BOOST_FIXTURE_TEST_CASE(distinguishesNotExecutedFromUnknown, Fixture)
@@ -111,8 +111,8 @@
         control(R"({"faults":{"entrance":"one",)" + faults + "}}");
         return commit({{"x", 0, "1"}}).error;
     };
-    BOOST_TEST(commitWith(R"("mode":"busy")") == StoreError::NotDone);
-    BOOST_TEST(commitWith(R"("mode":"many")") == StoreError::NotDone);
+    BOOST_TEST(commitWith(R"("mode":"busy")") == StoreError::NotExecuted);
+    BOOST_TEST(commitWith(R"("mode":"many")") == StoreError::NotExecuted);
     BOOST_TEST(commitWith(R"("mode":"reset")") == StoreError::Unknown);
     BOOST_TEST(commitWith(R"("mode":"silent")") == StoreError::Unknown);
     BOOST_TEST(commitWith(R"("mode":"ok","loseAnswers":1)") == StoreError::Unknown);
@@ -123,5 +123,5 @@
     // Lets the client detect that its idle connections were closed.
     loop.restart();
     loop.run_for(100ms);
-    BOOST_TEST(commit({{"y", 0, "1"}}).error == StoreError::NotDone);
+    BOOST_TEST(commit({{"y", 0, "1"}}).error == StoreError::NotExecuted);
 }
--- a/tests/platformclient/test_platformclient.cpp
+++ b/tests/platformclient/test_platformclient.cpp
@@ -99,7 +99,7 @@
     faults(R"({"listener":"a","loseAnswers":1})");
     BOOST_TEST(errorOf<Unknown>(transact(write("r2", 1)))
                == make_error_code(PlatformError::ConnectionLost));
-    BOOST_TEST(std::holds_alternative<SettledMine>(settle(write("r2", 1))));
+    BOOST_TEST(std::holds_alternative<SettledCommitted>(settle(write("r2", 1))));
     BOOST_TEST(errorOf<Unknown>(transact(write("r2", 1)))
                == make_error_code(PlatformError::AlreadyApplied));
     BOOST_TEST(read({"t", "k"}).rows.at(0).version == 2U);
@@ -121,7 +121,7 @@
     BOOST_TEST(std::get<StillUnknown>(unchanged).error
                == make_error_code(PlatformError::RowsUnchanged));
     transact(write("r9", 0, "you"));
-    BOOST_TEST(std::holds_alternative<SettledOther>(settle(write("r1", 0))));
+    BOOST_TEST(std::holds_alternative<SettledSuperseded>(settle(write("r1", 0))));
 }
 
 BOOST_AUTO_TEST_CASE(a_slow_platform_leaves_it_unknown)
--- a/tests/platformclient/test_platformoutcome.cpp
+++ b/tests/platformclient/test_platformoutcome.cpp
@@ -44,7 +44,7 @@
 
 std::string outcomeOf(const HttpResult &result)
 {
-    return wordOf(transactOutcomeFrom(transaction(0), result));
+    return wordOf(decodeTransactOutcome(transaction(0), result));
 }
 
 std::string word(const std::string &kind, PlatformError error)
@@ -57,7 +57,7 @@
     Transaction other;
     other.id = TransactionId{request};
     other.writer = Incarnation{writer};
-    return {place, version, markedValue(Json::objectValue, other)};
+    return {place, version, withTransactionMark(Json::objectValue, other)};
 }
 
 std::string settled(const Transaction &sent, const TableRow &seen)
@@ -150,9 +150,9 @@
 {
     const std::vector<RowId> ids{place};
     const std::string body = R"({"rows":[{"table":"t","key":"k","version":0,"value":null}]})";
-    BOOST_TEST(!readRowsFrom(ids, answer(200, body)).error);
-    BOOST_TEST(readRowsFrom(ids, answer(200, R"({"rows":[]})")).error
+    BOOST_TEST(!decodeReadResult(ids, answer(200, body)).error);
+    BOOST_TEST(decodeReadResult(ids, answer(200, R"({"rows":[]})")).error
                == make_error_code(PlatformError::BadAnswer));
-    BOOST_TEST(readRowsFrom(ids, answer(503, body)).error
+    BOOST_TEST(decodeReadResult(ids, answer(503, body)).error
                == make_error_code(PlatformError::Unavailable));
 }
--- a/tests/requestqueue/test_requestqueue.cpp
+++ b/tests/requestqueue/test_requestqueue.cpp
@@ -43,7 +43,7 @@
     {
         KeyAssignment assignment{keyed, 1, {}};
         assignment.ranges = {{{0, 999}, ServerName{first}, 1, "", {}, 0},
-                             {{1000, keyPlaces - 1}, ServerName{second}, 1, "", {}, 0}};
+                             {{1000, keyPositionCount - 1}, ServerName{second}, 1, "", {}, 0}};
         state.assignments[keyed] = std::make_shared<const KeyAssignment>(assignment);
     }
 
@@ -60,7 +60,7 @@
         return made;
     }
 
-    WaitingRequest keyedRequest(KeyPlace key, Instant now)
+    WaitingRequest keyedRequest(KeyPosition key, Instant now)
     {
         WaitingRequest made = request(keyed, now);
         made.key = key;
@@ -87,8 +87,8 @@
     /** Records that the server answered a request while \a waiting others were queued there. */
     void answer(const std::string &id, Instant now, std::uint32_t waiting = 3)
     {
-        gauges.attemptEnded(ServerName{id}, AttemptSign::Served, 200ms, ServerLoad{3, waiting, 3},
-                            now);
+        gauges.attemptEnded(ServerName{id}, AttemptOutcome::Served, 200ms,
+                            ServerLoad{3, waiting, 3}, now);
     }
 };
 
@@ -127,25 +127,25 @@
     // Independent of when the drain was detected: the second half of the bound of two seconds is
     // for the connection and the link.
     BOOST_TEST(dispatch(start + 1001ms).empty());
-    BOOST_TEST((picker.lastSend(state.servers[keyed][0]) == start + 1500ms));
+    BOOST_TEST((picker.maxSendAge(state.servers[keyed][0]) == start + 1500ms));
 }
 
 BOOST_FIXTURE_TEST_CASE(noServerIsUsedWithOutdatedRoutingDataWhileStoreAnswers, Fixture)
 {
-    picker.setKnowledge({start, false});
+    picker.setDataFreshness({start, false});
     queue.add(request(plain, start));
     BOOST_TEST(dispatch(start + 1400ms).at(1) == "p1");
-    BOOST_TEST((picker.lastSend(state.servers[plain][0]) == start + 1500ms));
+    BOOST_TEST((picker.maxSendAge(state.servers[plain][0]) == start + 1500ms));
     queue.add(request(plain, start + 1400ms));
     queue.add(keyedRequest(5, start + 1400ms));
     std::map<std::uint64_t, GiveUpReason> givenUpReasons;
     BOOST_TEST(dispatch(start + 1401ms, &givenUpReasons).empty());
     BOOST_TEST(givenUpReasons.empty());
     // Requests are sent after newer data is received, or if the store is known to be unreachable.
-    picker.setKnowledge({start + 1300ms, false});
+    picker.setDataFreshness({start + 1300ms, false});
     BOOST_TEST(dispatch(start + 1410ms).size() == 2U);
     queue.add(request(plain, start + 5s));
-    picker.setKnowledge({start + 1300ms, true});
+    picker.setDataFreshness({start + 1300ms, true});
     BOOST_TEST(dispatch(start + 5s).size() == 1U);
     // A server that is known to drain is not used in either case.
     state.servers[keyed][1].drainsAfter = start + 1300ms;
@@ -195,7 +195,8 @@
         queue.add(keyedRequest(5, now));
         dispatch(now);
         now += 333ms;
-        gauges.attemptEnded(ServerName{"c1"}, AttemptSign::Served, 666ms, ServerLoad{3, 3, 3}, now);
+        gauges.attemptEnded(ServerName{"c1"}, AttemptOutcome::Served, 666ms, ServerLoad{3, 3, 3},
+                            now);
     }
     for (int i = 0; i < 20; ++i)
         queue.add(keyedRequest(5, now));
@@ -230,7 +231,8 @@
 {
     for (int i = 0; i < 2; ++i) {
         gauges.attemptStarted(ServerName{"c1"}, start);
-        gauges.attemptEnded(ServerName{"c1"}, AttemptSign::Unreached, 400ms, std::nullopt, start);
+        gauges.attemptEnded(ServerName{"c1"}, AttemptOutcome::Unreached, 400ms, std::nullopt,
+                            start);
     }
     queue.add(keyedRequest(5, start));
     std::map<std::uint64_t, GiveUpReason> givenUpReasons;
@@ -281,7 +283,7 @@
     Instant now = start;
     for (int i = 0; i < 8; ++i, now += 500ms) {
         gauges.attemptStarted(ServerName{"c1"}, now);
-        gauges.attemptEnded(ServerName{"c1"}, AttemptSign::Served, 400ms, ServerLoad{3, 8, 3},
+        gauges.attemptEnded(ServerName{"c1"}, AttemptOutcome::Served, 400ms, ServerLoad{3, 8, 3},
                             now + 400ms);
     }
     // Its window is one request in four seconds, and its earlier completions have decayed.
--- a/tests/requestqueue/test_servergauges.cpp
+++ b/tests/requestqueue/test_servergauges.cpp
@@ -47,7 +47,7 @@
         gauges.setDaemonCount(daemons);
         // Each daemon finds the server idle at first, and fills its own window at once.
         gauges.attemptStarted(server, start);
-        gauges.attemptEnded(server, AttemptSign::Served, 100ms, std::nullopt, start);
+        gauges.attemptEnded(server, AttemptOutcome::Served, 100ms, std::nullopt, start);
         sent += fill(gauges, start + 10ms);
     }
     BOOST_TEST(sent <= 10);
@@ -60,13 +60,13 @@
 {
     ServerGauges gauges;
     gauges.attemptStarted(server, start);
-    gauges.attemptEnded(server, AttemptSign::Served, 100ms, ServerLoad{3, 0, 3}, start);
+    gauges.attemptEnded(server, AttemptOutcome::Served, 100ms, ServerLoad{3, 0, 3}, start);
     const double before = gauges.completionRate(server, start);
     gauges.attemptStarted(server, start);
     BOOST_TEST(gauges.completionRate(server, start + 2s) < before / 5);
     // After an answer to a later request, the first one is still pending.
     gauges.attemptStarted(server, start + 1900ms);
-    gauges.attemptEnded(server, AttemptSign::Served, 100ms, ServerLoad{3, 0, 3}, start + 2s);
+    gauges.attemptEnded(server, AttemptOutcome::Served, 100ms, ServerLoad{3, 0, 3}, start + 2s);
     BOOST_TEST(gauges.completionRate(server, start + 9s) < before / 5);
 }
 
@@ -75,13 +75,13 @@
     ServerGauges gauges;
     for (int i = 0; i < 20; ++i) {
         fill(gauges, start);
-        gauges.attemptEnded(server, AttemptSign::Served, 100ms, ServerLoad{3, 0, 3}, start);
+        gauges.attemptEnded(server, AttemptOutcome::Served, 100ms, ServerLoad{3, 0, 3}, start);
     }
     const int wide = gauges.inFlight(server) + fill(gauges, start);
     BOOST_TEST(wide >= 5);
     BOOST_TEST(wide <= 7);
     for (int i = 0; i < 20; ++i)
-        gauges.attemptEnded(server, AttemptSign::Served, 100ms, ServerLoad{3, 8, 3}, start);
+        gauges.attemptEnded(server, AttemptOutcome::Served, 100ms, ServerLoad{3, 8, 3}, start);
     BOOST_TEST(fill(gauges, start) == 0);
     // One request at a time, after a pause.
     BOOST_TEST(fill(gauges, start + 2s) == 1);
@@ -94,7 +94,7 @@
     Duration last{};
     for (int i = 0; i < 3; ++i) {
         gauges.attemptStarted(server, now);
-        gauges.attemptEnded(server, AttemptSign::Silent, 1s, std::nullopt, now);
+        gauges.attemptEnded(server, AttemptOutcome::Silent, 1s, std::nullopt, now);
         Instant until = now;
         while (gauges.isAvoided(server, until))
             until += 50ms;
@@ -103,7 +103,7 @@
         now = until;
     }
     gauges.attemptStarted(server, now);
-    gauges.attemptEnded(server, AttemptSign::Served, 100ms, std::nullopt, now);
+    gauges.attemptEnded(server, AttemptOutcome::Served, 100ms, std::nullopt, now);
     BOOST_TEST(!gauges.isAvoided(server, now));
 }
 
@@ -112,8 +112,8 @@
     ServerGauges gauges;
     for (int i = 0; i < 12; ++i) {
         gauges.attemptStarted(server, start);
-        gauges.attemptEnded(server, i % 2 == 0 ? AttemptSign::Failed : AttemptSign::Served, 50ms,
-                            std::nullopt, start);
+        gauges.attemptEnded(server, i % 2 == 0 ? AttemptOutcome::Failed : AttemptOutcome::Served,
+                            50ms, std::nullopt, start);
     }
     BOOST_TEST(gauges.isAvoided(server, start));
 }
@@ -123,9 +123,9 @@
     ServerGauges gauges;
     for (int i = 0; i < 60; ++i) {
         gauges.attemptStarted(server, start);
-        gauges.attemptEnded(server, AttemptSign::Served, 100ms, ServerLoad{2, 0, 3}, start);
+        gauges.attemptEnded(server, AttemptOutcome::Served, 100ms, ServerLoad{2, 0, 3}, start);
         gauges.attemptStarted(server, start);
-        gauges.attemptEnded(server, AttemptSign::Served, 900ms, ServerLoad{3, 4, 3}, start);
+        gauges.attemptEnded(server, AttemptOutcome::Served, 900ms, ServerLoad{3, 4, 3}, start);
     }
     const auto time = gauges.serviceTime(server);
     BOOST_REQUIRE(time.has_value());
@@ -180,7 +180,7 @@
             const ServerLoad load{static_cast<std::uint32_t>(running.size()),
                                   static_cast<std::uint32_t>(waiting.size()), slots};
             gauges.at(ended.daemon)
-                .attemptEnded(server, AttemptSign::Served, now - ended.sentAt, load, now);
+                .attemptEnded(server, AttemptOutcome::Served, now - ended.sentAt, load, now);
         }
         for (std::size_t daemon = 0; daemon < daemons; ++daemon) {
             while (gauges.at(daemon).hasRoom(record(), now)) {
--- a/tests/routing/test_serverdirectory.cpp
+++ b/tests/routing/test_serverdirectory.cpp
@@ -29,10 +29,10 @@
 BOOST_AUTO_TEST_CASE(drainingServerIsNotReady)
 {
     ServerDirectory directory;
-    directory.take(record("one"), start, start);
+    directory.applyRecord(record("one"), start, start);
     BOOST_TEST(isReady(directory, "one"));
-    directory.take(record("one", true), start + 1s, start + 900ms);
-    directory.take(record("one", true), start + 2s, start + 2s);
+    directory.applyRecord(record("one", true), start + 1s, start + 900ms);
+    directory.applyRecord(record("one", true), start + 2s, start + 2s);
     BOOST_TEST(!isReady(directory, "one"));
     BOOST_TEST((directory.find(ServerName{"one"})->drainsAfter == start + 900ms));
 }
@@ -40,10 +40,10 @@
 BOOST_AUTO_TEST_CASE(retainsAServerAfterItsRecordIsRemoved)
 {
     ServerDirectory directory;
-    directory.take(record("one"), start, start);
+    directory.applyRecord(record("one"), start, start);
     directory.remove(ServerName{"one"}, start + 1s);
     BOOST_TEST(!isReady(directory, "one"));
-    BOOST_TEST((directory.find(ServerName{"one"})->goneSince == start + 1s));
+    BOOST_TEST((directory.find(ServerName{"one"})->removedSince == start + 1s));
     directory.advance(start + 20s);
     BOOST_TEST(directory.find(ServerName{"one"}) != nullptr);
     directory.advance(start + 40s);
@@ -53,12 +53,12 @@
 BOOST_AUTO_TEST_CASE(recordsThatExpiredInAnOutageMayReappear)
 {
     ServerDirectory directory;
-    directory.take(record("one"), start, start);
-    directory.take(record("two"), start, start);
+    directory.applyRecord(record("one"), start, start);
+    directory.applyRecord(record("two"), start, start);
     const std::vector<ServerRecord> none;
-    directory.takeAll(none, true, start + 5s, start + 5s);
+    directory.applyAll(none, true, start + 5s, start + 5s);
     BOOST_TEST(isReady(directory, "one"));
-    directory.take(record("one"), start + 6s, start + 6s);
+    directory.applyRecord(record("one"), start + 6s, start + 6s);
     BOOST_TEST(directory.advance(start + 8s));
     BOOST_TEST(isReady(directory, "one"));
     BOOST_TEST(!isReady(directory, "two"));
@@ -67,20 +67,20 @@
 BOOST_AUTO_TEST_CASE(serverWhoseAddressAnswersForAnotherHasStopped)
 {
     ServerDirectory directory;
-    directory.take(record("one"), start, start);
-    BOOST_TEST(directory.noteEnded(ServerName{"one"}, start + 1s));
-    BOOST_TEST(!directory.noteEnded(ServerName{"one"}, start + 2s));
-    directory.take(record("one"), start + 2s, start + 2s);
+    directory.applyRecord(record("one"), start, start);
+    BOOST_TEST(directory.markStopped(ServerName{"one"}, start + 1s));
+    BOOST_TEST(!directory.markStopped(ServerName{"one"}, start + 2s));
+    directory.applyRecord(record("one"), start + 2s, start + 2s);
     BOOST_TEST(!isReady(directory, "one"));
-    BOOST_TEST(!directory.noteEnded(ServerName{"nobody"}, start));
+    BOOST_TEST(!directory.markStopped(ServerName{"nobody"}, start));
 }
 
 BOOST_AUTO_TEST_CASE(withoutAnOutageAMissingServerIsRemovedAtOnce)
 {
     ServerDirectory directory;
-    directory.take(record("one"), start, start);
+    directory.applyRecord(record("one"), start, start);
     const std::vector<ServerRecord> others{record("two")};
-    directory.takeAll(others, false, start + 1s, start + 1s);
+    directory.applyAll(others, false, start + 1s, start + 1s);
     BOOST_TEST(!isReady(directory, "one"));
     BOOST_TEST(isReady(directory, "two"));
 }
@@ -93,17 +93,17 @@
         return result;
     };
     ServerDirectory directory;
-    directory.take(record("two"), start, start);
-    directory.take(run("one@1"), start, start);
-    directory.take(run("one@2"), start + 1s, start + 1s);
+    directory.applyRecord(record("two"), start, start);
+    directory.applyRecord(run("one@1"), start, start);
+    directory.applyRecord(run("one@2"), start + 1s, start + 1s);
     BOOST_TEST(!isReady(directory, "one@1"));
     BOOST_TEST(isReady(directory, "one@2"));
     BOOST_TEST(isReady(directory, "two"));
     BOOST_TEST(directory.latestRunOf(ServerName{"one@1"})->record.id.value() == "one@2");
-    directory.take(run("one@3"), start + 2s, start + 2s);
+    directory.applyRecord(run("one@3"), start + 2s, start + 2s);
     BOOST_TEST(directory.latestRunOf(ServerName{"one@1"})->record.id.value() == "one@3");
     // An outdated record of the first run changes nothing.
-    directory.take(run("one@1"), start + 3s, start + 3s);
+    directory.applyRecord(run("one@1"), start + 3s, start + 3s);
     BOOST_TEST(!isReady(directory, "one@1"));
     BOOST_TEST(isReady(directory, "one@3"));
     directory.remove(ServerName{"one"}, start + 4s);
--- a/tests/rowsworld/rowssimulation.cpp
+++ b/tests/rowsworld/rowssimulation.cpp
@@ -221,14 +221,14 @@
     const FollowStep nextStep =
         daemon.plan->next({table.hasRows, confirmation(tableIndex).has_value()}, m_now);
     const std::uint64_t startNumber = daemon.startNumber;
-    if (const auto *later = std::get_if<AskLater>(&nextStep)) {
+    if (const auto *later = std::get_if<RetryLater>(&nextStep)) {
         after(later->after, [this, index, startNumber, tableIndex] {
             if (m_daemons[index]->startNumber == startNumber && m_daemons[index]->isUp)
                 handle(index, [this, index, tableIndex] { runNextStep(index, tableIndex); });
         });
         return;
     }
-    if (const auto *ask = std::get_if<AskReader>(&nextStep)) {
+    if (const auto *ask = std::get_if<QueryReader>(&nextStep)) {
         table.isFirstStoreCall = true;
         table.source = ask->reader.address.port;
         askReader(index, tableIndex, table.source, false);
@@ -243,7 +243,7 @@
     Table &table = daemon.tables[tableIndex];
     table.source = index;
     table.chainLength = 0;
-    const std::array<Duration, tableCount> waits{10s, m_budget.readerWait(), 10s};
+    const std::array<Duration, tableCount> waits{10s, m_budget.readerPollTimeout(), 10s};
     const Duration wait = waits.at(tableIndex);
     const bool isUrgent =
         std::exchange(table.isFirstStoreCall, false) || daemon.plan->isStoreFailing();
@@ -263,7 +263,7 @@
     };
     const auto fail = [=, this] {
         if (isSame())
-            handle(index, [=, this] { storeFailed(index, tableIndex, isConfirmation); });
+            handle(index, [=, this] { recordStoreFailure(index, tableIndex, isConfirmation); });
     };
     if (daemon.store == StoreState::Refusing) {
         after(2 * randomLatency(), fail);
@@ -291,7 +291,7 @@
             [=, this] {
                 if (isSame())
                     handle(index, [=, this] {
-                        storeAnswered(index, tableIndex, givenAt, version, isConfirmation);
+                        recordStoreAnswer(index, tableIndex, givenAt, version, isConfirmation);
                     });
             },
             std::make_shared<const PendingRequest>());
@@ -315,12 +315,12 @@
     });
 }
 
-void RowsSimulation::storeAnswered(std::size_t index, std::size_t tableIndex, Instant givenAt,
-                                   std::uint64_t version, bool isConfirmation)
+void RowsSimulation::recordStoreAnswer(std::size_t index, std::size_t tableIndex, Instant givenAt,
+                                       std::uint64_t version, bool isConfirmation)
 {
     Daemon &daemon = *m_daemons[index];
     Table &table = daemon.tables[tableIndex];
-    daemon.plan->storeAnswered();
+    daemon.plan->recordStoreAnswer();
     table.hasRows = true;
     table.isFailing = false;
     table.confirmedAt = std::max(table.confirmedAt, givenAt);
@@ -344,11 +344,12 @@
     });
 }
 
-void RowsSimulation::storeFailed(std::size_t index, std::size_t tableIndex, bool isConfirmation)
+void RowsSimulation::recordStoreFailure(std::size_t index, std::size_t tableIndex,
+                                        bool isConfirmation)
 {
     Daemon &daemon = *m_daemons[index];
     Table &table = daemon.tables[tableIndex];
-    daemon.plan->storeFailed(m_now);
+    daemon.plan->recordStoreFailure(m_now);
     if (isConfirmation) {
         table.isConfirming = false;
         return;
@@ -378,7 +379,7 @@
             return;
         handle(index, [=, this] {
             if (std::exchange(pending->isOpen, false))
-                readerFailed(index, tableIndex, reader, isAlternate, ReaderFailure::Silent);
+                recordReaderFailure(index, tableIndex, reader, isAlternate, ReaderFailure::Silent);
         });
     });
     if (isRefused || !isReachable(daemon, asked))
@@ -446,7 +447,8 @@
     };
     if (!isServing(daemon) || (hasWaited && !isFresh(daemon, held.table))) {
         answer([this, index, held] {
-            readerFailed(held.from, held.table, index, held.isAlternate, ReaderFailure::Refused);
+            recordReaderFailure(held.from, held.table, index, held.isAlternate,
+                                ReaderFailure::Refused);
         });
         return true;
     }
@@ -454,9 +456,10 @@
     if (!isFresh(daemon, held.table) || (!isNewer && !hasWaited))
         return false;
     const std::size_t bytes = bytesOf(held.table, held.version, rows.version);
-    if (!daemon.link.take(bytes + baseAnswerBytes, m_now)) {
+    if (!daemon.link.tryReserve(bytes + baseAnswerBytes, m_now)) {
         answer([this, index, held] {
-            readerFailed(held.from, held.table, index, held.isAlternate, ReaderFailure::Busy);
+            recordReaderFailure(held.from, held.table, index, held.isAlternate,
+                                ReaderFailure::Busy);
         });
         return true;
     }
@@ -476,7 +479,7 @@
     const unsigned chainLength = rows.chainLength + 1;
     constexpr unsigned maxChainLength = 4;
     if (!isAlternate && chainLength > maxChainLength) {
-        readerFailed(index, tableIndex, reader, false, ReaderFailure::Refused);
+        recordReaderFailure(index, tableIndex, reader, false, ReaderFailure::Refused);
         return;
     }
     const bool isNew = rows.version >= table.version
@@ -489,7 +492,7 @@
     }
     if (!isAlternate) {
         table.chainLength = chainLength;
-        daemon.plan->readerServed(m_daemons[reader]->host);
+        daemon.plan->recordReaderSuccess(m_daemons[reader]->host);
     }
     if (isNew && tableIndex == Ownership)
         applyOwnershipRows(index);
@@ -499,8 +502,9 @@
         runNextStep(index, tableIndex);
 }
 
-void RowsSimulation::readerFailed(std::size_t index, std::size_t tableIndex, std::size_t reader,
-                                  bool isAlternate, ReaderFailure failure)
+void RowsSimulation::recordReaderFailure(std::size_t index, std::size_t tableIndex,
+                                         std::size_t reader, bool isAlternate,
+                                         ReaderFailure failure)
 {
     Daemon &daemon = *m_daemons[index];
     Table &table = daemon.tables[tableIndex];
@@ -508,14 +512,14 @@
     if (isAlternate) {
         --table.pendingAlternates;
         if (failure != ReaderFailure::Busy)
-            daemon.plan->readerFailed(host, ReaderFailure::Refused, m_now);
+            daemon.plan->recordReaderFailure(host, ReaderFailure::Refused, m_now);
         return;
     }
     if (failure == ReaderFailure::Busy && !daemon.plan->isStoreFailing()) {
         followStore(index, tableIndex);
         return;
     }
-    daemon.plan->readerFailed(host, failure, m_now);
+    daemon.plan->recordReaderFailure(host, failure, m_now);
     runNextStep(index, tableIndex);
 }
 
@@ -544,7 +548,7 @@
     const Table &table = daemon.tables[tableIndex];
     if (!table.hasRows || table.isFailing || table.isConfirming)
         return;
-    const std::array<Duration, tableCount> readerConfirmsAfter{1s, m_budget.askBesideAfter(),
+    const std::array<Duration, tableCount> readerConfirmsAfter{1s, m_budget.askAlternatesAfter(),
                                                                m_configBudget.readerConfirmAfter()};
     const auto confirmed = confirmation(tableIndex);
     const Duration age = m_now - table.confirmedAt;
@@ -555,12 +559,12 @@
         return;
     if (!isAtStore && table.pendingAlternates == 0) {
         for (const RowsReader &reader :
-             daemon.plan->readersBeside(m_daemons[table.source]->host, m_now))
+             daemon.plan->alternateReaders(m_daemons[table.source]->host, m_now))
             askReader(index, tableIndex, reader.address.port, true);
     }
     if (!isAtStore && table.pendingAlternates > 0 && age < confirmed->askStoreAfter)
         return;
-    if (!daemon.plan->mayAskStore(m_now))
+    if (!daemon.plan->mayCallStore(m_now))
         return;
     if (std::ranges::any_of(daemon.tables, &Table::isConfirming))
         return;
@@ -572,9 +576,10 @@
 RowsSimulation::confirmation(std::size_t table) const
 {
     if (table == Servers)
-        return ConfirmationDelays{m_budget.askBesideAfter(), m_budget.confirmAfter()};
+        return ConfirmationDelays{m_budget.askAlternatesAfter(), m_budget.confirmAfter()};
     if (table == Config)
-        return ConfirmationDelays{m_configBudget.askBesideAfter(), m_configBudget.confirmAfter()};
+        return ConfirmationDelays{m_configBudget.askAlternatesAfter(),
+                                  m_configBudget.confirmAfter()};
     return std::nullopt;
 }
 
--- a/tests/rowsworld/rowssimulation.h
+++ b/tests/rowsworld/rowssimulation.h
@@ -127,17 +127,17 @@
     void followStore(std::size_t index, std::size_t table);
     void awaitAnswer(const std::shared_ptr<PendingRequest> &pending, Callback timedOut);
     void askStore(std::size_t index, std::size_t table, Duration wait, bool isConfirmation);
-    void storeAnswered(std::size_t index, std::size_t table, Instant givenAt, std::uint64_t version,
-                       bool isConfirmation);
-    void storeFailed(std::size_t index, std::size_t table, bool isConfirmation);
+    void recordStoreAnswer(std::size_t index, std::size_t table, Instant givenAt,
+                           std::uint64_t version, bool isConfirmation);
+    void recordStoreFailure(std::size_t index, std::size_t table, bool isConfirmation);
     void askReader(std::size_t index, std::size_t table, std::size_t reader, bool isAlternate);
     void receiveRequest(std::size_t index, HeldRequest held);
     void answerHeldRequests(std::size_t index);
     bool tryAnswer(std::size_t index, const HeldRequest &held);
     void readerAnswered(std::size_t index, std::size_t table, std::size_t reader, bool isAlternate,
                         const Table &rows);
-    void readerFailed(std::size_t index, std::size_t table, std::size_t reader, bool isAlternate,
-                      ReaderFailure failure);
+    void recordReaderFailure(std::size_t index, std::size_t table, std::size_t reader,
+                             bool isAlternate, ReaderFailure failure);
     void checkDaemon(std::size_t index);
     void checkTable(std::size_t index, std::size_t table);
     void registerDaemon(std::size_t index);
--- a/tests/rowsworld/test_rowsworld.cpp
+++ b/tests/rowsworld/test_rowsworld.cpp
@@ -20,7 +20,7 @@
 /** Calls per second of the one reader of each failure domain while nothing fails. */
 constexpr std::uint64_t callsPerReaderAndSecond = 3;
 /** Maximum age of the data by which servers may be used, for a drain time of three seconds. */
-constexpr Duration maxAllowedAge = DrainBudget{3s}.unconfirmedUse();
+constexpr Duration maxAllowedAge = DrainBudget{3s}.maxUnconfirmedAge();
 /** Time within which a configuration must be in force if the drain time is three seconds. */
 constexpr Duration configTimeLimit = 3s;
 
@@ -156,7 +156,7 @@
         // Each daemon confirms its rows and tries the store once; meanwhile those that may be
         // readers read from it.
         const std::uint64_t reading =
-            domains * ReaderChoice::mostReaders * callsPerReaderAndSecond * 4;
+            domains * ReaderChoice::maxReaders * callsPerReaderAndSecond * 4;
         BOOST_TEST(simulation.storeCallCount() - before <= 2 * simulation.daemonCount() + reading);
         for (std::size_t i = 0; i < simulation.daemonCount(); ++i)
             simulation.setStore(i, StoreState::Answering);
--- a/tests/serverclient/test_serverclient.cpp
+++ b/tests/serverclient/test_serverclient.cpp
@@ -92,7 +92,7 @@
     for (int i = 0; i < 5; ++i)
         BOOST_TEST(send(call(server, std::to_string(i))).response.body == "ok");
     BOOST_TEST(server.connections() == 1);
-    BOOST_TEST(client.openedCount() == 1U);
+    BOOST_TEST(client.openedConnectionCount() == 1U);
 }
 
 BOOST_FIXTURE_TEST_CASE(neverResendsRequest, Fixture)
@@ -249,12 +249,12 @@
                               co_await timer.async_wait(asio::use_awaitable);
                               co_await ScriptedServer::write(socket, answer.substr(20));
                           }};
-    for (const Duration answerWithin : {Duration{0ms}, Duration{testTimeout}}) {
+    for (const Duration answerTimeout : {Duration{0ms}, Duration{testTimeout}}) {
         ServerCall serverCall = call(server, "one");
         serverCall.timeout = 200ms;
-        serverCall.answerWithin = answerWithin;
+        serverCall.answerTimeout = answerTimeout;
         const HttpResult result = send(std::move(serverCall));
-        if (answerWithin == Duration::zero())
+        if (answerTimeout == Duration::zero())
             BOOST_TEST(result.error == TransportError::TimedOut);
         else
             BOOST_TEST(result.response.body == "a long answer");
@@ -327,7 +327,7 @@
                               hasHead = buffer.find("late") != std::string::npos;
                           }};
     ServerCall late = call(server, "late", "body");
-    late.sendBy = hostNow() - 1ms;
+    late.sendDeadline = hostNow() - 1ms;
     const HttpResult result = send(std::move(late));
     BOOST_TEST(result.error == TransportError::TimedOut);
     BOOST_TEST((result.stage == TransferStage::NotConnected));
@@ -349,14 +349,16 @@
         serverCall.run = run;
         BOOST_TEST(!send(std::move(serverCall)).error);
     }
-    BOOST_TEST(client.openedCount() == 2U);
+    BOOST_TEST(client.openedConnectionCount() == 2U);
 }
 
 BOOST_FIXTURE_TEST_CASE(reportsConnectionEvents, Fixture)
 {
     std::vector<std::string> events;
-    client.setLinkHandler([&](const std::string &run, ServerClient::Link link) {
-        events.push_back(run + (link == ServerClient::Link::Made ? " made" : " lost"));
+    client.setConnectionEventHandler([&](const std::string &run,
+                                         ServerClient::ConnectionEvent event) {
+        events.push_back(run
+                         + (event == ServerClient::ConnectionEvent::Connected ? " made" : " lost"));
     });
     ScriptedServer server{loop, [this](Socket &socket, int) -> asio::awaitable<void> {
                               asio::steady_timer timer{loop, 100ms};
@@ -365,18 +367,18 @@
                           }};
     ServerCall like = call(server, "x");
     like.run = "i@1";
-    client.keepConnected(like);
-    client.keepConnected(like);
+    client.ensureConnected(like);
+    client.ensureConnected(like);
     run([&] { return !events.empty(); });
-    client.keepConnected(like);
-    BOOST_TEST(client.openedCount() == 1U);
+    client.ensureConnected(like);
+    BOOST_TEST(client.openedConnectionCount() == 1U);
     run([&] { return events.size() == 2; });
     BOOST_TEST(events[0] == "i@1 made");
     BOOST_TEST(events[1] == "i@1 lost");
     // A connection that can't be established is reported as lost, too.
     like.server.port = 1;
     like.run = "i@2";
-    client.keepConnected(like);
+    client.ensureConnected(like);
     run([&] { return events.size() == 3; });
     BOOST_TEST(events[2] == "i@2 lost");
 }
--- a/tests/settingsreader/test_settingsreader.cpp
+++ b/tests/settingsreader/test_settingsreader.cpp
@@ -18,7 +18,7 @@
 const std::filesystem::path sourceFolder{BULRUSH_SOURCE_DIR};
 
 /** Reads files by relative path, so that problems contain the same paths on every machine. */
-SettingsReading readInvalid(const std::string &name)
+SettingsResult readInvalid(const std::string &name)
 {
     std::filesystem::current_path(sourceFolder / "tests/settingsreader/wrong");
     return readSettings(name + ".yaml");
@@ -26,7 +26,7 @@
 
 void checkInvalid(const std::string &name, ConfigError error)
 {
-    const SettingsReading reading = readInvalid(name);
+    const SettingsResult reading = readInvalid(name);
     BOOST_CHECK_EQUAL(reading.error, make_error_code(error));
     BOOST_TEST(!reading.problems.empty());
 
--- a/tests/standins/keyed/keyedserver.cpp
+++ b/tests/standins/keyed/keyedserver.cpp
@@ -36,12 +36,12 @@
     return request->header().get_field_or(name, std::string{});
 }
 
-std::optional<KeyPlace> keyOf(const RequestHandle &request)
+std::optional<KeyPosition> keyOf(const RequestHandle &request)
 {
     const std::string text = fieldOf(request, keyField);
-    KeyPlace key = 0;
+    KeyPosition key = 0;
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), key);
-    if (text.empty() || error != std::errc{} || key >= keyPlaces)
+    if (text.empty() || error != std::errc{} || key >= keyPositionCount)
         return std::nullopt;
     return key;
 }
@@ -71,7 +71,7 @@
 KeyedServer::KeyedServer(asio::io_context &loop, KeyedSettings settings)
     : m_loop(loop)
     , m_settings(std::move(settings))
-    , m_leases(keyPlaces, m_settings.clockPpm)
+    , m_leases(keyPositionCount, m_settings.clockPpm)
     , m_listener(std::make_unique<Listener>(
           loop, m_settings.listener, [this](const RequestHandle &request) { serve(request); },
           [](ConnectionGate::ConnectionId) {}))
--- a/tests/standins/keyed/keyedserver.h
+++ b/tests/standins/keyed/keyedserver.h
@@ -68,7 +68,7 @@
     {
         RequestHandle request;
         std::string requestId;
-        std::optional<KeyPlace> key;
+        std::optional<KeyPosition> key;
         std::size_t run = 0;
     };
 
--- a/tests/standins/keyed/leasetable.h
+++ b/tests/standins/keyed/leasetable.h
@@ -21,8 +21,8 @@
 public:
     /**
      * Keeps only \a cells keys, evenly spread, each standing for those around it: few make a search
-     * fast, keyPlaces make the table exact. \a clockPpm is how much slower than true time the
-     * server's clock runs.
+     * fast, keyPositionCount make the table exact. \a clockPpm is how much slower than true time
+     * the server's clock runs.
      */
     explicit LeaseTable(std::size_t cells, std::int64_t clockPpm = 0);
 
@@ -39,7 +39,7 @@
     std::uint64_t fenceOf(std::size_t cell) const;
 
     /** \returns the key that \a cell keeps. */
-    KeyPlace keyOf(std::size_t cell) const;
+    KeyPosition keyOf(std::size_t cell) const;
 
     /** \returns the cells whose keys \a range has: the first, and the one after the last. */
     std::pair<std::size_t, std::size_t> cellsOf(const KeyRange &range) const;
@@ -52,7 +52,7 @@
         Instant until;
     };
 
-    KeyPlace m_keysPerCell;
+    KeyPosition m_keysPerCell;
     std::int64_t m_clockPpm;
     std::vector<Cell> m_cells;
 };
