--- a/src/libbulrush/process/candidatechoice.cpp
+++ b/src/libbulrush/process/candidatechoice.cpp
@@ -6,18 +6,19 @@
 
 namespace {
 
-bool holds(std::span<const StewardCandidate> candidates, const Incarnation &incarnation)
+bool containsIncarnation(std::span<const StewardCandidate> candidates,
+                         const Incarnation &incarnation)
 {
     return std::ranges::find(candidates, incarnation, &StewardCandidate::incarnation)
         != candidates.end();
 }
 
-void addIfWanted(std::vector<StewardCandidate> &chosen, const DomainName &domain,
-                 const StewardCandidate &peer)
+void addWithinLimit(std::vector<StewardCandidate> &chosen, const DomainName &domain,
+                    const StewardCandidate &peer)
 {
-    if (holds(chosen, peer.incarnation))
+    if (containsIncarnation(chosen, peer.incarnation))
         return;
-    const auto limit = peer.domain == domain ? ownDomainCandidates : otherDomainCandidates;
+    const auto limit = peer.domain == domain ? maxOwnDomainCandidates : maxOtherDomainCandidates;
     const auto count = std::ranges::count(chosen, peer.domain, &StewardCandidate::domain);
     if (static_cast<std::size_t>(count) < limit)
         chosen.push_back(peer);
@@ -31,12 +32,12 @@
 {
     std::vector<StewardCandidate> chosen;
     for (const StewardCandidate &peer : current) {
-        if (peer.incarnation != self && holds(peers, peer.incarnation))
-            addIfWanted(chosen, domain, peer);
+        if (peer.incarnation != self && containsIncarnation(peers, peer.incarnation))
+            addWithinLimit(chosen, domain, peer);
     }
     for (const StewardCandidate &peer : peers) {
         if (peer.incarnation != self)
-            addIfWanted(chosen, domain, peer);
+            addWithinLimit(chosen, domain, peer);
     }
     std::ranges::sort(chosen, {}, &StewardCandidate::incarnation);
     return chosen;
--- a/src/libbulrush/process/candidatechoice.h
+++ b/src/libbulrush/process/candidatechoice.h
@@ -7,17 +7,17 @@
 
 namespace bulrush {
 
-/** Candidates named in the failure domain that the row is about, the steward not counted. */
-constexpr std::size_t ownDomainCandidates = 2;
-/** Candidates that a steward names in each other failure domain. */
-constexpr std::size_t otherDomainCandidates = 1;
+/** Maximum number of candidates in the failure domain of the row, not counting the leader. */
+constexpr std::size_t maxOwnDomainCandidates = 2;
+/** Maximum number of candidates in each other failure domain. */
+constexpr std::size_t maxOtherDomainCandidates = 1;
 
 /**
- * Chooses whom the steward \a self of \a domain names as candidates: of \a current those that still
- * live, and in the place of the others the first of \a peers.
+ * Chooses the candidates that the leader \a self of \a domain names: those of \a current that are
+ * still alive, then the first of \a peers for the remaining places.
  *
- * Each candidate must promise when the platform is out, so that more of them make the stewardship
- * easier to take up after a loss and easier to lose in an outage.
+ * Every candidate has to give promises during a platform outage. More candidates therefore make a
+ * takeover after a loss easier, but the leadership easier to lose in an outage.
  *
  * \returns the candidates, sorted by incarnation, so that equal choices compare equal.
  */
--- a/src/libbulrush/process/rowwatch.cpp
+++ b/src/libbulrush/process/leaderrowobserver.cpp
@@ -1,14 +1,14 @@
-#include "process/rowwatch.h"
+#include "process/leaderrowobserver.h"
 
 #include <algorithm>
 
 namespace bulrush {
 
-RowWatch::RowWatch(std::int64_t driftPpm)
+LeaderRowObserver::LeaderRowObserver(std::int64_t driftPpm)
     : m_driftPpm(driftPpm)
 { }
 
-bool RowWatch::observe(const VersionedStewardRow &row, Instant now)
+bool LeaderRowObserver::observe(const VersionedStewardRow &row, Instant now)
 {
     if (m_row && row.version <= m_row->version)
         return false;
@@ -17,17 +17,17 @@
     return true;
 }
 
-bool RowWatch::hasRow() const
+bool LeaderRowObserver::hasRow() const
 {
     return m_row && m_row->version > 0;
 }
 
-Instant RowWatch::leaseEndedFrom() const
+Instant LeaderRowObserver::leaseEndedFrom() const
 {
     return m_seenAt + stretched(m_row->row.leaseLength, m_driftPpm);
 }
 
-Instant RowWatch::tenureEndedFrom() const
+Instant LeaderRowObserver::tenureEndedFrom() const
 {
     const StewardRow &row = m_row->row;
     if (row.isReleased)
--- a/src/libbulrush/process/promisesreceived.cpp
+++ b/src/libbulrush/process/promisesreceived.cpp
@@ -26,25 +26,25 @@
     return m_latestRoundUntil != Instant::min();
 }
 
-void PromisesReceived::ask(AskId id, Duration length, Instant now)
+void PromisesReceived::startRound(PromiseRoundId id, Duration length, Instant now)
 {
-    forgetRoundsOver(now);
+    removeExpiredRounds(now);
     m_rounds[id] = {now, length};
     m_latestRoundUntil = std::max(m_latestRoundUntil, now + shortened(length, m_driftPpm));
 }
 
-void PromisesReceived::accept(const Incarnation &candidate, AskId id)
+void PromisesReceived::recordPromise(const Incarnation &candidate, PromiseRoundId id)
 {
     const auto round = m_rounds.find(id);
     if (round == m_rounds.end())
         return;
-    const Instant until = round->second.askedAt + shortened(round->second.length, m_driftPpm);
+    const Instant until = round->second.requestedAt + shortened(round->second.length, m_driftPpm);
     const auto [known, isNew] = m_promisedUntil.try_emplace(candidate, until);
     if (!isNew)
         known->second = std::max(known->second, until);
 }
 
-void PromisesReceived::acceptResignation(const Incarnation &candidate)
+void PromisesReceived::recordResignation(const Incarnation &candidate)
 {
     m_resigned.insert(candidate);
 }
@@ -57,10 +57,10 @@
     return until;
 }
 
-void PromisesReceived::forgetRoundsOver(Instant now)
+void PromisesReceived::removeExpiredRounds(Instant now)
 {
     std::erase_if(m_rounds, [now](const auto &entry) {
-        return entry.second.askedAt + entry.second.length <= now;
+        return entry.second.requestedAt + entry.second.length <= now;
     });
 }
 
--- a/src/libbulrush/process/promisesreceived.h
+++ b/src/libbulrush/process/promisesreceived.h
@@ -9,55 +9,55 @@
 
 namespace bulrush {
 
-/** Numbers a steward's rounds of asking for promises. */
-using AskId = std::uint64_t;
+/** Identifies one round of promise requests by a leader. */
+using PromiseRoundId = std::uint64_t;
 
 /**
- * What a steward has been promised by the candidates of its epoch. A promise counts from before
- * the question was sent, however late its answer arrives. Not thread safe.
+ * The promises that a leader has received from the candidates of its epoch. A promise counts from
+ * before its request was sent, however late the answer arrives. Not thread safe.
  */
 class PromisesReceived
 {
 public:
     explicit PromisesReceived(std::int64_t driftPpm);
 
-    /** Forgets everything: promises are for one epoch. */
+    /** Removes everything, because promises apply to one epoch only. */
     void reset();
 
-    /** Forgets what was promised, but not who has resigned. */
+    /** Removes all promises, but keeps the resignations. */
     void dropPromises();
 
-    /** \returns whether a round was asked since the promises were last dropped. */
+    /** \returns whether a round was started since the promises were last dropped. */
     bool hasRounds() const;
 
-    /** Notes a round that asks for \a length and is sent at \a now. */
-    void ask(AskId id, Duration length, Instant now);
+    /** Records a round that requests \a length and is sent at \a now. */
+    void startRound(PromiseRoundId id, Duration length, Instant now);
 
-    /** Notes that \a candidate promised what round \a id asked for. An unknown round is ignored. */
-    void accept(const Incarnation &candidate, AskId id);
+    /** Records that \a candidate gave the promise of round \a id. Unknown rounds are ignored. */
+    void recordPromise(const Incarnation &candidate, PromiseRoundId id);
 
-    /** Notes that \a candidate will never campaign in this epoch. */
-    void acceptResignation(const Incarnation &candidate);
+    /** Records that \a candidate will never campaign in this epoch. */
+    void recordResignation(const Incarnation &candidate);
 
     /**
-     * \returns until when every one of \a candidates stays away: Instant::min() if one has not
-     * promised. Where none needs to promise, it lasts as long as the latest round asked for.
+     * \returns the instant until which none of \a candidates campaigns, or Instant::min() if one of
+     * them has given no promise. If none has to promise, this is the end of the latest round.
      */
     Instant coveredUntil(std::span<const StewardCandidate> candidates) const;
 
 private:
     struct Round
     {
-        Instant askedAt{};
+        Instant requestedAt{};
         Duration length{};
     };
 
-    void forgetRoundsOver(Instant now);
+    void removeExpiredRounds(Instant now);
     Instant coveredUntil(const Incarnation &candidate) const;
 
     std::int64_t m_driftPpm;
     Instant m_latestRoundUntil = Instant::min();
-    std::map<AskId, Round> m_rounds;
+    std::map<PromiseRoundId, Round> m_rounds;
     std::map<Incarnation, Instant> m_promisedUntil;
     std::set<Incarnation> m_resigned;
 };
--- a/src/libbulrush/process/recovery.cpp
+++ b/src/libbulrush/process/recovery.cpp
@@ -16,13 +16,13 @@
 
 void Recovery::setAsked(std::set<Incarnation> daemons, std::set<ServerName> servers)
 {
-    m_silentDaemons = std::move(daemons);
-    m_silentServers = std::move(servers);
+    m_pendingDaemons = std::move(daemons);
+    m_pendingServers = std::move(servers);
 }
 
 void Recovery::addView(const Incarnation &daemon, const Assignment &view)
 {
-    m_silentDaemons.erase(daemon);
+    m_pendingDaemons.erase(daemon);
     m_highestFence = std::max(m_highestFence, view.version);
     if (view.version > m_highest.version)
         m_highest = view;
@@ -30,7 +30,7 @@
 
 void Recovery::addGrants(const ServerName &server, std::span<const SliceOwner> grants)
 {
-    m_silentServers.erase(server);
+    m_pendingServers.erase(server);
     for (const SliceOwner &grant : grants) {
         m_highestFence = std::max(m_highestFence, grant.fence);
         m_grants.push_back(grant);
@@ -39,7 +39,7 @@
 
 std::optional<Assignment> Recovery::result(Instant now) const
 {
-    const bool allAnswered = m_silentDaemons.empty() && m_silentServers.empty();
+    const bool allAnswered = m_pendingDaemons.empty() && m_pendingServers.empty();
     if (now < m_mayGrantFrom || (!allAnswered && now < m_askUntil))
         return std::nullopt;
 
--- a/src/libbulrush/process/recovery.h
+++ b/src/libbulrush/process/recovery.h
@@ -10,8 +10,8 @@
 namespace bulrush {
 
 /**
- * What a new steward learns before it decides anything: the highest assignment among the
- * platform's row, the daemons' views and the servers' own grants.
+ * Determines the assignment from which a new leader starts: the highest one among the platform's
+ * row, the daemons' views and the servers' own grants.
  *
  * Not thread safe.
  */
@@ -19,29 +19,30 @@
 {
 public:
     /**
-     * \a published is the assignment that the platform's row names, or an empty one. Nothing of
-     * an earlier steward is in force or runs from \a mayGrantFrom on. Those who have not answered
-     * by \a askUntil are gone without, if that is later.
+     * \a published is the assignment that the platform's row names, or an empty one. From
+     * \a mayGrantFrom on, no lease of an earlier leader is in force and none of its work runs.
+     * Missing answers are no longer waited for after \a askUntil, or after \a mayGrantFrom if that
+     * is later.
      */
     Recovery(Assignment published, Instant mayGrantFrom, Instant askUntil);
 
-    /** Names who is asked. */
+    /** Sets the daemons and servers whose answers are awaited. */
     void setAsked(std::set<Incarnation> daemons, std::set<ServerName> servers);
 
-    /** Takes the assignment in that a daemon routes by. */
+    /** Records the assignment that a daemon uses for routing. */
     void addView(const Incarnation &daemon, const Assignment &view);
 
-    /** Takes the grants in that a server holds. */
+    /** Records the grants that a server holds. */
     void addGrants(const ServerName &server, std::span<const SliceOwner> grants);
 
     /**
-     * \returns the assignment to start from, once nothing of an earlier steward can run and all
-     * who were asked have answered or were given up. A grant that outranks the highest assignment
-     * comes from one that no answering daemon knows; it overrides the piece that it covers.
+     * \returns the assignment to start from, once no work of an earlier leader can run and all
+     * answers have arrived or timed out. A grant with a higher fence than the highest assignment
+     * belongs to an assignment that no answering daemon has; it overrides the piece that it covers.
      */
     std::optional<Assignment> result(Instant now) const;
 
-    /** \returns the highest fence that was met: a new epoch must be above its epoch. */
+    /** \returns the highest fence received. A new epoch must be above the epoch of this fence. */
     Fence highest() const;
 
 private:
@@ -50,8 +51,8 @@
     Fence m_highestFence;
     Instant m_mayGrantFrom;
     Instant m_askUntil;
-    std::set<Incarnation> m_silentDaemons;
-    std::set<ServerName> m_silentServers;
+    std::set<Incarnation> m_pendingDaemons;
+    std::set<ServerName> m_pendingServers;
 };
 
 inline Fence Recovery::highest() const
--- a/src/libbulrush/process/stewardaction.h
+++ b/src/libbulrush/process/stewardaction.h
@@ -7,13 +7,13 @@
 
 namespace bulrush {
 
-/** Read the row and tell the outcome. There is never more than one read under way. */
+/** Read the leader row and report the result. At most one read is outstanding at a time. */
 struct ReadStewardRow
 { };
 
 /**
- * Send \a row as a compare-and-set on \a expectedVersion, at once: a lease counts from this
- * action's instant. A second sending of the same write has another \a attempt.
+ * Send \a row as a compare-and-set on \a expectedVersion immediately: the lease counts from the
+ * instant of this action. Each retry of a write has its own \a attempt number.
  */
 struct WriteStewardRow
 {
@@ -22,36 +22,39 @@
     StewardRow row;
 };
 
-/** Ask \a to for a promise, directly. A question that is lost is not sent again. */
+/** Request a promise from \a to, directly. A lost request is not sent again. */
 struct AskPromise
 {
     StewardCandidate to;
     std::uint64_t epoch = 0;
     Duration length{};
-    AskId askId = 0;
+    PromiseRoundId askId = 0;
 };
 
-/** Answer a question. A promise is kept from this action's instant on, sent or not. */
+/**
+ * Answer a promise request. A promise binds this process from the instant of this action, even if
+ * the answer is never sent.
+ */
 struct AnswerPromise
 {
     Incarnation to;
     std::uint64_t epoch = 0;
-    AskId askId = 0;
+    PromiseRoundId askId = 0;
     PromiseVerdict verdict = PromiseVerdict::Refused;
-    /** The platform has answered this process's latest read. */
-    bool seesPlatform = false;
+    /** Whether the platform answered the latest read of this process. */
+    bool isPlatformReachable = false;
 };
 
-/** Tell \a to what PromiseReleased says. Lost, it only makes a takeover wait longer. */
+/** Send \a to a PromiseReleased event. If it is lost, a takeover waits longer but stays safe. */
 struct ReleasePromise
 {
     StewardCandidate to;
     std::uint64_t epoch = 0;
-    AskId askId = 0;
+    PromiseRoundId askId = 0;
     Duration length{};
 };
 
-/** Tell the domain's daemons and the row's candidates who is steward. */
+/** Announce the leader to the daemons of the domain and to the candidates in the row. */
 struct AnnounceSteward
 {
     Incarnation holder;
@@ -60,8 +63,8 @@
 };
 
 /**
- * This process is steward from now on. It may plan and grant from \a mayGrantFrom on: before that,
- * work of the steward before may still be running.
+ * This process is the leader from now on. It may plan and grant only from \a mayGrantFrom on, since
+ * work of the previous leader may still be running until then.
  */
 struct StewardshipBegan
 {
@@ -69,20 +72,22 @@
     Instant mayGrantFrom{};
 };
 
-enum class StewardshipEndReason {
+enum class LeadershipEndReason {
+    /** The leadership term expired without being extended. */
     Lapsed,
+    /** The row names another holder. */
     Replaced,
     HandedOver,
 };
 
-/** This process is no longer steward. */
+/** This process is no longer the leader. */
 struct StewardshipEnded
 {
     std::uint64_t epoch = 0;
-    StewardshipEndReason reason = StewardshipEndReason::Lapsed;
+    LeadershipEndReason reason = LeadershipEndReason::Lapsed;
 };
 
-/** What a steward seat wants done. */
+/** An action that the leader election requests from its caller. */
 using StewardAction =
     std::variant<ReadStewardRow, WriteStewardRow, AskPromise, AnswerPromise, ReleasePromise,
                  AnnounceSteward, StewardshipBegan, StewardshipEnded>;
--- a/src/libbulrush/process/stewardevent.h
+++ b/src/libbulrush/process/stewardevent.h
@@ -1,7 +1,7 @@
 #pragma once
 
+#include "process/pendingrowwrite.h"
 #include "process/promisesreceived.h"
-#include "process/rowwrite.h"
 #include "process/stewardrow.h"
 
 #include <cstdint>
@@ -10,27 +10,27 @@
 
 namespace bulrush {
 
-/** Time has passed. Due at least every tenth of the renewal interval. */
+/** Periodic timer event. Must be delivered at least every tenth of the renewal interval. */
 struct StewardTick
 { };
 
-/** A read of the row has returned; the event's instant is when it did. */
+/** A read of the row has returned, at the instant of this event. */
 struct StewardRowRead
 {
     VersionedStewardRow row;
 };
 
-/** A read of the row has failed, or its answer never came. */
+/** A read of the row has failed or timed out. */
 struct StewardReadFailed
 { };
 
-/** The write took effect and made \a version. */
+/** The write took effect and created \a version. */
 struct WriteCommitted
 {
     RowVersion version = 0;
 };
 
-/** The write had no effect, since the row was at another version. */
+/** The write had no effect, because the row was at another version. */
 struct WriteConflicted
 {
     VersionedStewardRow row;
@@ -40,75 +40,78 @@
 struct WriteRefused
 { };
 
-/** The write may have taken effect, or may yet; nothing more will be told of this sending. */
+/**
+ * The write may have taken effect or may still take effect. No further result of this attempt is
+ * reported.
+ */
 struct WriteUnknown
 { };
 
 using WriteOutcome = std::variant<WriteCommitted, WriteConflicted, WriteRefused, WriteUnknown>;
 
-/** What became of one sending of a write. Each sending gets one such answer in the end. */
+/** Result of one write attempt. Each attempt eventually gets exactly one result. */
 struct StewardWriteAnswered
 {
     WriteAttemptId attempt = 0;
     WriteOutcome outcome;
 };
 
-/** A steward asks this process not to campaign against its epoch for \a length. */
+/** A leader requests that this process does not campaign against its epoch for \a length. */
 struct PromiseAsked
 {
     Incarnation from;
     std::uint64_t epoch = 0;
     Duration length{};
-    AskId askId = 0;
+    PromiseRoundId askId = 0;
 };
 
 enum class PromiseVerdict {
     Promised,
-    /** Not now; it may be given another time. */
+    /** No promise now; a later request may succeed. */
     Refused,
     /** The candidate has resigned: it never campaigns in this epoch. */
     Resigned,
 };
 
-/** A candidate's answer to a question of this process. */
+/** A candidate's answer to a promise request of this process. */
 struct PromiseAnswered
 {
     Incarnation from;
     std::uint64_t epoch = 0;
-    AskId askId = 0;
+    PromiseRoundId askId = 0;
     PromiseVerdict verdict = PromiseVerdict::Refused;
-    /** The platform has answered the candidate's latest read. */
-    bool seesPlatform = false;
+    /** Whether the platform answered the candidate's latest read. */
+    bool isPlatformReachable = false;
 };
 
 /**
- * A steward no longer relies on what this process promised in answer to the question \a askId and
- * to those before: it is free \a length from now on.
+ * A leader no longer relies on the promises that this process gave for round \a askId and earlier
+ * rounds. This process may campaign again \a length after this event.
  */
 struct PromiseReleased
 {
     std::uint64_t epoch = 0;
-    AskId askId = 0;
+    PromiseRoundId askId = 0;
     Duration length{};
 };
 
-/** A steward has made itself known, or has named other candidates: reason to read the row. */
+/** A leader has announced itself or a changed candidate list, so the row has to be read. */
 struct StewardAnnounced
 {
     std::uint64_t epoch = 0;
 };
 
-/** The daemons known to live, this one among them or not, in the order of preference. */
+/** The live daemons in order of preference; the list may or may not include this daemon. */
 struct LivePeersChanged
 {
     std::vector<StewardCandidate> peers;
 };
 
-/** This process is going to end: it gives up its stewardship and its candidacy. */
+/** This process is shutting down: it gives up its leadership and its candidacy. */
 struct DepartureRequested
 { };
 
-/** Whatever a steward seat is told. */
+/** An input of the leader election. */
 using StewardEvent =
     std::variant<StewardTick, StewardRowRead, StewardReadFailed, StewardWriteAnswered, PromiseAsked,
                  PromiseAnswered, PromiseReleased, StewardAnnounced, LivePeersChanged,
--- a/src/libbulrush/process/stewardrow.cpp
+++ b/src/libbulrush/process/stewardrow.cpp
@@ -18,7 +18,7 @@
 
 std::uint64_t epochAfter(const VersionedStewardRow &row)
 {
-    // Each epoch took a write of its own, so that no epoch is above the version.
+    // Each epoch started with a separate write, so no epoch can exceed the version.
     return isRecreated(row) ? row.version + 1 : row.row.epoch + 1;
 }
 
--- a/src/libbulrush/process/stewardrow.h
+++ b/src/libbulrush/process/stewardrow.h
@@ -9,14 +9,14 @@
 
 namespace bulrush {
 
-/** Names one decision to write a steward row; every retry of that write carries the same one. */
+/** Identifies one intended write of a leader row; all retries of that write carry the same id. */
 using StewardWriteId = Identifier<struct StewardWriteIdTag>;
 
-/** Version of a row in the platform's table; 0 means that the row does not exist. */
+/** Version of a row in the platform's table; 0 if the row does not exist. */
 using RowVersion = std::uint64_t;
 
 /**
- * One run of a daemon that may take a domain's stewardship over, and where it is reached.
+ * One run of a daemon that may take over the leadership of a failure domain, and its address.
  */
 struct StewardCandidate
 {
@@ -28,32 +28,33 @@
 };
 
 /**
- * The steward row of a failure domain, as the platform's table keeps it.
+ * The leader row of a failure domain, as stored in the platform's table.
  *
- * The spans are those that the holder reckons with. Whoever waits for the holder's time to end
- * takes them from here and not from its own settings, so that the two may differ.
+ * The durations are those that the holder uses. A process that waits for the holder's term to end
+ * uses these durations instead of its own settings, so the settings of daemons may differ.
  */
 struct StewardRow
 {
     Incarnation holder;
     std::string holderAddress;
-    /** Grows by one at each change of holder. */
+    /** Incremented at each change of holder. */
     std::uint64_t epoch = 0;
-    /** How long the holder's lease lasts from just before it sent the write of this version. */
+    /** Length of the holder's lease, counted from just before it sent the write of this version. */
     Duration leaseLength{};
-    /** Longest promise that the holder asks of a candidate. */
+    /** Longest promise that the holder requests from a candidate. */
     Duration promiseLength{};
-    /** Longest time that promises may extend the lease beyond the last write of the row. */
+    /** Maximum time by which promises may extend the lease beyond the last write of the row. */
     Duration outageAllowance{};
-    /** How long work may go on after the routing lease that it was sent under has ended. Its
-     *  sender reckons with this shortened, a later steward with this stretched, by the drift. */
+    /** How long work may continue after the end of the routing lease under which it was sent. The
+     *  sender applies this duration shortened by the clock drift, a later leader applies it
+     *  stretched by the clock drift. */
     Duration workPastLease{};
-    /** Counts the writes of this holder. */
+    /** Number of writes by this holder. */
     std::uint64_t renewal = 0;
     std::vector<StewardCandidate> candidates;
-    /** The holder has given the stewardship up; \a leaseLength is what is left of its leases. */
+    /** The holder has given up the leadership; \a leaseLength is the rest of its leases. */
     bool isReleased = false;
-    /** The candidate that may take a released row at once; empty if there is none. */
+    /** The candidate that may take over a released row immediately; empty if there is none. */
     Incarnation successor;
     Incarnation writer;
     StewardWriteId writeId;
@@ -62,7 +63,7 @@
 };
 
 /**
- * A steward row with its version in the table. At version 0 there is no row.
+ * A leader row with its version in the table. Version 0 means that there is no row.
  */
 struct VersionedStewardRow
 {
@@ -78,20 +79,21 @@
 bool namesCandidate(const StewardRow &row, const Incarnation &incarnation);
 
 /**
- * \returns whether the row was created a second time: its creation was given a version above 1, so
- * that a steward of an unknown epoch went before it. Nobody holds such a row.
+ * \returns whether the row was deleted and created again: its creation has a version above 1, so
+ * there was an earlier leader whose epoch is unknown. Such a row has no holder.
  */
 bool isRecreated(const VersionedStewardRow &row);
 
 /**
- * \returns an epoch above all that this row can have had before.
+ * \returns an epoch above all epochs that this row can have had.
  */
 std::uint64_t epochAfter(const VersionedStewardRow &row);
 
 /**
- * \returns \a row as an operator's last word leaves it: released, for any daemon of the domain to
- * take after a lease and a promise have run out. The operator vouches that the holder is gone; if
- * it lives on, with candidates that promise and don't see this row, there are two stewards.
+ * \returns \a row as released by an operator: any daemon of the domain may take it over after the
+ * lease and promise lengths have passed. The operator guarantees that the holder has stopped. If
+ * the holder still runs, and its candidates give promises without seeing this row, there are two
+ * leaders.
  */
 StewardRow releasedByOperator(StewardRow row, const Incarnation &writer,
                               const StewardWriteId &writeId);
--- a/src/libbulrush/process/stewardseat.cpp
+++ b/src/libbulrush/process/stewardseat.cpp
@@ -15,13 +15,13 @@
     return !last || now >= *last + interval;
 }
 
-/** Whether the holder itself gave the row up, so that promises made to it no longer matter. */
+/** \returns whether the holder itself released the row, so promises made to it no longer apply. */
 bool isReleasedByHolder(const StewardRow &row)
 {
     return row.isReleased && row.writer == row.holder;
 }
 
-/** The shortest lease that a holder would rely on for \a span: the inverse of shortened(). */
+/** \returns the shortest lease on which a holder may rely for \a span: inverse of shortened(). */
 Duration leaseLengthThatLasts(Duration span, std::int64_t driftPpm)
 {
     return stretched(stretched(span, driftPpm), driftPpm);
@@ -33,9 +33,9 @@
     : m_self(std::move(self))
     , m_domain(std::move(domain))
     , m_timings(timings)
-    , m_watch(timings.driftPpm)
-    , m_given(timings.driftPpm)
-    , m_received(timings.driftPpm)
+    , m_rowObserver(timings.driftPpm)
+    , m_givenPromises(timings.driftPpm)
+    , m_receivedPromises(timings.driftPpm)
 { }
 
 std::vector<StewardAction> StewardSeat::handle(const StewardEvent &event, Instant now)
@@ -43,15 +43,15 @@
     m_actions.clear();
     m_isRowFresh = false;
     endIfOver(now);
-    std::visit([&](const auto &kind) { take(kind, now); }, event);
+    std::visit([&](const auto &kind) { apply(kind, now); }, event);
     endIfOver(now);
     beginIfDue(now);
     if (holdsRow())
         actAsHolder(now);
     else
-        actAsOther(now);
+        actAsNonHolder(now);
     endIfOver(now);
-    m_longestTenure = std::max(m_longestTenure, tenureUntil());
+    m_latestTenureEnd = std::max(m_latestTenureEnd, tenureUntil());
     return std::exchange(m_actions, {});
 }
 
@@ -81,17 +81,17 @@
 
 std::uint64_t StewardSeat::epoch() const
 {
-    return m_watch.hasRow() ? m_watch.row()->row.epoch : 0;
+    return m_rowObserver.hasRow() ? m_rowObserver.row()->row.epoch : 0;
 }
 
 const std::optional<VersionedStewardRow> &StewardSeat::row() const
 {
-    return m_watch.row();
+    return m_rowObserver.row();
 }
 
 bool StewardSeat::isCandidate() const
 {
-    return m_watch.hasRow() && namesCandidate(m_watch.row()->row, m_self.incarnation);
+    return m_rowObserver.hasRow() && namesCandidate(m_rowObserver.row()->row, m_self.incarnation);
 }
 
 bool StewardSeat::isDepartureComplete() const
@@ -104,91 +104,94 @@
     return m_write.has_value();
 }
 
-void StewardSeat::take(const StewardTick &, Instant)
+void StewardSeat::apply(const StewardTick &, Instant)
 { }
 
-void StewardSeat::take(const StewardRowRead &read, Instant now)
+void StewardSeat::apply(const StewardRowRead &read, Instant now)
 {
     m_isReading = false;
     m_isRowFresh = true;
-    m_seesPlatform = true;
+    m_isPlatformReachable = true;
     observe(read.row, now);
 }
 
-void StewardSeat::take(const StewardReadFailed &, Instant)
+void StewardSeat::apply(const StewardReadFailed &, Instant)
 {
     m_isReading = false;
-    m_seesPlatform = false;
+    m_isPlatformReachable = false;
 }
 
-void StewardSeat::take(const StewardWriteAnswered &answer, Instant now)
+void StewardSeat::apply(const StewardWriteAnswered &answer, Instant now)
 {
-    std::visit([&](const auto &outcome) { takeOutcome(outcome, answer, now); }, answer.outcome);
+    std::visit([&](const auto &outcome) { handleWriteOutcome(outcome, answer, now); },
+               answer.outcome);
 }
 
-void StewardSeat::take(const PromiseAsked &question, Instant now)
+void StewardSeat::apply(const PromiseAsked &question, Instant now)
 {
-    const PromiseVerdict verdict = verdictOn(question);
+    const PromiseVerdict verdict = verdictFor(question);
     if (verdict == PromiseVerdict::Promised)
-        m_given.promise(question.epoch, question.askId, question.length, now);
+        m_givenPromises.promise(question.epoch, question.askId, question.length, now);
     if (verdict == PromiseVerdict::Resigned)
-        m_given.resign(question.epoch);
-    m_actions.emplace_back(
-        AnswerPromise{question.from, question.epoch, question.askId, verdict, m_seesPlatform});
+        m_givenPromises.resign(question.epoch);
+    m_actions.emplace_back(AnswerPromise{question.from, question.epoch, question.askId, verdict,
+                                         m_isPlatformReachable});
 }
 
-void StewardSeat::take(const PromiseAnswered &answer, Instant now)
+void StewardSeat::apply(const PromiseAnswered &answer, Instant now)
 {
     if (!holdsRow() || answer.epoch != epoch())
         return;
-    if (answer.seesPlatform)
-        m_platformSeenAt = now;
+    if (answer.isPlatformReachable)
+        m_platformReachableAt = now;
     if (answer.verdict == PromiseVerdict::Promised)
-        m_received.accept(answer.from, answer.askId);
+        m_receivedPromises.recordPromise(answer.from, answer.askId);
     if (answer.verdict == PromiseVerdict::Resigned)
-        m_received.acceptResignation(answer.from);
+        m_receivedPromises.recordResignation(answer.from);
 }
 
-void StewardSeat::take(const PromiseReleased &release, Instant now)
+void StewardSeat::apply(const PromiseReleased &release, Instant now)
 {
-    m_given.release(release.epoch, release.askId, release.length, now);
+    m_givenPromises.release(release.epoch, release.askId, release.length, now);
 }
 
-void StewardSeat::take(const StewardAnnounced &announcement, Instant)
+void StewardSeat::apply(const StewardAnnounced &announcement, Instant)
 {
     if (announcement.epoch >= epoch())
         m_readAt.reset();
 }
 
-void StewardSeat::take(const LivePeersChanged &change, Instant)
+void StewardSeat::apply(const LivePeersChanged &change, Instant)
 {
     m_peers = change.peers;
 }
 
-void StewardSeat::take(const DepartureRequested &, Instant)
+void StewardSeat::apply(const DepartureRequested &, Instant)
 {
     m_isDeparting = true;
     resignIfCandidate();
 }
 
-void StewardSeat::takeOutcome(const WriteCommitted &outcome, const StewardWriteAnswered &answer,
-                              Instant now)
+void StewardSeat::handleWriteOutcome(const WriteCommitted &outcome,
+                                     const StewardWriteAnswered &answer, Instant now)
 {
-    // A platform that remembers writes may mean an earlier sending by its answer to a later one.
+    // A platform that deduplicates writes may answer a retry with the result of an earlier attempt.
     if (m_write && m_write->isAwaiting(answer.attempt))
         adoptOwnWrite({outcome.version, m_write->row()}, m_write->firstSentAt(), now);
 }
 
-void StewardSeat::takeOutcome(const WriteConflicted &outcome, const StewardWriteAnswered &answer,
-                              Instant now)
+void StewardSeat::handleWriteOutcome(const WriteConflicted &outcome,
+                                     const StewardWriteAnswered &answer, Instant now)
 {
-    // An earlier sending may be what this one ran into, so that the row tells, not the refusal.
+    // The conflicting write may be an earlier attempt of this same write. Therefore the row decides
+    // the outcome, not the conflict.
     if (m_write)
         m_write->refuseAttempt(answer.attempt);
     observe(outcome.row, now);
 }
 
-void StewardSeat::takeOutcome(const WriteRefused &, const StewardWriteAnswered &answer, Instant)
+void StewardSeat::handleWriteOutcome(const WriteRefused &, const StewardWriteAnswered &answer,
+                                     Instant)
 {
     if (!m_write || !m_write->isAwaiting(answer.attempt))
         return;
@@ -197,7 +200,8 @@
         m_write.reset();
 }
 
-void StewardSeat::takeOutcome(const WriteUnknown &, const StewardWriteAnswered &answer, Instant)
+void StewardSeat::handleWriteOutcome(const WriteUnknown &, const StewardWriteAnswered &answer,
+                                     Instant)
 {
     if (m_write)
         m_write->loseAttempt(answer.attempt);
@@ -205,31 +209,32 @@
 
 void StewardSeat::observe(const VersionedStewardRow &row, Instant now)
 {
-    if (m_write && m_write->isMakerOf(row)) {
-        // Any sending may have made it: only the first is sure to be no later than that one.
+    if (m_write && m_write->isCreatorOf(row)) {
+        // Any attempt may have created this version. Only the first attempt's send time is certain
+        // not to be later than that of the successful one.
         adoptOwnWrite(row, m_write->firstSentAt(), now);
         return;
     }
     if (m_write && m_write->isSettledBy(row))
         m_write.reset();
-    m_watch.observe(row, now);
+    m_rowObserver.observe(row, now);
 }
 
 void StewardSeat::adoptOwnWrite(const VersionedStewardRow &row, Instant sentAt, Instant now)
 {
-    const RowWrite::Purpose purpose = m_write->purpose();
-    const bool hasNewCandidates =
-        m_watch.hasRow() && m_watch.row()->row.candidates != row.row.candidates;
+    const PendingRowWrite::Purpose purpose = m_write->purpose();
+    const bool candidatesChanged =
+        m_rowObserver.hasRow() && m_rowObserver.row()->row.candidates != row.row.candidates;
     m_write.reset();
-    m_watch.observe(row, now);
+    m_rowObserver.observe(row, now);
     m_committedSentAt = sentAt;
     m_platformLeaseUntil = sentAt + shortened(row.row.leaseLength, m_timings.driftPpm);
-    if (m_isSteward && hasNewCandidates)
+    if (m_isSteward && candidatesChanged)
         announce();
-    if (purpose == RowWrite::Purpose::Renew || purpose == RowWrite::Purpose::HandOver)
+    if (purpose == PendingRowWrite::Purpose::Renew || purpose == PendingRowWrite::Purpose::HandOver)
         return;
-    m_received.reset();
-    m_askedAt.reset();
+    m_receivedPromises.reset();
+    m_promisesRequestedAt.reset();
     m_mayGrantFrom = m_campaignMayGrantFrom;
 }
 
@@ -238,12 +243,12 @@
     if (!m_isSteward)
         return;
     if (!holdsRow())
-        end(StewardshipEndReason::Replaced);
+        end(LeadershipEndReason::Replaced);
     else if (now >= tenureUntil())
-        end(StewardshipEndReason::Lapsed);
+        end(LeadershipEndReason::Lapsed);
 }
 
-void StewardSeat::end(StewardshipEndReason reason)
+void StewardSeat::end(LeadershipEndReason reason)
 {
     m_isSteward = false;
     m_actions.emplace_back(StewardshipEnded{m_announcedEpoch, reason});
@@ -268,9 +273,9 @@
 {
     if (m_write || isNamedHolder() || !isCandidate())
         return;
-    m_given.resign(epoch());
-    m_actions.emplace_back(AnswerPromise{m_watch.row()->row.holder, epoch(), 0,
-                                         PromiseVerdict::Resigned, m_seesPlatform});
+    m_givenPromises.resign(epoch());
+    m_actions.emplace_back(AnswerPromise{m_rowObserver.row()->row.holder, epoch(), 0,
+                                         PromiseVerdict::Resigned, m_isPlatformReachable});
 }
 
 void StewardSeat::actAsHolder(Instant now)
@@ -280,11 +285,11 @@
     if (!holdsRow())
         return;
     renewIfDue(now);
-    askIfDue(now);
-    releasePromisesIfDue(now);
+    requestPromisesIfDue(now);
+    releasePromisesAfterOutage(now);
 }
 
-void StewardSeat::actAsOther(Instant now)
+void StewardSeat::actAsNonHolder(Instant now)
 {
     retryWriteIfDue(now);
     handOverIfDue(now);
@@ -300,31 +305,31 @@
         sendAttempt(now);
 }
 
-void StewardSeat::askIfDue(Instant now)
+void StewardSeat::requestPromisesIfDue(Instant now)
 {
     if (now < m_committedSentAt + m_timings.platformPatience)
         return;
-    if (!isDue(m_askedAt, m_timings.askInterval, now))
+    if (!isDue(m_promisesRequestedAt, m_timings.askInterval, now))
         return;
-    m_askedAt = now;
-    const Duration length = promiseLengthToAsk(now);
-    const AskId id = m_nextAsk++;
-    m_received.ask(id, length, now);
+    m_promisesRequestedAt = now;
+    const Duration length = promiseLengthToRequest(now);
+    const PromiseRoundId id = m_nextPromiseRound++;
+    m_receivedPromises.startRound(id, length, now);
     for (const StewardCandidate &candidate : possibleCandidates())
         m_actions.emplace_back(AskPromise{candidate, epoch(), length, id});
 }
 
-void StewardSeat::releasePromisesIfDue(Instant now)
+void StewardSeat::releasePromisesAfterOutage(Instant now)
 {
-    // A candidate that must keep a long promise after an outage can't help if this one is lost.
-    const bool isPlatformBack =
-        now < m_platformLeaseUntil && m_askedAt && now >= *m_askedAt + m_timings.leaseLength;
-    if (!isPlatformBack || !m_received.hasRounds())
+    // After an outage, candidates bound by long promises could not take over from a lost leader.
+    const bool isPlatformBack = now < m_platformLeaseUntil && m_promisesRequestedAt
+        && now >= *m_promisesRequestedAt + m_timings.leaseLength;
+    if (!isPlatformBack || !m_receivedPromises.hasRounds())
         return;
-    m_received.dropPromises();
+    m_receivedPromises.dropPromises();
     const Duration left = leaseLengthThatLasts(leasesEndBy(now) - now, m_timings.driftPpm);
     for (const StewardCandidate &candidate : possibleCandidates())
-        m_actions.emplace_back(ReleasePromise{candidate, epoch(), m_nextAsk - 1, left});
+        m_actions.emplace_back(ReleasePromise{candidate, epoch(), m_nextPromiseRound - 1, left});
 }
 
 void StewardSeat::renewIfDue(Instant now)
@@ -332,7 +337,7 @@
     if (m_write || !isDue(m_renewedAt, m_timings.renewInterval, now))
         return;
     m_renewedAt = now;
-    sendWrite(RowWrite::Purpose::Renew, m_watch.row()->version, renewedRow(now), now);
+    sendWrite(PendingRowWrite::Purpose::Renew, m_rowObserver.row()->version, renewedRow(now), now);
 }
 
 void StewardSeat::handOverIfDue(Instant now)
@@ -340,17 +345,18 @@
     if (!m_isDeparting || m_write || !isNamedHolder() || !canHandOver(now))
         return;
     if (m_isSteward)
-        end(StewardshipEndReason::HandedOver);
+        end(LeadershipEndReason::HandedOver);
     m_handedOverEpoch = epoch();
-    sendWrite(RowWrite::Purpose::HandOver, m_watch.row()->version, releasedRow(now), now);
+    sendWrite(PendingRowWrite::Purpose::HandOver, m_rowObserver.row()->version, releasedRow(now),
+              now);
 }
 
 void StewardSeat::readIfDue(Instant now)
 {
     const Duration interval = isCandidate() ? m_timings.readInterval : m_timings.watchInterval;
     const std::optional<Instant> from = mayCampaignFrom();
-    const bool hasChance = from && now >= *from && m_readAt && *m_readAt < *from;
-    if (m_isReading || !(hasChance || isDue(m_readAt, interval, now)))
+    const bool mayCampaign = from && now >= *from && m_readAt && *m_readAt < *from;
+    if (m_isReading || !(mayCampaign || isDue(m_readAt, interval, now)))
         return;
     m_readAt = now;
     m_isReading = true;
@@ -359,28 +365,30 @@
 
 void StewardSeat::campaignIfDue(Instant now)
 {
-    // A takeover that a dead platform leaves unsettled keeps this process from promising, and so
-    // the domain dark: campaign only right after the platform has answered.
+    // If the platform is down, a takeover stays unsettled and prevents this process from giving
+    // promises, which leaves the domain without a leader. Campaign only right after a successful
+    // read.
     if (m_write || m_isDeparting || !m_isRowFresh)
         return;
     const std::optional<Instant> from = mayCampaignFrom();
     if (!from || now < *from)
         return;
-    if (!m_watch.hasRow()) {
+    if (!m_rowObserver.hasRow()) {
         m_campaignMayGrantFrom = now;
-        sendWrite(RowWrite::Purpose::Create, 0, rowOfNewEpoch(1), now);
+        sendWrite(PendingRowWrite::Purpose::Create, 0, rowOfNewEpoch(1), now);
         return;
     }
-    const VersionedStewardRow &seen = *m_watch.row();
-    m_campaignMayGrantFrom = std::max(*from, m_watch.leaseEndedFrom())
+    const VersionedStewardRow &seen = *m_rowObserver.row();
+    m_campaignMayGrantFrom = std::max(*from, m_rowObserver.leaseEndedFrom())
         + stretched(seen.row.workPastLease, m_timings.driftPpm);
-    sendWrite(RowWrite::Purpose::TakeOver, seen.version, rowOfNewEpoch(epochAfter(seen)), now);
+    sendWrite(PendingRowWrite::Purpose::TakeOver, seen.version, rowOfNewEpoch(epochAfter(seen)),
+              now);
 }
 
 bool StewardSeat::isNamedHolder() const
 {
-    return m_watch.hasRow() && m_watch.row()->row.holder == m_self.incarnation
-        && !m_watch.row()->row.isReleased && !isRecreated(*m_watch.row());
+    return m_rowObserver.hasRow() && m_rowObserver.row()->row.holder == m_self.incarnation
+        && !m_rowObserver.row()->row.isReleased && !isRecreated(*m_rowObserver.row());
 }
 
 bool StewardSeat::holdsRow() const
@@ -397,16 +405,16 @@
 {
     if (m_handedOverEpoch == epoch())
         return true;
-    // The successor may be in office while leases of this one still run; should it be lost in that
-    // time, then the next one waits for no more than the successor's own lease.
+    // The successor may lead while leases of this leader still run. If the successor is lost during
+    // that time, the next leader waits for no more than the successor's own lease.
     const Instant latest = now + shortened(m_timings.leaseLength, m_timings.driftPpm);
     return now < m_platformLeaseUntil && m_mayGrantFrom <= latest;
 }
 
-bool StewardSeat::canSwapCandidates(Instant now) const
+bool StewardSeat::canReplaceCandidates(Instant now) const
 {
-    // A new candidate has promised nothing, so that naming it ends what promises gave. It waits for
-    // the lease of the write that names it, which is no shorter than any routing lease.
+    // A new candidate has given no promise, so naming it ends the extension by promises. It waits
+    // for the lease of the write that names it, which is no shorter than any routing lease.
     return now < m_platformLeaseUntil;
 }
 
@@ -418,24 +426,24 @@
 
 Instant StewardSeat::leasesEndBy(Instant now) const
 {
-    return std::min(m_longestTenure, now + longestRoutingLease());
+    return std::min(m_latestTenureEnd, now + longestRoutingLease());
 }
 
 Instant StewardSeat::promisedUntil() const
 {
-    const StewardRow &row = m_watch.row()->row;
+    const StewardRow &row = m_rowObserver.row()->row;
     const Duration allowance = std::max(row.leaseLength, row.outageAllowance);
-    return std::min(m_received.coveredUntil(possibleCandidates()),
+    return std::min(m_receivedPromises.coveredUntil(possibleCandidates()),
                     m_committedSentAt + shortened(allowance, m_timings.driftPpm));
 }
 
 std::vector<StewardCandidate> StewardSeat::possibleCandidates() const
 {
-    std::vector<StewardCandidate> candidates = m_watch.row()->row.candidates;
+    std::vector<StewardCandidate> candidates = m_rowObserver.row()->row.candidates;
     if (!m_write)
         return candidates;
     for (const StewardCandidate &candidate : m_write->row().candidates) {
-        if (!namesCandidate(m_watch.row()->row, candidate.incarnation))
+        if (!namesCandidate(m_rowObserver.row()->row, candidate.incarnation))
             candidates.push_back(candidate);
     }
     return candidates;
@@ -443,36 +451,38 @@
 
 std::vector<StewardCandidate> StewardSeat::candidatesToName(Instant now) const
 {
-    const std::vector<StewardCandidate> &current = m_watch.row()->row.candidates;
-    if (m_peers.empty() || !canSwapCandidates(now))
+    const std::vector<StewardCandidate> &current = m_rowObserver.row()->row.candidates;
+    if (m_peers.empty() || !canReplaceCandidates(now))
         return current;
     return chooseCandidates(m_self.incarnation, m_domain, current, m_peers);
 }
 
 std::optional<Instant> StewardSeat::mayCampaignFrom() const
 {
-    if (!m_watch.row())
+    if (!m_rowObserver.row())
         return std::nullopt;
-    if (!m_watch.hasRow())
-        return isOfDomain() ? std::optional(m_watch.seenAt()) : std::nullopt;
-    const StewardRow &row = m_watch.row()->row;
-    if (m_given.hasResigned(row.epoch) || !(isOfDomain() || isCandidate()))
+    if (!m_rowObserver.hasRow())
+        return isOfDomain() ? std::optional(m_rowObserver.seenAt()) : std::nullopt;
+    const StewardRow &row = m_rowObserver.row()->row;
+    if (m_givenPromises.hasResigned(row.epoch) || !(isOfDomain() || isCandidate()))
         return std::nullopt;
     if (isReleasedByHolder(row))
-        return row.successor == m_self.incarnation ? m_watch.seenAt() : m_watch.leaseEndedFrom();
-    const bool mayBreakLease = isCandidate() && !isRecreated(*m_watch.row());
-    const Instant ended = mayBreakLease ? m_watch.leaseEndedFrom() : m_watch.tenureEndedFrom();
+        return row.successor == m_self.incarnation ? m_rowObserver.seenAt()
+                                                   : m_rowObserver.leaseEndedFrom();
+    const bool mayBreakLease = isCandidate() && !isRecreated(*m_rowObserver.row());
+    const Instant ended =
+        mayBreakLease ? m_rowObserver.leaseEndedFrom() : m_rowObserver.tenureEndedFrom();
     const Duration delay = isOfDomain() ? Duration::zero() : m_timings.otherDomainDelay;
-    return std::max(ended, m_given.freeFrom(row.epoch)) + delay;
+    return std::max(ended, m_givenPromises.campaignAllowedFrom(row.epoch)) + delay;
 }
 
-PromiseVerdict StewardSeat::verdictOn(const PromiseAsked &question) const
+PromiseVerdict StewardSeat::verdictFor(const PromiseAsked &question) const
 {
-    // An unsettled takeover may still take effect, whatever is promised now.
+    // An unsettled takeover may still take effect in spite of a promise given now.
     if (m_write || isNamedHolder())
         return PromiseVerdict::Refused;
-    if (m_watch.hasRow()) {
-        const StewardRow &row = m_watch.row()->row;
+    if (m_rowObserver.hasRow()) {
+        const StewardRow &row = m_rowObserver.row()->row;
         const bool isOther = row.isReleased || row.holder != question.from;
         if (row.epoch > question.epoch || (row.epoch == question.epoch && isOther))
             return PromiseVerdict::Refused;
@@ -480,10 +490,11 @@
     return m_isDeparting ? PromiseVerdict::Resigned : PromiseVerdict::Promised;
 }
 
-Duration StewardSeat::promiseLengthToAsk(Instant now) const
+Duration StewardSeat::promiseLengthToRequest(Instant now) const
 {
-    // Long promises cost nothing while nobody could take the row, and much as soon as one could.
-    if (!isDue(m_platformSeenAt, 2 * m_timings.askInterval, now))
+    // Long promises have no cost while no candidate reaches the platform, since none could take
+    // over. As soon as one does, they delay a takeover.
+    if (!isDue(m_platformReachableAt, 2 * m_timings.askInterval, now))
         return m_timings.leaseLength;
     const Duration longest = std::max(m_timings.leaseLength, m_timings.promiseLength);
     return std::clamp(now - m_committedSentAt, m_timings.leaseLength, longest);
@@ -499,15 +510,15 @@
     row.promiseLength = m_timings.promiseLength;
     row.outageAllowance = m_timings.outageAllowance;
     row.workPastLease = m_timings.workPastLease;
-    const auto known =
-        m_watch.hasRow() ? m_watch.row()->row.candidates : std::vector<StewardCandidate>();
+    const auto known = m_rowObserver.hasRow() ? m_rowObserver.row()->row.candidates
+                                              : std::vector<StewardCandidate>();
     row.candidates = chooseCandidates(m_self.incarnation, m_domain, known, m_peers);
     return row;
 }
 
 StewardRow StewardSeat::renewedRow(Instant now) const
 {
-    StewardRow row = m_watch.row()->row;
+    StewardRow row = m_rowObserver.row()->row;
     ++row.renewal;
     row.candidates = candidatesToName(now);
     return row;
@@ -515,7 +526,7 @@
 
 StewardRow StewardSeat::releasedRow(Instant now) const
 {
-    StewardRow row = m_watch.row()->row;
+    StewardRow row = m_rowObserver.row()->row;
     ++row.renewal;
     row.isReleased = true;
     const Duration left = std::max(leasesEndBy(now), m_mayGrantFrom) - now;
@@ -528,8 +539,8 @@
     return row;
 }
 
-void StewardSeat::sendWrite(RowWrite::Purpose purpose, RowVersion expectedVersion, StewardRow row,
-                            Instant now)
+void StewardSeat::sendWrite(PendingRowWrite::Purpose purpose, RowVersion expectedVersion,
+                            StewardRow row, Instant now)
 {
     row.writer = m_self.incarnation;
     row.writeId =
--- a/src/libbulrush/process/stewardseat.h
+++ b/src/libbulrush/process/stewardseat.h
@@ -1,9 +1,9 @@
 #pragma once
 
+#include "process/leaderrowobserver.h"
+#include "process/pendingrowwrite.h"
 #include "process/promisesgiven.h"
 #include "process/promisesreceived.h"
-#include "process/rowwatch.h"
-#include "process/rowwrite.h"
 #include "process/stewardaction.h"
 #include "process/stewardevent.h"
 #include "process/stewardtimings.h"
@@ -15,94 +15,98 @@
 namespace bulrush {
 
 /**
- * One daemon's view of one failure domain's stewardship: holder, candidate, or daemon that watches.
+ * Leader election of one failure domain, as seen by one daemon, which is holder, candidate or
+ * observer.
  *
- * It holds the domain's steward lease in the platform's table, extends it by the candidates'
- * promises while the platform doesn't answer, and takes it over when the holder's time has surely
- * ended. At most one process is steward of a domain at any moment; docs/design/ownership.md
- * argues why.
+ * Holds the domain's leader lease in the platform's table, extends it by the candidates' promises
+ * while the platform does not answer, and takes it over when the holder's term has certainly ended.
+ * At most one process is leader of a domain at any time; see docs/design/ownership.md for the
+ * argument.
  *
- * Events go in with their instant, actions come out. The instants of one seat never go back.
- * Whoever relies on being steward asks isStewardAt() with the instant of its own deed, since a
- * process may freeze between two events. Not thread safe.
+ * This is a state machine without I/O: the caller passes events with their instants and performs
+ * the returned actions. The instants of one object must not decrease. Code that relies on being
+ * leader has to call isStewardAt() with the instant of its own operation, because the process may
+ * freeze between two events. Not thread safe.
  */
 class StewardSeat
 {
 public:
     /**
-     * \a self is this daemon, \a domain the failure domain whose row this seat is about: its own
-     * or another. A daemon of another domain takes part only when the row names it.
+     * \a self is this daemon, \a domain the failure domain whose leader is elected: that of this
+     * daemon or another one. A daemon of another domain takes part only when the row names it as a
+     * candidate.
      */
     StewardSeat(StewardCandidate self, DomainName domain, StewardTimings timings);
 
     /**
-     * Takes in what happened at \a now. A stewardship that has lapsed in the meantime is ended
-     * before anything else.
-     * \returns what to do, in this order.
+     * Handles an event that occurred at \a now. A leadership term that has expired in the meantime
+     * is ended first.
+     * \returns the actions to perform, in this order.
      */
     std::vector<StewardAction> handle(const StewardEvent &event, Instant now);
 
     /**
-     * \returns until when this process may act as steward, on its own clock: Instant::min() if it
-     * is not. A routing lease ends no later than this.
+     * \returns the end of this process's leadership term on its own clock, or Instant::min() if it
+     * is not the leader. No routing lease lasts longer than this.
      */
     Instant tenureUntil() const;
 
-    /** \returns until when a routing lease given at \a now may last, on this process's clock:
-     *  Instant::min() if none may be given. */
+    /** \returns the latest end of a routing lease granted at \a now, on this process's clock, or
+     *  Instant::min() if none may be granted. */
     Instant routingLeaseUntil(Instant now) const;
 
-    /** \returns whether this process is steward at \a now. */
     bool isStewardAt(Instant now) const;
 
-    /** \returns whether this process is steward at \a now and may plan and grant. */
+    /** \returns whether this process is the leader at \a now and may plan and grant. */
     bool mayGrantAt(Instant now) const;
 
-    /** \returns the epoch of the latest row seen; 0 if none was. */
+    /** \returns the epoch of the latest observed row, or 0 if there is none. */
     std::uint64_t epoch() const;
 
-    /** \returns the latest row seen; nothing if none was. */
+    /** \returns the latest observed row, or nothing if none was observed. */
     const std::optional<VersionedStewardRow> &row() const;
 
-    /** \returns whether the latest row seen names this process as a candidate. */
+    /** \returns whether the latest observed row names this process as a candidate. */
     bool isCandidate() const;
 
-    /** \returns whether a departure that was requested has nothing left to write. */
+    /** \returns whether a requested departure has no writes left to perform. */
     bool isDepartureComplete() const;
 
-    /** \returns whether a write of this process may still take effect unseen. */
+    /** \returns whether a write with an unknown result may still take effect. */
     bool hasUnsettledWrite() const;
 
 private:
-    void take(const StewardTick &tick, Instant now);
-    void take(const StewardRowRead &read, Instant now);
-    void take(const StewardReadFailed &failure, Instant now);
-    void take(const StewardWriteAnswered &answer, Instant now);
-    void take(const PromiseAsked &question, Instant now);
-    void take(const PromiseAnswered &answer, Instant now);
-    void take(const PromiseReleased &release, Instant now);
-    void take(const StewardAnnounced &announcement, Instant now);
-    void take(const LivePeersChanged &change, Instant now);
-    void take(const DepartureRequested &request, Instant now);
-
-    void takeOutcome(const WriteCommitted &outcome, const StewardWriteAnswered &answer,
-                     Instant now);
-    void takeOutcome(const WriteConflicted &outcome, const StewardWriteAnswered &answer,
-                     Instant now);
-    void takeOutcome(const WriteRefused &outcome, const StewardWriteAnswered &answer, Instant now);
-    void takeOutcome(const WriteUnknown &outcome, const StewardWriteAnswered &answer, Instant now);
+    void apply(const StewardTick &tick, Instant now);
+    void apply(const StewardRowRead &read, Instant now);
+    void apply(const StewardReadFailed &failure, Instant now);
+    void apply(const StewardWriteAnswered &answer, Instant now);
+    void apply(const PromiseAsked &question, Instant now);
+    void apply(const PromiseAnswered &answer, Instant now);
+    void apply(const PromiseReleased &release, Instant now);
+    void apply(const StewardAnnounced &announcement, Instant now);
+    void apply(const LivePeersChanged &change, Instant now);
+    void apply(const DepartureRequested &request, Instant now);
+
+    void handleWriteOutcome(const WriteCommitted &outcome, const StewardWriteAnswered &answer,
+                            Instant now);
+    void handleWriteOutcome(const WriteConflicted &outcome, const StewardWriteAnswered &answer,
+                            Instant now);
+    void handleWriteOutcome(const WriteRefused &outcome, const StewardWriteAnswered &answer,
+                            Instant now);
+    void handleWriteOutcome(const WriteUnknown &outcome, const StewardWriteAnswered &answer,
+                            Instant now);
     void observe(const VersionedStewardRow &row, Instant now);
     void adoptOwnWrite(const VersionedStewardRow &row, Instant sentAt, Instant now);
     void endIfOver(Instant now);
-    void end(StewardshipEndReason reason);
+    void end(LeadershipEndReason reason);
     void beginIfDue(Instant now);
     void announce();
     void resignIfCandidate();
     void actAsHolder(Instant now);
-    void actAsOther(Instant now);
+    void actAsNonHolder(Instant now);
     void retryWriteIfDue(Instant now);
-    void askIfDue(Instant now);
-    void releasePromisesIfDue(Instant now);
+    void requestPromisesIfDue(Instant now);
+    void releasePromisesAfterOutage(Instant now);
     void renewIfDue(Instant now);
     void handOverIfDue(Instant now);
     void readIfDue(Instant now);
@@ -112,58 +116,58 @@
     bool isNamedHolder() const;
     bool isOfDomain() const;
     bool canHandOver(Instant now) const;
-    bool canSwapCandidates(Instant now) const;
+    bool canReplaceCandidates(Instant now) const;
     Instant promisedUntil() const;
     Duration longestRoutingLease() const;
     Instant leasesEndBy(Instant now) const;
     std::vector<StewardCandidate> possibleCandidates() const;
     std::vector<StewardCandidate> candidatesToName(Instant now) const;
     std::optional<Instant> mayCampaignFrom() const;
-    PromiseVerdict verdictOn(const PromiseAsked &question) const;
-    Duration promiseLengthToAsk(Instant now) const;
+    PromiseVerdict verdictFor(const PromiseAsked &question) const;
+    Duration promiseLengthToRequest(Instant now) const;
     StewardRow rowOfNewEpoch(std::uint64_t epoch) const;
     StewardRow renewedRow(Instant now) const;
     StewardRow releasedRow(Instant now) const;
-    void sendWrite(RowWrite::Purpose purpose, RowVersion expectedVersion, StewardRow row,
+    void sendWrite(PendingRowWrite::Purpose purpose, RowVersion expectedVersion, StewardRow row,
                    Instant now);
     void sendAttempt(Instant now);
 
     StewardCandidate m_self;
     DomainName m_domain;
     StewardTimings m_timings;
-    RowWatch m_watch;
-    PromisesGiven m_given;
-    PromisesReceived m_received;
-    /** The write of this process that may still take effect, if there is one. */
-    std::optional<RowWrite> m_write;
+    LeaderRowObserver m_rowObserver;
+    PromisesGiven m_givenPromises;
+    PromisesReceived m_receivedPromises;
+    /** The write of this process that may still take effect, if any. */
+    std::optional<PendingRowWrite> m_write;
     std::vector<StewardCandidate> m_peers;
     std::vector<StewardAction> m_actions;
 
-    /** When the latest write that is known as committed was sent. */
+    /** Send time of the latest write that is known to be committed. */
     Instant m_committedSentAt{};
     Instant m_platformLeaseUntil = Instant::min();
-    /** The latest end of tenure that was ever shown: routing leases may last as long. */
-    Instant m_longestTenure = Instant::min();
+    /** The latest value that tenureUntil() ever had; routing leases may last until then. */
+    Instant m_latestTenureEnd = Instant::min();
     Instant m_mayGrantFrom{};
-    /** From when on the epoch that is campaigned for may grant. */
+    /** Start of granting in the epoch for which this process campaigns. */
     Instant m_campaignMayGrantFrom{};
-    /** Epoch that this process has given up; it never holds it again. */
+    /** Epoch that this process has given up and never holds again. */
     std::uint64_t m_handedOverEpoch = 0;
     std::uint64_t m_announcedEpoch = 0;
     bool m_isSteward = false;
     bool m_isReading = false;
-    bool m_seesPlatform = false;
-    /** The event at hand is a read of the row. */
+    bool m_isPlatformReachable = false;
+    /** Whether the current event is a completed read of the row. */
     bool m_isRowFresh = false;
     bool m_isDeparting = false;
-    /** When a candidate last told that the platform answers it. */
-    std::optional<Instant> m_platformSeenAt;
+    /** When a candidate last reported that the platform answers it. */
+    std::optional<Instant> m_platformReachableAt;
     std::optional<Instant> m_readAt;
     std::optional<Instant> m_renewedAt;
-    std::optional<Instant> m_askedAt;
+    std::optional<Instant> m_promisesRequestedAt;
     std::uint64_t m_nextWriteNumber = 1;
     WriteAttemptId m_nextAttempt = 1;
-    AskId m_nextAsk = 1;
+    PromiseRoundId m_nextPromiseRound = 1;
 };
 
 } // namespace bulrush
--- a/src/libbulrush/process/stewardtimings.h
+++ b/src/libbulrush/process/stewardtimings.h
@@ -7,38 +7,39 @@
 namespace bulrush {
 
 /**
- * The spans that a steward seat reckons with. Safety rests on none of them being equal between
- * daemons; \a driftPpm alone must be a true bound. docs/design/ownership.md gives the reasons.
+ * Durations of the leader election. They may differ between daemons without affecting safety; only
+ * \a driftPpm has to be a true bound. See docs/design/ownership.md for the reasons.
  */
 struct StewardTimings
 {
-    /** Lease that each write of the row takes. */
+    /** Length of the lease that each write of the row acquires. */
     Duration leaseLength = std::chrono::seconds(2);
-    /** From sending one renewal to sending the next. */
+    /** Time between two renewals, from send to send. */
     Duration renewInterval = std::chrono::milliseconds(500);
-    /** From sending a write whose outcome is unknown to sending it again. */
+    /** Time after which a write with an unknown result is sent again, from send to send. */
     Duration retryInterval = std::chrono::milliseconds(500);
-    /** Between two reads of the row by a candidate. */
+    /** Time between two reads of the row by a candidate. */
     Duration readInterval = std::chrono::milliseconds(250);
-    /** Between two reads of the row by a daemon of the domain that is no candidate. */
+    /** Time between two reads of the row by a daemon of the domain that is not a candidate. */
     Duration watchInterval = std::chrono::seconds(2);
-    /** How long a candidate of another domain leaves the takeover to those of the domain. */
+    /** Delay of a takeover by a candidate of another domain, which gives priority to candidates
+     *  of the domain itself. */
     Duration otherDomainDelay = std::chrono::milliseconds(300);
-    /** Age of the last committed write from which on the holder asks for promises. */
+    /** Age of the last committed write from which the holder requests promises. */
     Duration platformPatience = std::chrono::milliseconds(750);
-    /** Between two rounds of asking for promises. */
+    /** Time between two rounds of promise requests. */
     Duration askInterval = std::chrono::milliseconds(500);
-    /** Longest promise asked for. A round asks for the age of the last committed write, between
-     *  the lease length and this. */
+    /** Longest promise that is requested. Each round requests the age of the last committed write,
+     *  limited to between the lease length and this value. */
     Duration promiseLength = std::chrono::seconds(30);
-    /** Longest time that promises extend the lease beyond the last committed write. */
+    /** Maximum time by which promises extend the lease beyond the last committed write. */
     Duration outageAllowance = std::chrono::hours(2);
-    /** Longest routing lease that a steward gives; cut to what is sure of a lease length. */
+    /** Longest routing lease that a leader grants; limited to the drift-adjusted lease length. */
     Duration longestRoutingLease = std::chrono::milliseconds(1500);
-    /** How long work may go on after the routing lease that it was sent under has ended, as
-     *  StewardRow::workPastLease says. */
+    /** How long work may continue after the end of the routing lease under which it was sent; see
+     *  StewardRow::workPastLease. */
     Duration workPastLease = std::chrono::milliseconds(500);
-    /** Bound on the difference in rate of any two clocks. */
+    /** Upper bound on the difference in rate between any two clocks. */
     std::int64_t driftPpm = defaultDriftPpm;
 };
 
--- a/tests/stewardseat/test_promises.cpp
+++ b/tests/stewardseat/test_promises.cpp
@@ -16,20 +16,20 @@
 BOOST_AUTO_TEST_CASE(answerToARoundBeforeTheReleaseCountsNoMore)
 {
     PromisesReceived received(0);
-    received.ask(1, 10s, Instant(1s));
-    received.accept(Incarnation("a2"), 1);
+    received.startRound(1, 10s, Instant(1s));
+    received.recordPromise(Incarnation("a2"), 1);
     BOOST_TEST((received.coveredUntil(candidates) == Instant(11s - 1ns)));
     received.dropPromises();
-    received.accept(Incarnation("a2"), 1);
+    received.recordPromise(Incarnation("a2"), 1);
     BOOST_TEST((received.coveredUntil(candidates) == Instant::min()));
 }
 
 BOOST_AUTO_TEST_CASE(resignationOutlastsTheRelease)
 {
     PromisesReceived received(0);
-    received.acceptResignation(Incarnation("a2"));
+    received.recordResignation(Incarnation("a2"));
     received.dropPromises();
-    received.ask(1, 10s, Instant(1s));
+    received.startRound(1, 10s, Instant(1s));
     BOOST_TEST((received.coveredUntil(candidates) == Instant(11s - 1ns)));
 }
 
@@ -39,8 +39,8 @@
     given.promise(1, 1, 10s, Instant(1s));
     given.promise(1, 2, 10s, Instant(2s));
     given.release(1, 1, 0s, Instant(3s));
-    BOOST_TEST((given.freeFrom(1) == Instant(12s + 1ns)));
+    BOOST_TEST((given.campaignAllowedFrom(1) == Instant(12s + 1ns)));
     given.release(1, 2, 1s, Instant(3s));
-    BOOST_TEST((given.freeFrom(1) == Instant(4s + 1ns)));
-    BOOST_TEST((given.freeFrom(2) == Instant::min()));
+    BOOST_TEST((given.campaignAllowedFrom(1) == Instant(4s + 1ns)));
+    BOOST_TEST((given.campaignAllowedFrom(2) == Instant::min()));
 }
--- a/tests/stewardworld/stewardworld.cpp
+++ b/tests/stewardworld/stewardworld.cpp
@@ -16,14 +16,14 @@
 /** Questions that follow one another more closely are noted once. */
 constexpr Duration quietInterval = 2s;
 
-std::string textOf(StewardshipEndReason reason)
+std::string textOf(LeadershipEndReason reason)
 {
     switch (reason) {
-    case StewardshipEndReason::Lapsed:
+    case LeadershipEndReason::Lapsed:
         return "lapsed";
-    case StewardshipEndReason::Replaced:
+    case LeadershipEndReason::Replaced:
         return "replaced";
-    case StewardshipEndReason::HandedOver:
+    case LeadershipEndReason::HandedOver:
         return "handed over";
     }
     return {};
@@ -282,9 +282,9 @@
 void StewardWorld::perform(const std::string &from, const AskPromise &question)
 {
     Daemon &daemon = m_daemons.at(from);
-    if (m_now > daemon.askedAt + quietInterval)
+    if (m_now > daemon.requestedAt + quietInterval)
         note(from + " asks for promises");
-    daemon.askedAt = m_now;
+    daemon.requestedAt = m_now;
     send(from, question.to.incarnation.value(),
          PromiseAsked{Incarnation(from), question.epoch, question.length, question.askId});
 }
@@ -297,7 +297,7 @@
         note(from + ' ' + textOf(answer.verdict) + " (epoch " + std::to_string(answer.epoch) + ')');
     send(from, answer.to.value(),
          PromiseAnswered{Incarnation(from), answer.epoch, answer.askId, answer.verdict,
-                         answer.seesPlatform});
+                         answer.isPlatformReachable});
 }
 
 void StewardWorld::perform(const std::string &from, const ReleasePromise &release)
--- a/tests/stewardworld/stewardworld.h
+++ b/tests/stewardworld/stewardworld.h
@@ -129,8 +129,8 @@
         std::vector<StewardEvent> inbox;
         std::map<std::string, PromiseVerdict> lastVerdicts;
         bool isDeparting = false;
-        AskId releasedAsk = 0;
-        TrueTime askedAt = -std::chrono::hours(1);
+        PromiseRoundId releasedAsk = 0;
+        TrueTime requestedAt = -std::chrono::hours(1);
     };
 
     void tick(const std::string &name);
