--- a/src/libbulrush/process/drain.h
+++ b/src/libbulrush/process/drain.h
@@ -7,28 +7,28 @@
 
 namespace bulrush {
 
-/** How far a daemon's graceful shutdown has come. */
+/** Phase of a daemon's graceful shutdown. */
 enum class DrainPhase {
-    Serving,   ///< takes new work
-    Announced, ///< takes new work still, while the balancer and the peers learn that it leaves
-    Refusing,  ///< new work is refused as not run, flights go on
-    Finished,  ///< nothing is in flight: the process may end
-    Overdue,   ///< the deadline has come with work in flight: an operator's hand is needed
+    Serving,   ///< accepts new work
+    Announced, ///< still accepts new work while the load balancer and peers are notified
+    Refusing,  ///< refuses new work as not run; work in flight continues
+    Finished,  ///< no work is in flight; the process may exit
+    Overdue,   ///< the deadline has passed with work in flight; an operator has to intervene
 };
 
-/** Spans of a graceful shutdown. */
+/** Time limits of a graceful shutdown. */
 struct DrainLimits
 {
-    /** How long new work is taken after the departure was told. */
+    /** How long new work is accepted after the start of the drain. */
     Duration announcement = std::chrono::seconds{2};
-    /** How long flights may take from the start of the drain. */
+    /** Time from the start of the drain for work in flight to finish. */
     Duration deadline = std::chrono::minutes{30};
 };
 
 /**
- * The graceful shutdown of a daemon: new work is refused after a few seconds, and what is in flight
- * is never cut off. At the deadline it says that it is overdue and goes on waiting; to end a
- * process with work in flight is for whoever stops it.
+ * The graceful shutdown of a daemon: new work is refused after a few seconds, and work in flight is
+ * never interrupted. At the deadline the drain reports that it is overdue and keeps waiting; only
+ * an operator may stop a process that has work in flight.
  *
  * Not thread safe.
  */
@@ -40,17 +40,17 @@
     /** Starts the shutdown. A second call changes nothing. */
     void start(Instant now);
 
-    /** Counts work taken in. \pre takesWork() */
+    /** Counts accepted work. \pre takesWork() */
     void workStarted();
 
-    /** Counts work that has its end, answer delivered or caller gone. \pre one was started. */
+    /** Counts finished work: answered, or the caller disconnected. \pre work was started */
     void workEnded();
 
     DrainPhase phase(Instant now) const;
     bool takesWork(Instant now) const;
     std::size_t inFlight() const;
 
-    /** \returns when phase() changes by time alone, or nothing. */
+    /** \returns the next time-based change of phase(), or nothing if there is none. */
     std::optional<Instant> nextDue(Instant now) const;
 
 private:
--- a/src/libbulrush/process/handover.cpp
+++ b/src/libbulrush/process/handover.cpp
@@ -27,7 +27,7 @@
     return layout;
 }
 
-/** \returns the layout of \a slices, and that of \a others for services that have none there. */
+/** \returns the layout of \a slices, plus \a others for services without slices. */
 std::vector<SlicePiece> layoutOf(std::span<const SliceOwner> slices,
                                  std::span<const SlicePiece> others)
 {
@@ -56,50 +56,50 @@
 } // namespace
 
 Handover::Handover(HandoverTerms terms, std::uint64_t epoch, const Assignment &inForce,
-                   Fence published, LeaseBook &book)
+                   Fence published, LeaseBook &leases)
     : m_terms(terms)
-    , m_book(book)
+    , m_leases(leases)
     , m_version(inForce.version)
     , m_epoch(epoch)
     , m_domain(inForce.domain)
     , m_published(published)
-    , m_owned(inForce)
+    , m_inForce(inForce)
     , m_wanted(inForce)
     , m_layout(layoutOf(inForce.slices))
     , m_wantedLayout(m_layout)
     , m_attendances(inForce.attendances)
     , m_wantedAttendances(inForce.attendances)
-    , m_orders(terms.retryAfter)
+    , m_orders(terms.retryDelay)
     , m_isUnpublished(inForce.version != published)
 { }
 
 void Handover::setCheckingServers(std::set<ServerName> servers)
 {
-    m_checking = std::move(servers);
+    m_checkingServers = std::move(servers);
 }
 
 std::vector<HandoverAction> Handover::handle(const HandoverEvent &event, Instant now)
 {
     m_now = now;
-    if (m_isEnded)
+    if (m_isLeadershipOver)
         return {};
 
-    m_needsPass = true;
+    m_needsUpdate = true;
     if (!std::holds_alternative<TimePassed>(event)
         && !std::holds_alternative<TenureExtended>(event))
         ++m_eventCount;
-    std::visit([this](const auto &taken) { take(taken); }, event);
-    if (!m_isEnded && m_now < m_tenureUntil)
+    std::visit([this](const auto &details) { handleEvent(details); }, event);
+    if (!m_isLeadershipOver && m_now < m_leadershipUntil)
         advance();
     return std::exchange(m_actions, {});
 }
 
 Assignment Handover::assignment() const
 {
-    return {m_domain, m_version, m_owned.slices(m_layout), m_attendances};
+    return {m_domain, m_version, m_inForce.slices(m_layout), m_attendances};
 }
 
-void Handover::take(const AssignmentWanted &event)
+void Handover::handleEvent(const AssignmentWanted &event)
 {
     m_wanted = OwnershipMap(event.wanted);
     m_wantedAttendances = event.wanted.attendances;
@@ -111,36 +111,36 @@
         retarget(move);
 }
 
-void Handover::take(const ServerLost &event)
+void Handover::handleEvent(const ServerLost &event)
 {
     m_deferred.clear();
     m_needsPlan = m_lostServers.insert(event.server).second || m_needsPlan;
 }
 
-void Handover::take(const ServerFound &event)
+void Handover::handleEvent(const ServerFound &event)
 {
     m_needsPlan = m_lostServers.erase(event.server) > 0 || m_needsPlan;
 }
 
-void Handover::take(const ServerLeaving &event)
+void Handover::handleEvent(const ServerLeaving &event)
 {
     m_leavingServers.insert(event.server);
     m_deferred.clear();
     m_needsPlan = true;
 }
 
-void Handover::take(const AttendantLost &event)
+void Handover::handleEvent(const AttendantLost &event)
 {
     m_deferred.clear();
     m_needsPlan = m_lostAttendants.insert(event.attendant).second || m_needsPlan;
 }
 
-void Handover::take(const AttendantFound &event)
+void Handover::handleEvent(const AttendantFound &event)
 {
     m_needsPlan = m_lostAttendants.erase(event.attendant) > 0 || m_needsPlan;
 }
 
-void Handover::take(const OrderConfirmed &event)
+void Handover::handleEvent(const OrderConfirmed &event)
 {
     const ServerOrder *order = m_orders.find(event.order);
     if (!order || (order->kind == ServerOrderKind::Revoke && event.running > 0))
@@ -150,16 +150,17 @@
     m_orders.close(event.order);
     for (const std::size_t index : movesOf(event.order))
         confirm(m_moves[index], kind);
-    m_needsPass = kind != ServerOrderKind::Grant;
+    m_needsUpdate = kind != ServerOrderKind::Grant;
 }
 
-void Handover::take(const GrantRefused &event)
+void Handover::handleEvent(const GrantRefused &event)
 {
     if (event.highest.epoch > m_epoch) {
-        endStewardship();
+        endLeadership();
         return;
     }
-    // A server that outlived an earlier count of this epoch can't be: but a higher fence wins.
+    // A server cannot hold a higher fence of this epoch, but if one does, later fences must exceed
+    // it.
     m_lastSequence = std::max(m_lastSequence, event.highest.sequence);
     m_orders.close(event.order);
     for (Move &move : m_moves) {
@@ -168,9 +169,9 @@
     }
 }
 
-void Handover::take(const CommitEnded &event)
+void Handover::handleEvent(const CommitEnded &event)
 {
-    if (!m_commit || m_commit->id != event.commit)
+    if (!m_pendingCommit || m_pendingCommit->id != event.commit)
         return;
 
     switch (event.outcome) {
@@ -178,104 +179,105 @@
         settleCommitted();
         return;
     case CommitOutcome::Refused:
-        endStewardship();
+        endLeadership();
         return;
     case CommitOutcome::Conflict:
     case CommitOutcome::Unknown:
-        m_commit->isUnsettled = true;
-        m_mustRead = true;
-        m_readAt = m_now;
+        m_pendingCommit->isUnsettled = true;
+        m_mustReadPublished = true;
+        m_nextReadAt = m_now;
         return;
     }
 }
 
-void Handover::take(const PublishedRead &event)
+void Handover::handleEvent(const PublishedRead &event)
 {
     if (event.published.epoch > m_epoch) {
-        endStewardship();
+        endLeadership();
         return;
     }
-    if (!m_mustRead)
+    if (!m_mustReadPublished)
         return;
 
-    m_mustRead = false;
+    m_mustReadPublished = false;
     m_published = event.published;
-    if (!m_commit || !m_commit->isUnsettled)
+    if (!m_pendingCommit || !m_pendingCommit->isUnsettled)
         return;
-    if (event.published == m_commit->next.version) {
+    if (event.published == m_pendingCommit->next.version) {
         settleCommitted();
         return;
     }
-    // The write may still be on its way: the same write again settles which of the two it was.
+    // The write may still be in flight. Sending the same write again settles whether it was
+    // applied.
     sendCommit();
 }
 
-void Handover::take(const PlatformOutage &event)
+void Handover::handleEvent(const PlatformOutage &event)
 {
-    if (m_isOut && !event.isOut) {
-        m_mustRead = true;
-        m_readAt = m_now;
+    if (m_isPlatformOut && !event.isOut) {
+        m_mustReadPublished = true;
+        m_nextReadAt = m_now;
     }
-    m_isOut = event.isOut;
+    m_isPlatformOut = event.isOut;
     m_needsPlan = true;
 }
 
-void Handover::take(const TenureExtended &event)
+void Handover::handleEvent(const TenureExtended &event)
 {
-    m_tenureUntil = std::max(m_tenureUntil, event.until);
+    m_leadershipUntil = std::max(m_leadershipUntil, event.until);
 }
 
-void Handover::take(const TimePassed &)
+void Handover::handleEvent(const TimePassed &)
 { }
 
 void Handover::advance()
 {
-    // A confirmed grant only ends moves, which the next pass clears away.
-    if (m_needsPass)
-        passOverMoves();
+    // A confirmed grant only completes moves, which the next pass removes.
+    if (m_needsUpdate)
+        updateMoves();
     for (ServerOrder &order : m_orders.takeDue(m_now))
         m_actions.emplace_back(std::move(order));
-    for (const Incarnation &daemon : std::exchange(m_prompts, {}))
+    for (const Incarnation &daemon : std::exchange(m_daemonsToPrompt, {}))
         m_actions.emplace_back(PromptPull{daemon});
 }
 
-void Handover::passOverMoves()
+void Handover::updateMoves()
 {
-    m_book.expire(m_now);
-    eraseDone();
-    if (m_isOut)
-        settleOutage();
+    m_leases.expire(m_now);
+    removeDoneMoves();
+    if (m_isPlatformOut)
+        abortForOutage();
     startMoves();
     for (Move &move : m_moves)
         step(move);
-    eraseDone();
+    removeDoneMoves();
     publish();
     if (!m_orders.isEmpty())
         closeFinishedOrders();
     m_isIndexStale = true;
 }
 
-void Handover::settleOutage()
+void Handover::abortForOutage()
 {
-    if (m_commit)
+    if (m_pendingCommit)
         abandonCommit();
     for (Move &move : m_moves) {
-        if (!isAllowedInOutage(move))
-            giveBack(move);
+        if (!isAllowedDuringOutage(move))
+            returnToOwner(move);
     }
-    eraseDone();
+    removeDoneMoves();
 }
 
 void Handover::startMoves()
 {
     const std::size_t deferredBefore = m_deferred.size();
     std::erase_if(m_deferred, [this](const auto &entry) { return entry.second <= m_now; });
-    const bool isDue = m_hasSkipped && m_planAt <= m_now;
+    const bool isDue = m_hasSkippedChanges && m_planAt <= m_now;
     if (!m_needsPlan && !isDue && m_deferred.size() == deferredBefore)
         return;
 
     m_needsPlan = false;
-    m_hasSkipped = false;
+    m_hasSkippedChanges = false;
     m_planAt = m_now + m_terms.planInterval;
     std::vector<SlicePiece> busy;
     for (const Move &move : m_moves)
@@ -283,11 +285,11 @@
     std::sort(busy.begin(), busy.end());
     auto planned = static_cast<std::size_t>(std::count_if(
         m_moves.begin(), m_moves.end(), [this](const Move &move) { return isPlanned(move); }));
-    for (PieceChange &change : m_owned.changesTo(m_wanted, m_epoch)) {
-        m_hasSkipped = preferOwner(change) || m_hasSkipped;
+    for (PieceChange &change : m_inForce.changesTo(m_wanted, m_epoch)) {
+        m_hasSkippedChanges = preferOwner(change) || m_hasSkippedChanges;
         const bool mustWait = overlapsAny(busy, change.piece) || isDeferred(change);
         if (mustWait || !mayStart(change, planned)) {
-            m_hasSkipped = true;
+            m_hasSkippedChanges = true;
             continue;
         }
         startMove(change);
@@ -297,18 +299,20 @@
 
 bool Handover::isDeferred(PieceChange &change) const
 {
-    // A piece that nobody may send for is granted at once, whatever moves were put off.
+    // A piece for which no daemon may send work is granted immediately, even if moves were
+    // deferred.
     if (isSameServer(change) || change.fromAttendant.isEmpty())
         return false;
 
-    const bool isPutOff = std::any_of(m_deferred.begin(), m_deferred.end(), [&](const auto &entry) {
-        return overlaps(entry.first, change.piece);
-    });
+    const bool isMoveDeferred =
+        std::any_of(m_deferred.begin(), m_deferred.end(),
+                    [&](const auto &entry) { return overlaps(entry.first, change.piece); });
     const Incarnation attendant = attendantOf(m_wantedAttendances, change.from);
-    if (!isPutOff || attendant.isEmpty() || attendant == change.fromAttendant)
-        return isPutOff;
+    if (!isMoveDeferred || attendant.isEmpty() || attendant == change.fromAttendant)
+        return isMoveDeferred;
 
-    // Routers know one attendant for each server, so the piece follows the others to the new one.
+    // Routers use one server manager per server, so the piece follows the server's other pieces to
+    // the new one.
     change.to = change.from;
     change.toAttendant = attendant;
     return false;
@@ -316,18 +320,19 @@
 
 bool Handover::preferOwner(PieceChange &change) const
 {
-    const bool isHeld = change.fromFence.epoch >= m_epoch && !change.fromAttendant.isEmpty();
-    if (isHeld || change.from.isEmpty() || m_lostServers.contains(change.from))
+    const bool hasSender = change.fromFence.epoch >= m_epoch && !change.fromAttendant.isEmpty();
+    if (hasSender || change.from.isEmpty() || m_lostServers.contains(change.from))
         return false;
 
-    // Nobody may send for the piece, so its owner serves it first; it can move warm later.
+    // No daemon may send work of the piece. Let its owner serve it first; it can be moved with a
+    // warm-up later.
     const Incarnation attendant = attendantOf(m_wantedAttendances, change.from);
     if (attendant.isEmpty() || m_lostAttendants.contains(attendant))
         return false;
-    const bool isOther = change.to != change.from;
+    const bool isOwnerChanged = change.to != change.from;
     change.to = change.from;
     change.toAttendant = attendant;
-    return isOther;
+    return isOwnerChanged;
 }
 
 bool Handover::mayStart(const PieceChange &change, std::size_t plannedCount) const
@@ -337,10 +342,10 @@
     if (change.to.isEmpty() || change.toAttendant.isEmpty() || isTargetLost(move))
         return false;
 
-    if (m_isOut && !isAllowedInOutage(move))
+    if (m_isPlatformOut && !isAllowedDuringOutage(move))
         return false;
 
-    return !isPlanned(move) || plannedCount < m_terms.plannedMoves;
+    return !isPlanned(move) || plannedCount < m_terms.maxPlannedMoves;
 }
 
 void Handover::startMove(const PieceChange &change)
@@ -350,7 +355,7 @@
     move.since = m_now;
     const bool warms = !isSameServer(change) && !change.from.isEmpty() && !isAfterLoss(move);
     if (!warms) {
-        stopSenders(move);
+        stopSending(move);
         return;
     }
     move.order =
@@ -361,41 +366,42 @@
 {
     PieceChange &change = move.change;
     const std::optional<OwnedPiece> wanted = m_wanted.covering(change.piece);
-    const bool isElsewhere =
+    const bool isTargetChanged =
         wanted && (wanted->server != change.to || wanted->attendant != change.toAttendant);
-    // Nobody may send before the grant is confirmed, and through a lost daemon it never is.
-    if (move.phase == Phase::Granting && isElsewhere)
+    // No daemon may send before the grant is confirmed, and a lost daemon never relays the
+    // confirmation.
+    if (move.phase == Phase::Granting && isTargetChanged)
         forgetGrant(move);
     if (move.phase >= Phase::Committing)
         return;
 
-    const bool isBack =
+    const bool isWantedAtOwner =
         !wanted || (wanted->server == change.from && wanted->attendant == change.fromAttendant);
-    if (isBack) {
-        giveBack(move);
+    if (isWantedAtOwner) {
+        returnToOwner(move);
         return;
     }
     if (wanted->server == change.to && wanted->attendant == change.toAttendant)
         return;
 
     if (move.phase == Phase::Warming) {
-        // The new target has yet to warm.
+        // The new target has not been warmed up.
         dropMove(move);
         return;
     }
     if (wanted->server == change.from && !isSameServer(change) && !move.isRevokeSent) {
-        giveBack(move);
+        returnToOwner(move);
         return;
     }
     const bool wasSameServer = isSameServer(change);
     change.to = wanted->server;
     change.toAttendant = wanted->attendant;
-    // A change of attendant waits for senders only; a move waits for what runs as well.
+    // A change of server manager waits for senders only; a move also waits for running work.
     if (wasSameServer && !isSameServer(change))
         enter(move, Phase::Stopping);
 }
 
-void Handover::giveBack(Move &move)
+void Handover::returnToOwner(Move &move)
 {
     if (move.phase == Phase::Warming || move.change.from.isEmpty()) {
         if (move.phase < Phase::Committing)
@@ -408,13 +414,15 @@
     PieceChange &change = move.change;
     const bool mayWithdraw = move.phase == Phase::Stopping && !move.isRevokeSent;
     const bool isWithdrawn = mayWithdraw
-        && m_book.withdrawStops(change.fromAttendant, change.piece, change.from, change.fromFence);
+        && m_leases.withdrawStops(change.fromAttendant, change.piece, change.from,
+                                  change.fromFence);
     if (isWithdrawn) {
-        m_prompts.insert(change.fromAttendant);
+        m_daemonsToPrompt.insert(change.fromAttendant);
         dropMove(move);
         return;
     }
-    // The old fence may be refused or its stop be done with, so the piece is granted anew.
+    // The server may already refuse the old fence, or its stop may be complete, so the piece is
+    // granted again with a new fence.
     change.to = change.from;
     change.toAttendant = change.fromAttendant;
     enter(move, Phase::Ready);
@@ -430,8 +438,8 @@
 {
     switch (move.phase) {
     case Phase::Warming:
-        if (isAfterLoss(move) || move.since + m_terms.warmLimit <= m_now)
-            stopSenders(move);
+        if (isAfterLoss(move) || move.since + m_terms.warmupTimeout <= m_now)
+            stopSending(move);
         break;
     case Phase::Stopping:
         stepStopping(move);
@@ -452,9 +460,9 @@
 
 void Handover::forgetGrant(Move &move)
 {
-    // Without an attendant the piece differs from any that is wanted, so it will be granted anew.
+    // A piece without a server manager differs from every wanted piece, so it is granted again.
     const PieceChange &change = move.change;
-    m_owned.apply({{change.piece, change.to, {}, move.fence}});
+    m_inForce.apply({{change.piece, change.to, {}, move.fence}});
     dropMove(move);
 }
 
@@ -468,24 +476,24 @@
             orderRevoke(move);
         return;
     }
-    const bool mayWait = isAfterLoss(move) || isSameServer(move.change)
+    const bool waitsWithoutLimit = isAfterLoss(move) || isSameServer(move.change)
         || m_leavingServers.contains(move.change.from);
-    if (mayWait || m_now < move.since + m_terms.patience)
+    if (waitsWithoutLimit || m_now < move.since + m_terms.stopTimeout)
         return;
 
-    putOff(move);
+    deferMove(move);
 }
 
-void Handover::putOff(Move &move)
+void Handover::deferMove(Move &move)
 {
     PieceChange &change = move.change;
-    m_deferred[change.piece] = m_now + m_terms.deferral;
+    m_deferred[change.piece] = m_now + m_terms.deferralPeriod;
     const Incarnation attendant = attendantOf(m_wantedAttendances, change.from);
     if (attendant.isEmpty() || attendant == change.fromAttendant) {
-        giveBack(move);
+        returnToOwner(move);
         return;
     }
-    // The old attendant is to leave the server in any case: only the move can wait.
+    // The server manager has to change in any case; only the move can be deferred.
     change.to = change.from;
     change.toAttendant = attendant;
     enter(move, Phase::Stopping);
@@ -493,8 +501,9 @@
 
 void Handover::stepRevoking(Move &move)
 {
-    // Nothing runs and nobody sends, so the server's word is a further guard, not a need.
-    if (move.isRevoked || isAfterLoss(move) || move.since + m_terms.revokeLimit <= m_now)
+    // No work runs and no daemon sends, so the server's confirmation is only an additional
+    // safeguard.
+    if (move.isRevoked || isAfterLoss(move) || move.since + m_terms.revokeTimeout <= m_now)
         enter(move, Phase::Ready);
 }
 
@@ -502,17 +511,18 @@
 {
     move.phase = phase;
     move.since = m_now;
-    move.reckonedAtEvent = 0;
+    move.computedAtEvent = 0;
 }
 
-void Handover::stopSenders(Move &move)
+void Handover::stopSending(Move &move)
 {
     enter(move, Phase::Stopping);
     const PieceChange &change = move.change;
-    const bool wasSending = !m_book.stop(change.fromAttendant, change.piece, change.from).empty();
+    const bool wasSending = !m_leases.stop(change.fromAttendant, change.piece, change.from).empty();
     if (wasSending)
-        m_prompts.insert(change.fromAttendant);
-    const bool canRefuse = m_checking.contains(change.from) && !m_lostServers.contains(change.from);
+        m_daemonsToPrompt.insert(change.fromAttendant);
+    const bool canRefuse =
+        m_checkingServers.contains(change.from) && !m_lostServers.contains(change.from);
     if (canRefuse && m_lostAttendants.contains(change.fromAttendant))
         orderRevoke(move);
 }
@@ -520,9 +530,9 @@
 void Handover::orderRevoke(Move &move)
 {
     const PieceChange &change = move.change;
-    const bool isOldLost = m_lostAttendants.contains(change.fromAttendant);
+    const bool isOldAttendantLost = m_lostAttendants.contains(change.fromAttendant);
     const Incarnation through =
-        isOldLost ? attendantOf(m_wantedAttendances, change.from) : change.fromAttendant;
+        isOldAttendantLost ? attendantOf(m_wantedAttendances, change.from) : change.fromAttendant;
     move.isRevokeSent = true;
     m_isIndexStale = true;
     move.order = m_orders.add(ServerOrderKind::Revoke, through,
@@ -532,11 +542,11 @@
 bool Handover::isReleased(Move &move) const
 {
     const bool isKnown =
-        move.reckonedAtEvent == m_eventCount && move.reckonedAtChange == m_book.changeCount();
+        move.computedAtEvent == m_eventCount && move.computedAtChange == m_leases.changeCount();
     if (!isKnown) {
         move.releaseAt = releaseInstant(move);
-        move.reckonedAtEvent = m_eventCount;
-        move.reckonedAtChange = m_book.changeCount();
+        move.computedAtEvent = m_eventCount;
+        move.computedAtChange = m_leases.changeCount();
     }
     return move.releaseAt <= m_now;
 }
@@ -548,12 +558,12 @@
         return m_now;
 
     if (isSameServer(change))
-        return m_book.quietFrom(change.piece, change.from);
+        return m_leases.sendingEndedFrom(change.piece, change.from);
 
     if (isAfterLoss(move))
-        return m_book.freeFrom(change.piece, change.from);
+        return m_leases.workEndedFrom(change.piece, change.from);
 
-    return m_book.isIdle(change.piece, change.from) ? m_now : Instant::max();
+    return m_leases.isIdle(change.piece, change.from) ? m_now : Instant::max();
 }
 
 bool Handover::isPlanned(const Move &move) const
@@ -567,7 +577,7 @@
         || m_lostAttendants.contains(move.change.fromAttendant);
 }
 
-bool Handover::isAllowedInOutage(const Move &move) const
+bool Handover::isAllowedDuringOutage(const Move &move) const
 {
     return isSameServer(move.change) || isAfterLoss(move);
 }
@@ -578,7 +588,7 @@
         || m_lostAttendants.contains(move.change.toAttendant);
 }
 
-void Handover::eraseDone()
+void Handover::removeDoneMoves()
 {
     const std::size_t erased =
         std::erase_if(m_moves, [](const Move &move) { return move.phase == Phase::Done; });
@@ -589,22 +599,23 @@
 
 void Handover::publish()
 {
-    if (m_isOut) {
-        publishByRight();
+    if (m_isPlatformOut) {
+        publishDuringOutage();
         return;
     }
-    if (m_mustRead) {
-        askPublished();
+    if (m_mustReadPublished) {
+        readPublished();
         return;
     }
-    const bool hasWork = hasReady() || m_isUnpublished || hasNewAttendance() || hasNewLayout();
-    if (!m_commit && hasWork && m_commitAt + m_terms.commitInterval <= m_now)
+    const bool hasChanges =
+        hasReadyMove() || m_isUnpublished || hasNewAttendance() || hasNewLayout();
+    if (!m_pendingCommit && hasChanges && m_commitAt + m_terms.commitInterval <= m_now)
         startCommit();
 }
 
-void Handover::publishByRight()
+void Handover::publishDuringOutage()
 {
-    if (!hasReady() && !hasNewAttendance())
+    if (!hasReadyMove() && !hasNewAttendance())
         return;
 
     const Assignment next = nextAssignment();
@@ -614,7 +625,7 @@
 
 void Handover::startCommit()
 {
-    m_commit = OpenCommit{0, nextAssignment(), false};
+    m_pendingCommit = PendingCommit{0, nextAssignment(), false};
     m_commitAt = m_now;
     for (Move &move : m_moves) {
         if (move.phase == Phase::Ready)
@@ -625,16 +636,17 @@
 
 void Handover::sendCommit()
 {
-    m_commit->id = ++m_lastCommit;
-    m_commit->isUnsettled = false;
-    m_actions.emplace_back(CommitAssignment{m_commit->id, m_published, m_commit->next});
+    m_pendingCommit->id = ++m_lastCommitId;
+    m_pendingCommit->isUnsettled = false;
+    m_actions.emplace_back(
+        CommitAssignment{m_pendingCommit->id, m_published, m_pendingCommit->next});
 }
 
 void Handover::settleCommitted()
 {
-    const Assignment next = std::move(m_commit->next);
-    m_commit.reset();
-    m_mustRead = false;
+    const Assignment next = std::move(m_pendingCommit->next);
+    m_pendingCommit.reset();
+    m_mustReadPublished = false;
     m_published = next.version;
     m_isUnpublished = false;
     putInForce(Phase::Committing, next);
@@ -642,8 +654,8 @@
 
 void Handover::abandonCommit()
 {
-    m_commit.reset();
-    m_mustRead = true;
+    m_pendingCommit.reset();
+    m_mustReadPublished = true;
     for (Move &move : m_moves) {
         if (move.phase == Phase::Committing)
             enter(move, Phase::Ready);
@@ -661,14 +673,15 @@
         move.fence = version;
         changed.push_back({change.piece, change.to, change.toAttendant, version});
     }
-    OwnershipMap next = m_owned;
+    OwnershipMap next = m_inForce;
     next.apply(std::move(changed));
     return {m_domain, version, next.slices(m_wantedLayout), nextAttendances(next)};
 }
 
 std::vector<Attendance> Handover::nextAttendances(const OwnershipMap &next) const
 {
-    // A daemon that still sends for a server keeps it, so that routers don't leave it too early.
+    // A daemon that still sends to a server remains its manager, so that routers do not switch too
+    // early.
     std::set<ServerName> kept;
     for (const OwnedPiece &owned : next.pieces()) {
         const bool isSending = !owned.attendant.isEmpty()
@@ -687,7 +700,7 @@
 
 bool Handover::hasNewAttendance() const
 {
-    return m_attendancesDiffer && nextAttendances(m_owned) != m_attendances;
+    return m_attendancesDiffer && nextAttendances(m_inForce) != m_attendances;
 }
 
 bool Handover::hasNewLayout() const
@@ -697,8 +710,9 @@
 
 void Handover::compareLayouts()
 {
-    // Splits and merges of what has one owner and fence take no right from anybody: no move.
-    OwnershipMap next = m_owned;
+    // Splitting or merging pieces of the same owner and fence revokes no right, so it needs no
+    // move.
+    OwnershipMap next = m_inForce;
     next.apply({});
     m_layoutsDiffer = next.slices(m_wantedLayout) != next.slices(m_layout);
 }
@@ -715,7 +729,7 @@
         move.order = m_orders.add(ServerOrderKind::Grant, change.toAttendant,
                                   sliceOf(change, change.to, move.fence));
     }
-    m_owned.apply(std::move(changed));
+    m_inForce.apply(std::move(changed));
     m_version = assignment.version;
     m_layout = layoutOf(assignment.slices);
     compareLayouts();
@@ -724,16 +738,16 @@
     m_actions.emplace_back(AssignmentInForce{assignment, m_isUnpublished});
 }
 
-void Handover::askPublished()
+void Handover::readPublished()
 {
-    if (m_now < m_readAt)
+    if (m_now < m_nextReadAt)
         return;
 
-    m_readAt = m_now + m_terms.retryAfter;
+    m_nextReadAt = m_now + m_terms.retryDelay;
     m_actions.emplace_back(ReadPublished{});
 }
 
-bool Handover::hasReady() const
+bool Handover::hasReadyMove() const
 {
     return std::any_of(m_moves.begin(), m_moves.end(),
                        [](const Move &move) { return move.phase == Phase::Ready; });
@@ -768,19 +782,19 @@
     if (kind == ServerOrderKind::Revoke)
         move.isRevoked = true;
     if (kind == ServerOrderKind::Prepare && move.phase == Phase::Warming)
-        stopSenders(move);
+        stopSending(move);
     if (kind != ServerOrderKind::Grant || move.phase != Phase::Granting)
         return;
 
     const PieceChange &change = move.change;
-    m_book.allow(change.toAttendant, {change.piece, change.to, move.fence});
-    m_prompts.insert(change.toAttendant);
+    m_leases.allow(change.toAttendant, {change.piece, change.to, move.fence});
+    m_daemonsToPrompt.insert(change.toAttendant);
     move.phase = Phase::Done;
 }
 
-void Handover::endStewardship()
+void Handover::endLeadership()
 {
-    m_isEnded = true;
+    m_isLeadershipOver = true;
     m_actions.emplace_back(StewardshipLost{});
 }
 
--- a/src/libbulrush/process/handover.h
+++ b/src/libbulrush/process/handover.h
@@ -2,7 +2,7 @@
 
 #include "process/handovermessages.h"
 #include "process/leasebook.h"
-#include "process/serverorders.h"
+#include "process/pendingserverorders.h"
 
 #include <map>
 #include <optional>
@@ -11,52 +11,53 @@
 namespace bulrush {
 
 /**
- * Spans and bounds of moves.
+ * Time limits and intervals of moves.
  */
 struct HandoverTerms
 {
-    /** How long a new owner may take to warm before the move goes on without. */
-    Duration warmLimit = std::chrono::seconds{2};
-    /** How long a planned move holds a piece while its flights end, before it is put off. */
-    Duration patience = std::chrono::milliseconds{300};
-    /** How long a move that was put off rests. */
-    Duration deferral = std::chrono::seconds{10};
-    /** After which an order or a read without an answer is repeated. */
-    Duration retryAfter = std::chrono::milliseconds{200};
-    /** How long an idle server's word on a revoke is waited for. */
-    Duration revokeLimit = std::chrono::seconds{1};
-    /** Shortest time between the starts of two commits. */
+    /** Time for the new owner to warm up; afterwards the move continues without warm-up. */
+    Duration warmupTimeout = std::chrono::seconds{2};
+    /** Time that a planned move blocks a piece while its in-flight work finishes, before the move
+     * is deferred. */
+    Duration stopTimeout = std::chrono::milliseconds{300};
+    /** Time for which a deferred move is not retried. */
+    Duration deferralPeriod = std::chrono::seconds{10};
+    /** Time after which an order or a read without an answer is repeated. */
+    Duration retryDelay = std::chrono::milliseconds{200};
+    /** Maximum time to wait for an idle server to confirm a revoke. */
+    Duration revokeTimeout = std::chrono::seconds{1};
+    /** Minimum time between the starts of two commits. */
     Duration commitInterval = std::chrono::milliseconds{20};
-    /** Shortest time from a commit to one that only cuts slices otherwise. */
+    /** Minimum time from a commit to one that only changes the slice boundaries. */
     Duration layoutInterval = std::chrono::seconds{2};
-    /** Shortest time between two looks for changes that had to wait. */
+    /** Minimum time between two checks for changes that had to wait. */
     Duration planInterval = std::chrono::milliseconds{5};
-    /** Planned moves between servers under way at once. */
-    std::size_t plannedMoves = 64;
+    /** Maximum number of concurrent planned moves between servers. */
+    std::size_t maxPlannedMoves = 64;
 };
 
 /**
- * The steward's side of moving slices between servers and attendants: leads the assignment in
- * force towards the one wanted, and orders no grant that the platform's row, or in an outage the
- * domain's delegated right, doesn't cover.
+ * The leader's side of moving slices between servers and server managers. Changes the assignment in
+ * force step by step towards the wanted one. Orders only grants that are covered by the platform's
+ * row or, in an outage, by the domain's delegated right.
  *
- * Not thread safe. Instants are the steward's own and never go back between calls.
+ * Not thread safe. Instants are those of the leader's clock and must not decrease between calls.
  */
 class Handover
 {
 public:
     /**
-     * \a inForce is the assignment to start from: its slices are granted anew with fences of
-     * \a epoch. \a published is the version in the platform's row.
-     * \pre No lease of an earlier steward lasts, and no work sent under one still runs.
+     * \a inForce is the assignment to start from; its slices are granted again with fencing tokens
+     * of \a epoch. \a published is the version in the platform's row.
+     * \pre All leases of earlier leaders have ended and no work sent under them still runs.
      */
     Handover(HandoverTerms terms, std::uint64_t epoch, const Assignment &inForce, Fence published,
-             LeaseBook &book);
+             LeaseBook &leases);
 
-    /** Names the servers that compare the fence of each piece of work with their grants. */
+    /** Sets the servers that check the fencing token of each request against their grants. */
     void setCheckingServers(std::set<ServerName> servers);
 
-    /** Takes in an event. \returns what is to be done now, in this order. */
+    /** Handles an event. \returns the actions to perform now, in this order. */
     std::vector<HandoverAction> handle(const HandoverEvent &event, Instant now);
 
     /** \returns the version of the assignment in force. */
@@ -65,27 +66,27 @@
     /** \returns the assignment in force. */
     Assignment assignment() const;
 
-    /** \returns how many pieces are on their way. */
+    /** \returns the number of moves in progress. */
     std::size_t moveCount() const;
 
-    /** \returns whether the assignment in force is in no row of the platform. */
+    /** \returns whether the assignment in force has not been published to the platform. */
     bool isUnpublished() const;
 
 private:
     enum class Phase {
-        /** The new server loads; the old one goes on serving. */
+        /** The new server loads; the old one continues to serve. */
         Warming,
-        /** The old attendant has been told to stop. */
+        /** The old server manager has been ordered to stop sending. */
         Stopping,
-        /** The old server has been told to refuse. */
+        /** The old server has been ordered to refuse work. */
         Revoking,
-        /** Nothing runs; the commit may name the new owner. */
+        /** No work runs; the commit may name the new owner. */
         Ready,
-        /** The commit has no settled outcome. */
+        /** The result of the commit is not settled. */
         Committing,
-        /** In force; the new server has yet to confirm its grant. */
+        /** In force; the new server has not confirmed its grant yet. */
         Granting,
-        /** In force and allowed to the new attendant. */
+        /** In force; the new server manager holds the routing right. */
         Done,
     };
 
@@ -95,71 +96,71 @@
         Phase phase = Phase::Warming;
         /** Start of the phase. */
         Instant since;
-        /** The order that the phase waits for. */
+        /** The order whose confirmation the phase awaits. */
         OrderId order = 0;
-        /** Whether the old server has confirmed that it refuses and that nothing runs. */
+        /** Whether the old server has confirmed that it refuses work and that none runs. */
         bool isRevoked = false;
-        /** Whether the old server may have seen a revoke. */
+        /** Whether the old server may have received a revoke. */
         bool isRevokeSent = false;
-        /** When the old server is released, as reckoned at the counts below. */
+        /** When the old server is released, computed at the event and change counts below. */
         Instant releaseAt;
-        std::uint64_t reckonedAtEvent = 0;
-        std::uint64_t reckonedAtChange = 0;
+        std::uint64_t computedAtEvent = 0;
+        std::uint64_t computedAtChange = 0;
         /** Fence of the new grant, once the move is in force. */
         Fence fence;
     };
 
-    struct OpenCommit
+    struct PendingCommit
     {
         OrderId id = 0;
         Assignment next;
-        /** Whether the outcome is to be settled by reading. */
+        /** Whether the published row must be read to settle the result. */
         bool isUnsettled = false;
     };
 
-    void take(const AssignmentWanted &event);
-    void take(const ServerLost &event);
-    void take(const ServerFound &event);
-    void take(const ServerLeaving &event);
-    void take(const AttendantLost &event);
-    void take(const AttendantFound &event);
-    void take(const OrderConfirmed &event);
-    void take(const GrantRefused &event);
-    void take(const CommitEnded &event);
-    void take(const PublishedRead &event);
-    void take(const PlatformOutage &event);
-    void take(const TenureExtended &event);
-    void take(const TimePassed &event);
+    void handleEvent(const AssignmentWanted &event);
+    void handleEvent(const ServerLost &event);
+    void handleEvent(const ServerFound &event);
+    void handleEvent(const ServerLeaving &event);
+    void handleEvent(const AttendantLost &event);
+    void handleEvent(const AttendantFound &event);
+    void handleEvent(const OrderConfirmed &event);
+    void handleEvent(const GrantRefused &event);
+    void handleEvent(const CommitEnded &event);
+    void handleEvent(const PublishedRead &event);
+    void handleEvent(const PlatformOutage &event);
+    void handleEvent(const TenureExtended &event);
+    void handleEvent(const TimePassed &event);
 
     void advance();
-    void passOverMoves();
-    void settleOutage();
+    void updateMoves();
+    void abortForOutage();
     void startMoves();
     bool isDeferred(PieceChange &change) const;
     bool preferOwner(PieceChange &change) const;
     bool mayStart(const PieceChange &change, std::size_t plannedCount) const;
     void startMove(const PieceChange &change);
     void retarget(Move &move);
-    void giveBack(Move &move);
+    void returnToOwner(Move &move);
     void dropMove(Move &move);
     void step(Move &move);
     void forgetGrant(Move &move);
     void stepStopping(Move &move);
-    void putOff(Move &move);
+    void deferMove(Move &move);
     void stepRevoking(Move &move);
     void enter(Move &move, Phase phase);
-    void stopSenders(Move &move);
+    void stopSending(Move &move);
     void orderRevoke(Move &move);
     bool isReleased(Move &move) const;
     Instant releaseInstant(const Move &move) const;
     bool isPlanned(const Move &move) const;
     bool isAfterLoss(const Move &move) const;
-    bool isAllowedInOutage(const Move &move) const;
+    bool isAllowedDuringOutage(const Move &move) const;
     bool isTargetLost(const Move &move) const;
-    void eraseDone();
+    void removeDoneMoves();
 
     void publish();
-    void publishByRight();
+    void publishDuringOutage();
     void startCommit();
     void sendCommit();
     void settleCommitted();
@@ -170,60 +171,60 @@
     bool hasNewLayout() const;
     void compareLayouts();
     void putInForce(Phase phase, const Assignment &assignment);
-    void askPublished();
-    bool hasReady() const;
+    void readPublished();
+    bool hasReadyMove() const;
 
     void closeFinishedOrders();
-    /** \returns the places in m_moves of the moves that an order is for. */
+    /** \returns the indices in m_moves of the moves that \a order belongs to. */
     std::vector<std::size_t> movesOf(OrderId order);
     void confirm(Move &move, ServerOrderKind kind);
-    void endStewardship();
+    void endLeadership();
 
     HandoverTerms m_terms;
-    LeaseBook &m_book;
+    LeaseBook &m_leases;
     Fence m_version;
     std::uint64_t m_epoch;
     std::uint64_t m_lastSequence = 0;
     DomainName m_domain;
     Fence m_published;
-    OwnershipMap m_owned;
+    OwnershipMap m_inForce;
     OwnershipMap m_wanted;
-    /** Where slices are cut that have one owner and fence: in force, and wanted. */
+    /** Slice boundaries in force and wanted; they may divide pieces of the same owner and fence. */
     std::vector<SlicePiece> m_layout;
     std::vector<SlicePiece> m_wantedLayout;
     bool m_layoutsDiffer = false;
     std::vector<Attendance> m_attendances;
     std::vector<Attendance> m_wantedAttendances;
     std::vector<Move> m_moves;
-    /** Places in m_moves; out of date after each pass. */
+    /** Indices in m_moves; invalid after each pass over the moves. */
     std::map<OrderId, std::vector<std::size_t>> m_movesByOrder;
     bool m_isIndexStale = true;
-    ServerOrders m_orders;
-    OrderId m_lastCommit = 0;
-    std::optional<OpenCommit> m_commit;
-    std::set<ServerName> m_checking;
+    PendingServerOrders m_orders;
+    OrderId m_lastCommitId = 0;
+    std::optional<PendingCommit> m_pendingCommit;
+    std::set<ServerName> m_checkingServers;
     std::set<ServerName> m_lostServers;
     std::set<ServerName> m_leavingServers;
     std::set<Incarnation> m_lostAttendants;
     std::map<SlicePiece, Instant> m_deferred;
-    bool m_isOut = false;
+    bool m_isPlatformOut = false;
     bool m_isUnpublished = false;
-    bool m_isEnded = false;
+    bool m_isLeadershipOver = false;
     bool m_needsPlan = true;
-    /** Whether the last plan left changes for later. */
-    bool m_hasSkipped = false;
+    /** Whether the last planning pass left changes for later. */
+    bool m_hasSkippedChanges = false;
     Instant m_planAt;
-    bool m_needsPass = true;
+    bool m_needsUpdate = true;
     bool m_attendancesDiffer = false;
-    /** Whether the row's version isn't known and must be read before a commit. */
-    bool m_mustRead = false;
-    Instant m_readAt;
+    /** Whether the row's version is unknown and must be read before a commit. */
+    bool m_mustReadPublished = false;
+    Instant m_nextReadAt;
     Instant m_commitAt;
-    Instant m_tenureUntil;
-    /** Counts the events that may change when a server is released. */
+    Instant m_leadershipUntil;
+    /** Number of events that may change when a server is released. */
     std::uint64_t m_eventCount = 1;
     Instant m_now;
-    std::set<Incarnation> m_prompts;
+    std::set<Incarnation> m_daemonsToPrompt;
     std::vector<HandoverAction> m_actions;
 };
 
--- a/src/libbulrush/process/handovermessages.h
+++ b/src/libbulrush/process/handovermessages.h
@@ -10,40 +10,41 @@
 
 namespace bulrush {
 
-/** Names an order to a server or a write of the platform; never used twice by one steward. */
+/** Identifies an order to a server or a platform write; unique within one leadership term. */
 using OrderId = std::uint64_t;
 
-/** Who is to own what and attend whom; its version and fences are ignored. */
+/** Sets the wanted owners and server managers; its version and fences are ignored. */
 struct AssignmentWanted
 {
     Assignment wanted;
 };
 
-/** A server's attendant, or the steward itself, takes the server for lost. */
+/** The server's manager, or the leader itself, considers the server lost. */
 struct ServerLost
 {
     ServerName server;
 };
 
-/** A server that was lost answers again. */
+/** A server that was considered lost answers again. */
 struct ServerFound
 {
     ServerName server;
 };
 
-/** A server is to be left for good: its moves wait for their flights however long they take. */
+/** A server is being vacated permanently: its moves wait for in-flight work without a time limit.
+ */
 struct ServerLeaving
 {
     ServerName server;
 };
 
-/** A daemon has not pulled for too long. */
+/** A daemon has not pulled its lease for too long. */
 struct AttendantLost
 {
     Incarnation attendant;
 };
 
-/** A daemon that was taken for lost has pulled again. */
+/** A daemon that was considered lost has pulled its lease again. */
 struct AttendantFound
 {
     Incarnation attendant;
@@ -53,11 +54,11 @@
 struct OrderConfirmed
 {
     OrderId order = 0;
-    /** Work of the order's pieces that still ran when it answered. */
+    /** Number of requests for the order's pieces that were still running when it answered. */
     std::uint32_t running = 0;
 };
 
-/** A server has refused a grant, for it knows a higher fence. */
+/** A server has refused a grant because it has seen a higher fence. */
 struct GrantRefused
 {
     OrderId order = 0;
@@ -68,38 +69,41 @@
     Committed,
     /** The row was not at the expected version. */
     Conflict,
-    /** The steward's row is another's: this one's time is over. */
+    /** The leader row belongs to another leader: this leadership term is over. */
     Refused,
-    /** The answer was lost: the write took effect, did not, or still may. */
+    /** The answer was lost: the write may or may not have taken effect, or may still do so. */
     Unknown,
 };
 
-/** The platform has answered a commit, or will not. */
+/** The platform has answered a commit, or no answer is expected any more. */
 struct CommitEnded
 {
     OrderId commit = 0;
     CommitOutcome outcome = CommitOutcome::Unknown;
 };
 
-/** The row of the published assignment has been read. */
+/** Result of a read of the published assignment's row. */
 struct PublishedRead
 {
     Fence published;
 };
 
-/** The steward's tenure goes on by its candidates' promises, or by the platform's row again. */
+/**
+ * A platform outage has begun or ended: the leadership term is extended by the candidates' promises
+ * or, after the outage, by the platform's row again.
+ */
 struct PlatformOutage
 {
     bool isOut = false;
 };
 
-/** The steward's tenure lasts until this instant. */
+/** The leadership term lasts until this instant. */
 struct TenureExtended
 {
     Instant until;
 };
 
-/** Time has passed. */
+/** Periodic timer event. */
 struct TimePassed
 { };
 
@@ -109,16 +113,17 @@
                  PlatformOutage, TenureExtended, TimePassed>;
 
 enum class ServerOrderKind {
-    /** Load the state of the pieces, if the server can; it owns nothing yet. */
+    /** Load the state of the pieces if the server supports it; it does not own them yet. */
     Prepare,
     /** Refuse work of the pieces with their fences or lower. */
     Revoke,
-    /** Own the pieces with their fences. */
+    /** Become the owner of the pieces with their fences. */
     Grant,
 };
 
 /**
- * Order to a server, sent through the daemon that attends it. It may be repeated with the same id.
+ * Order to a server, sent through the daemon that manages its connections. It may be repeated with
+ * the same id.
  */
 struct ServerOrder
 {
@@ -132,8 +137,8 @@
 };
 
 /**
- * Store \a next as an object and publish it, if the row is at \a expected and the steward's row is
- * still this one's.
+ * Store \a next as an object and publish it, provided that the row is at \a expected and the leader
+ * row still belongs to this leader.
  */
 struct CommitAssignment
 {
@@ -146,21 +151,21 @@
 struct ReadPublished
 { };
 
-/** Routers are to learn this assignment. */
+/** Distribute this assignment to the routers. */
 struct AssignmentInForce
 {
     Assignment assignment;
-    /** Whether no row of the platform says so yet. */
+    /** Whether the assignment has not been published to the platform yet. */
     bool isUnpublished = false;
 };
 
-/** A daemon should pull its lease now; without the prompt it does so at its next interval. */
+/** Prompt a daemon to pull its lease now; otherwise it does so at its next interval. */
 struct PromptPull
 {
     Incarnation daemon;
 };
 
-/** The steward's row is another's; nothing more will be ordered. */
+/** The leader row belongs to another leader; no further actions follow. */
 struct StewardshipLost
 { };
 
--- a/src/libbulrush/process/leaderrowobserver.cpp
+++ b/src/libbulrush/process/leaderrowobserver.cpp
@@ -27,7 +27,7 @@
     return m_seenAt + stretched(m_row->row.leaseLength, m_driftPpm);
 }
 
-Instant LeaderRowObserver::tenureEndedFrom() const
+Instant LeaderRowObserver::termEndedFrom() const
 {
     const StewardRow &row = m_row->row;
     if (row.isReleased)
--- a/src/libbulrush/process/leaderrowobserver.h
+++ b/src/libbulrush/process/leaderrowobserver.h
@@ -45,7 +45,7 @@
      * \returns the instant from which the holder's term has ended on every clock, regardless of any
      * promises of candidates. \pre hasRow()
      */
-    Instant tenureEndedFrom() const;
+    Instant termEndedFrom() const;
 
 private:
     std::int64_t m_driftPpm;
--- a/src/libbulrush/process/leasebook.cpp
+++ b/src/libbulrush/process/leasebook.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/** Adds what is left of \a right outside of \a piece to \a kept. */
-void keepOutside(const SliceRight &right, const SlicePiece &piece, std::vector<SliceRight> &kept)
+/** Adds the parts of \a right outside of \a piece to \a kept. */
+void addRemainder(const SliceRight &right, const SlicePiece &piece, std::vector<SliceRight> &kept)
 {
     if (right.piece.range.begin < piece.range.begin) {
         SliceRight left = right;
@@ -21,8 +21,8 @@
     }
 }
 
-/** A daemon that holds nothing is forgotten after this many lengths of a lease. */
-constexpr int forgetAfterLeases = 100;
+/** A daemon without rights is removed after this multiple of the lease length. */
+constexpr int removalDelayInLeases = 100;
 
 bool byPiece(const SliceRight &first, const SliceRight &second)
 {
@@ -35,7 +35,7 @@
     rights.insert(place, std::move(right));
 }
 
-/** \returns whether \a sorted rights, which don't overlap, leave no gap in \a range. */
+/** \returns whether the \a sorted rights, which do not overlap, cover \a range completely. */
 bool coverAll(std::span<const SliceRight> sorted, SliceRange range)
 {
     KeyHash next = range.begin;
@@ -69,7 +69,7 @@
     holder.highestRequest = request.requestId;
     holder.lastPull = now;
     for (const StopReport &report : request.stopReports)
-        takeReport(request.incarnation, report, now);
+        applyReport(request.incarnation, report, now);
 
     if (holder.rightsVersion == Fence{})
         holder.rightsVersion = nextId();
@@ -108,7 +108,7 @@
         const StopOrder order{nextId(), commonPart(right.piece, piece), server};
         addStop(holder, entry, {{}, order, right.fence, entry.sendsUntil, {}, {}, false});
         made.push_back(order.stop);
-        keepOutside(right, piece, kept);
+        addRemainder(right, piece, kept);
     }
     if (made.empty())
         return made;
@@ -128,7 +128,7 @@
     std::vector<StopId> withdrawn;
     std::vector<SliceRight> restored;
     for (const StopRecord *record : stopsOf(piece, server)) {
-        // An older stop may be open still, for the flights under an older grant.
+        // An older stop may still be pending because of work in flight under an older grant.
         if (record->holder != holder || record->fence != fence)
             continue;
         withdrawn.push_back(record->order.stop);
@@ -144,19 +144,19 @@
     return true;
 }
 
-Instant LeaseBook::quietFrom(const SlicePiece &piece, const ServerName &server) const
+Instant LeaseBook::sendingEndedFrom(const SlicePiece &piece, const ServerName &server) const
 {
     Instant latest{};
     for (const StopRecord *record : stopsOf(piece, server))
-        latest = std::max(latest, quietInstant(*record));
+        latest = std::max(latest, sendingEndInstant(*record));
     return latest;
 }
 
-Instant LeaseBook::freeFrom(const SlicePiece &piece, const ServerName &server) const
+Instant LeaseBook::workEndedFrom(const SlicePiece &piece, const ServerName &server) const
 {
     Instant latest{};
     for (const StopRecord *record : stopsOf(piece, server))
-        latest = std::max(latest, freeInstant(*record));
+        latest = std::max(latest, workEndInstant(*record));
     return latest;
 }
 
@@ -175,24 +175,24 @@
 
 void LeaseBook::expire(Instant now)
 {
-    if (m_stops.empty() && now < m_forgetAt)
+    if (m_stops.empty() && now < m_nextExpiryAt)
         return;
 
-    m_forgetAt = now + m_terms.length;
-    const Duration longestRun = stretched(m_terms.runCap, m_terms.driftPpm);
+    m_nextExpiryAt = now + m_terms.length;
+    const Duration maxRunTime = stretched(m_terms.runCap, m_terms.driftPpm);
     for (auto entry = m_holders.begin(); entry != m_holders.end();) {
         Holder &holder = entry->second;
-        const bool isGone = holder.sendsUntil + longestRun <= now;
+        const bool isLeaseOver = holder.sendsUntil + maxRunTime <= now;
         std::vector<StopId> finished;
         for (const StopId &stop : holder.stops) {
-            if (isGone || m_stops.at(stop).idle)
+            if (isLeaseOver || m_stops.at(stop).idle)
                 finished.push_back(stop);
         }
         dropStops(holder, finished);
-        const bool isEmpty = isGone && holder.stops.empty() && holder.rights.empty();
-        const bool isForgotten =
-            isEmpty && holder.lastPull + forgetAfterLeases * m_terms.length <= now;
-        entry = isForgotten ? m_holders.erase(entry) : std::next(entry);
+        const bool isEmpty = isLeaseOver && holder.stops.empty() && holder.rights.empty();
+        const bool isRemovable =
+            isEmpty && holder.lastPull + removalDelayInLeases * m_terms.length <= now;
+        entry = isRemovable ? m_holders.erase(entry) : std::next(entry);
     }
 }
 
@@ -215,7 +215,7 @@
     return found->second.rights;
 }
 
-void LeaseBook::takeReport(const Incarnation &incarnation, const StopReport &report, Instant now)
+void LeaseBook::applyReport(const Incarnation &incarnation, const StopReport &report, Instant now)
 {
     const auto found = m_stops.find(report.stop);
     if (found == m_stops.end() || found->second.holder != incarnation)
@@ -281,18 +281,19 @@
     return replaced;
 }
 
-Instant LeaseBook::quietInstant(const StopRecord &record) const
+Instant LeaseBook::sendingEndInstant(const StopRecord &record) const
 {
     return record.confirmedAt ? std::min(*record.confirmedAt, record.sendsUntil)
                               : record.sendsUntil;
 }
 
-Instant LeaseBook::freeInstant(const StopRecord &record) const
+Instant LeaseBook::workEndInstant(const StopRecord &record) const
 {
     if (record.idle)
         return *record.confirmedAt;
 
-    // Every deadline lies within the lease, so the lease's end bounds an unheard daemon's too.
+    // Every deadline lies within the lease, so the end of the lease also bounds the deadlines of a
+    // daemon that has sent no report.
     const Instant lastStart =
         record.confirmedAt ? std::min(record.deadlineUntil, record.sendsUntil) : record.sendsUntil;
     return lastStart + stretched(m_terms.runCap, m_terms.driftPpm);
--- a/src/libbulrush/process/leasebook.h
+++ b/src/libbulrush/process/leasebook.h
@@ -11,71 +11,73 @@
 namespace bulrush {
 
 /**
- * The steward's side of routing leases: answers pulls, and knows for each piece and server until
- * when a daemon may still be sending and until when work may still be running.
+ * The leader's side of routing leases: answers lease requests, and computes for each piece and
+ * server until when a daemon may still send work and until when work may still run.
  *
- * Not thread safe. Instants are the steward's own and never go back between calls.
+ * Not thread safe. Instants are those of the leader's clock and must not decrease between calls.
  */
 class LeaseBook
 {
 public:
-    /** \a epoch is that of the steward, and part of every id it makes. */
+    /** \a epoch is the leader's epoch, which is part of every id that is created here. */
     LeaseBook(LeaseTerms terms, std::uint64_t epoch);
 
     /**
-     * Answers a pull and takes in its stop reports. The lease ends no later than \a tenureUntil.
-     * \returns nothing when the tenure is over, or when a later request of the same daemon has
-     * been seen: an overtaken or doubled request gets no answer and its reports don't count.
+     * Answers a lease request and records its stop reports. The lease ends no later than
+     * \a tenureUntil.
+     * \returns nothing if the leadership term is over, or if a later request of the same daemon was
+     * received: overtaken or duplicated requests get no answer and their reports are ignored.
      */
     std::optional<LeaseReply> answer(const LeaseRequest &request, Fence assignmentVersion,
                                      Instant now, Instant tenureUntil);
 
     /**
-     * Lets \a holder send for a piece from its next reply on.
-     * \pre No other right or unfinished stop overlaps it at another server.
+     * Allows \a holder to send work of a piece from its next reply on.
+     * \pre No other right or unfinished stop overlaps the piece at another server.
      */
     void allow(const Incarnation &holder, SliceRight right);
 
     /**
-     * Takes the part of \a holder's rights that lies in \a piece at \a server back.
-     * \returns the ids of the stops that were made: none when it held no such right.
+     * Revokes the part of \a holder's rights at \a server that lies in \a piece.
+     * \returns the ids of the created stops; none if it held no such right.
      */
     std::vector<StopId> stop(const Incarnation &holder, const SlicePiece &piece,
                              const ServerName &server);
 
     /**
-     * Gives back the rights with \a fence that open stops of \a holder within \a piece at
-     * \a server had taken. \pre The server has not been told to revoke them.
-     * \returns false, and changes nothing, unless those stops cover all of \a piece.
+     * Restores the rights with \a fence that pending stops of \a holder within \a piece at
+     * \a server have revoked. \pre The server has not been ordered to revoke them.
+     * \returns false, without any change, unless those stops cover all of \a piece.
      */
     bool withdrawStops(const Incarnation &holder, const SlicePiece &piece, const ServerName &server,
                        Fence fence);
 
-    /** \returns the instant from which no daemon sends work of \a piece to \a server. */
-    Instant quietFrom(const SlicePiece &piece, const ServerName &server) const;
+    /** \returns the instant from which no daemon sends work of \a piece to \a server any more. */
+    Instant sendingEndedFrom(const SlicePiece &piece, const ServerName &server) const;
 
     /**
-     * \returns the instant from which no work of \a piece runs at \a server, provided that no
+     * \returns the instant from which no work of \a piece runs at \a server, assuming that no
      * request runs longer than the run cap.
      */
-    Instant freeFrom(const SlicePiece &piece, const ServerName &server) const;
+    Instant workEndedFrom(const SlicePiece &piece, const ServerName &server) const;
 
     /**
-     * \returns whether every daemon that sent work of \a piece to \a server has reported its end,
-     * or has been without a lease for long enough.
+     * \returns whether every daemon that sent work of \a piece to \a server has reported that its
+     * work has ended, or has been without a lease for long enough.
      */
     bool isIdle(const SlicePiece &piece, const ServerName &server) const;
 
-    /** \returns the instant until which \a holder may be sending: the past if it is unknown. */
+    /** \returns the instant until which \a holder may send work, or Instant{} if it is unknown. */
     Instant sendsUntil(const Incarnation &holder) const;
 
-    /** \returns a count that grows whenever an answer of the three above may have changed. */
+    /** \returns a count that is incremented when a result of sendingEndedFrom(), workEndedFrom() or
+     * isIdle() may have changed. */
     std::uint64_t changeCount() const;
 
-    /** Drops stops that are finished and daemons whose time is over and who hold nothing. */
+    /** Removes finished stops, and daemons that have no rights and whose lease has ended. */
     void expire(Instant now);
 
-    /** \returns the daemons that hold rights and have not pulled since \a instant. */
+    /** \returns the daemons that hold rights and have sent no lease request since \a instant. */
     std::vector<Incarnation> silentSince(Instant instant) const;
 
     /** \returns the rights of \a holder, sorted by piece. */
@@ -87,10 +89,10 @@
         Incarnation holder;
         StopOrder order;
         Fence fence;
-        /** Last instant that the holder may send, if it never hears of the stop. */
+        /** Last instant at which the holder may send, if it never receives the stop. */
         Instant sendsUntil;
         std::optional<Instant> confirmedAt;
-        /** Bound on the deadlines of its flights, once confirmed. */
+        /** Upper bound of the deadlines of its work in flight, once confirmed. */
         Instant deadlineUntil;
         bool idle = false;
     };
@@ -105,15 +107,15 @@
         std::vector<StopId> stops;
     };
 
-    void takeReport(const Incarnation &incarnation, const StopReport &report, Instant now);
+    void applyReport(const Incarnation &incarnation, const StopReport &report, Instant now);
     void addStop(const Incarnation &incarnation, Holder &holder, StopRecord record);
-    /** \returns the open stops of \a piece at \a server. */
+    /** \returns the pending stops that overlap \a piece at \a server. */
     std::vector<const StopRecord *> stopsOf(const SlicePiece &piece,
                                             const ServerName &server) const;
     void dropStops(Holder &holder, const std::vector<StopId> &finished);
     RightsReplaced rightsOf(const Holder &holder) const;
-    Instant quietInstant(const StopRecord &record) const;
-    Instant freeInstant(const StopRecord &record) const;
+    Instant sendingEndInstant(const StopRecord &record) const;
+    Instant workEndInstant(const StopRecord &record) const;
     Fence nextId();
 
     LeaseTerms m_terms;
@@ -121,7 +123,7 @@
     std::map<Incarnation, Holder> m_holders;
     std::map<StopId, StopRecord> m_stops;
     std::map<ServerName, std::vector<StopId>> m_stopsByServer;
-    Instant m_forgetAt;
+    Instant m_nextExpiryAt;
     std::uint64_t m_changeCount = 0;
 };
 
--- a/src/libbulrush/process/leasemessages.h
+++ b/src/libbulrush/process/leasemessages.h
@@ -11,26 +11,26 @@
 
 namespace bulrush {
 
-/** Counts the lease requests of one incarnation, from 1. */
+/** Sequence number of a lease request of one incarnation, starting at 1. */
 using LeaseRequestId = std::uint64_t;
-/** Names one order to stop: the steward's epoch and its count of stops. Never used twice. */
+/** Unique id of a stop order: the leader's epoch and a sequence number. */
 using StopId = Fence;
 
 /**
- * Permission for a daemon to send work of a piece to a server, while its lease lasts.
+ * Permission for a daemon to send work of a piece to a server during its lease.
  */
 struct SliceRight
 {
     SlicePiece piece;
     ServerName server;
-    /** Fence of the server's grant, which travels with the work. */
+    /** Fencing token of the server's grant, sent along with the work. */
     Fence fence;
 
     bool operator==(const SliceRight &) const = default;
 };
 
 /**
- * Order to a daemon to send no more work of a piece to a server, and to report how it ends.
+ * Order to a daemon to stop sending work of a piece to a server and to report its completion.
  */
 struct StopOrder
 {
@@ -42,42 +42,43 @@
 };
 
 /**
- * A daemon's word that it has stopped. All spans count from before the request was sent.
+ * A daemon's confirmation that it has stopped. All durations count from before the request was
+ * sent.
  */
 struct StopReport
 {
     StopId stop;
-    /** Whether every flight of the piece has been answered or must have ended. */
+    /** Whether all work in flight for the piece was answered or must have ended. */
     bool idle = false;
-    /** How far ahead the latest deadline of the piece's flights lies; not negative. */
+    /** Time until the latest deadline of the piece's work in flight; not negative. */
     Duration latestDeadline{0};
 
     bool operator==(const StopReport &) const = default;
 };
 
 /**
- * A daemon's pull of its routing lease.
+ * A daemon's request for its routing lease.
  */
 struct LeaseRequest
 {
     Incarnation incarnation;
     LeaseRequestId requestId = 0;
-    /** Version of the assignment that the daemon routes by. */
+    /** Version of the assignment that the daemon uses for routing. */
     Fence knownVersion;
     /** Version of the rights that the daemon holds. */
     Fence heldRights;
     std::vector<StopReport> stopReports;
-    /** Attended servers that the daemon takes for lost. */
+    /** Servers managed by the daemon that it considers lost. */
     std::vector<ServerName> lostServers;
 };
 
-/** The rights that the daemon named in its request still stand. */
+/** The rights that the daemon named in its request are still valid. */
 struct RightsUnchanged
 {
     bool operator==(const RightsUnchanged &) const = default;
 };
 
-/** All that the daemon may send and must stop; replaces what it held. */
+/** The complete rights and stop orders of the daemon; replaces those it held. */
 struct RightsReplaced
 {
     std::vector<SliceRight> rights;
@@ -87,7 +88,7 @@
 };
 
 /**
- * The steward's answer to a pull.
+ * The leader's answer to a lease request.
  */
 struct LeaseReply
 {
@@ -96,7 +97,7 @@
     Duration length{0};
     /** Version of the assignment in force. */
     Fence assignmentVersion;
-    /** Version of the rights below; grows with each change of them. */
+    /** Version of the rights below; incremented with each change. */
     Fence rightsVersion;
     std::variant<RightsUnchanged, RightsReplaced> rights;
 };
--- a/src/libbulrush/process/leaseterms.h
+++ b/src/libbulrush/process/leaseterms.h
@@ -5,17 +5,17 @@
 namespace bulrush {
 
 /**
- * The spans that routing leases are reckoned with; the same on every host of a failure domain.
+ * Durations for routing leases; identical on all hosts of a failure domain.
  */
 struct LeaseTerms
 {
-    /** How long a routing lease lasts, counted by its holder from before it asked. */
+    /** Length of a routing lease, counted by its holder from before it sent the request. */
     Duration length = std::chrono::milliseconds{1200};
-    /** How often a daemon pulls its lease. */
+    /** Interval between two lease pulls of a daemon. */
     Duration pullInterval = std::chrono::milliseconds{300};
-    /** Latest start of work at a server, counted from its dispatch. */
+    /** Maximum time from dispatch to the start of work at a server. */
     Duration deadlineCap = std::chrono::milliseconds{800};
-    /** Longest time that a server works at one request of a service divided by key. */
+    /** Maximum time that a server works on one request of a service divided by key. */
     Duration runCap = std::chrono::milliseconds{500};
     std::int64_t driftPpm = defaultDriftPpm;
 };
--- a/src/libbulrush/process/ownershipmap.cpp
+++ b/src/libbulrush/process/ownershipmap.cpp
@@ -17,18 +17,18 @@
     return first.piece < second.piece;
 }
 
-bool continues(const OwnedPiece &first, const OwnedPiece &second)
+bool isContinuedBy(const OwnedPiece &first, const OwnedPiece &second)
 {
     return first.piece.service == second.piece.service
         && first.piece.range.end + 1 == second.piece.range.begin && first.server == second.server
         && first.attendant == second.attendant && first.fence == second.fence;
 }
 
-std::vector<OwnedPiece> joined(std::vector<OwnedPiece> pieces)
+std::vector<OwnedPiece> merged(std::vector<OwnedPiece> pieces)
 {
     std::vector<OwnedPiece> result;
     for (OwnedPiece &piece : pieces) {
-        if (!result.empty() && continues(result.back(), piece))
+        if (!result.empty() && isContinuedBy(result.back(), piece))
             result.back().piece.range.end = piece.piece.range.end;
         else
             result.push_back(std::move(piece));
@@ -36,9 +36,9 @@
     return result;
 }
 
-/** Adds what \a owned keeps when the \a changed pieces, sorted, are taken out of it. */
-void keepRest(const OwnedPiece &owned, std::span<const OwnedPiece> changed,
-              std::vector<OwnedPiece> &kept)
+/** Adds the parts of \a owned outside of the sorted \a changed pieces to \a kept. */
+void addRemainder(const OwnedPiece &owned, std::span<const OwnedPiece> changed,
+                  std::vector<OwnedPiece> &kept)
 {
     OwnedPiece rest = owned;
     auto cut = std::partition_point(changed.begin(), changed.end(), [&owned](const auto &entry) {
@@ -79,7 +79,7 @@
     addUpTo(rest.end);
 }
 
-/** Walks over one wanted piece and the owned pieces below it. */
+/** Collects the differences between a wanted piece and the owned pieces that overlap it. */
 class ChangeCollector
 {
 public:
@@ -156,10 +156,10 @@
     std::sort(changed.begin(), changed.end(), byPiece);
     std::vector<OwnedPiece> pieces;
     for (const OwnedPiece &owned : m_pieces)
-        keepRest(owned, changed, pieces);
+        addRemainder(owned, changed, pieces);
     pieces.insert(pieces.end(), changed.begin(), changed.end());
     std::sort(pieces.begin(), pieces.end(), byPiece);
-    m_pieces = joined(std::move(pieces));
+    m_pieces = merged(std::move(pieces));
 }
 
 std::vector<PieceChange> OwnershipMap::changesTo(const OwnershipMap &wanted,
--- a/src/libbulrush/process/ownershipmap.h
+++ b/src/libbulrush/process/ownershipmap.h
@@ -10,12 +10,14 @@
 namespace bulrush {
 
 /**
- * \returns the attendant of \a server, or an empty name. \pre \a attendances is sorted by server.
+ * \returns the server manager of \a server, or an empty name. \pre \a attendances is sorted by
+ * server.
  */
 Incarnation attendantOf(std::span<const Attendance> attendances, const ServerName &server);
 
 /**
- * A piece of a service's line, its server, the server's fence for it, and the daemon that sends.
+ * A piece of a service's key space, its server, the server's fence for it and the daemon that
+ * sends.
  */
 struct OwnedPiece
 {
@@ -28,12 +30,12 @@
 };
 
 /**
- * A piece that is to change its server, its attendant or its fence.
+ * A piece whose server, server manager or fence is to change.
  */
 struct PieceChange
 {
     SlicePiece piece;
-    /** Empty where nobody owned the piece. */
+    /** Empty if the piece had no owner. */
     ServerName from;
     Incarnation fromAttendant;
     Fence fromFence;
@@ -44,7 +46,7 @@
 };
 
 /**
- * Who owns which piece of the line in one failure domain, as decided by its steward.
+ * The owners of all pieces of the key space in one failure domain, as assigned by its leader.
  *
  * Not thread safe.
  */
@@ -57,25 +59,25 @@
     /** \returns all pieces, sorted, without overlaps. */
     std::span<const OwnedPiece> pieces() const;
 
-    /** Puts \a changed, which are disjoint, in place of what they overlap. */
+    /** Replaces the parts that \a changed overlaps. \pre the pieces of \a changed are disjoint */
     void apply(std::vector<OwnedPiece> changed);
 
     /**
-     * \returns the changes that lead from here to \a wanted, sorted by piece: different servers
-     * and attendants, keys that nobody owns, and fences of an epoch before \a epoch. What
-     * \a wanted doesn't name stays as it is.
+     * \returns the changes from this map to \a wanted, sorted by piece: different servers and
+     * server managers, keys without an owner, and fences of an epoch before \a epoch. Pieces that
+     * \a wanted does not contain remain unchanged.
      */
     std::vector<PieceChange> changesTo(const OwnershipMap &wanted, std::uint64_t epoch) const;
 
     /** \returns the piece that covers all of \a piece, if there is one. */
     std::optional<OwnedPiece> covering(const SlicePiece &piece) const;
 
-    /** \returns the slices of an assignment that says the same. */
+    /** \returns the slices of an equivalent assignment. */
     std::vector<SliceOwner> slices() const;
 
     /**
-     * \returns the slices of an assignment that says the same, cut where a piece of \a layout
-     * begins or ends. Takes time linear in both. \pre \a layout is sorted, without overlaps.
+     * \returns the slices of an equivalent assignment, cut where a piece of \a layout begins or
+     * ends. Takes time linear in both. \pre \a layout is sorted, without overlaps.
      */
     std::vector<SliceOwner> slices(std::span<const SlicePiece> layout) const;
 
--- a/src/libbulrush/process/routingright.cpp
+++ b/src/libbulrush/process/routingright.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/** Requests that wait at most: an older one is given up, and its reply no longer matches. */
-constexpr std::size_t maxWaitingRequests = 16;
+/** Maximum number of pending requests; the oldest is dropped, and its reply no longer matches. */
+constexpr std::size_t maxPendingRequests = 16;
 
 bool covers(const StopOrder &order, const ServiceName &service, KeyHash key,
             const ServerName &server)
@@ -34,16 +34,16 @@
         stop.isReportedIdle = request.stopReports.back().idle;
     }
     m_hasNewLoss = false;
-    m_waiting.emplace(m_lastRequest, now);
-    if (m_waiting.size() > maxWaitingRequests)
-        m_waiting.erase(m_waiting.begin());
+    m_pendingRequests.emplace(m_lastRequest, now);
+    if (m_pendingRequests.size() > maxPendingRequests)
+        m_pendingRequests.erase(m_pendingRequests.begin());
     return request;
 }
 
 LeaseReplyVerdict RoutingRight::accept(const LeaseReply &reply, Instant now)
 {
-    const auto waiting = m_waiting.find(reply.requestId);
-    if (waiting == m_waiting.end())
+    const auto waiting = m_pendingRequests.find(reply.requestId);
+    if (waiting == m_pendingRequests.end())
         return LeaseReplyVerdict::Unmatched;
 
     const bool isOlder =
@@ -56,7 +56,7 @@
         return LeaseReplyVerdict::Outdated;
 
     const Instant leaseEnd = waiting->second + shortened(reply.length, m_terms.driftPpm);
-    m_waiting.erase(m_waiting.begin(), std::next(waiting));
+    m_pendingRequests.erase(m_pendingRequests.begin(), std::next(waiting));
     m_assignmentVersion = reply.assignmentVersion;
     m_leaseEnd = leaseEnd;
     m_rightsVersion = reply.rightsVersion;
@@ -147,10 +147,10 @@
 
 void RoutingRight::dropEndedFlights(Instant now)
 {
-    const Duration longestRun = stretched(m_terms.runCap, m_terms.driftPpm);
-    std::erase_if(m_flights, [now, longestRun](const auto &entry) {
+    const Duration maxRunTime = stretched(m_terms.runCap, m_terms.driftPpm);
+    std::erase_if(m_flights, [now, maxRunTime](const auto &entry) {
         const Flight &flight = entry.second;
-        return flight.isAbandoned && flight.deadline + longestRun <= now;
+        return flight.isAbandoned && flight.deadline + maxRunTime <= now;
     });
 }
 
--- a/src/libbulrush/process/routingright.h
+++ b/src/libbulrush/process/routingright.h
@@ -9,13 +9,13 @@
 
 namespace bulrush {
 
-/** Names a piece of work that a daemon has sent and that has not ended. */
+/** Identifies work in flight that a daemon has sent. */
 using FlightId = std::uint64_t;
 
 /** The work may be sent now. */
 struct DispatchAllowed
 {
-    /** Fence to send along. */
+    /** Fencing token to send with the work. */
     Fence fence;
     /** Latest instant, on this daemon's clock, at which the server may start the work. */
     Instant latestDeadline;
@@ -26,15 +26,15 @@
 enum class DispatchRefusal {
     /** No lease was ever granted to this incarnation. */
     NoLease,
-    /** The lease has ended; a pull may renew it. */
+    /** The lease has expired; a pull may renew it. */
     Lapsed,
-    /** Another daemon sends to this server, as far as this one knows. */
+    /** According to the stored rights, another daemon sends to this server. */
     NotAttendant,
-    /** The slice is leaving this server. */
+    /** The slice is being moved away from this server. */
     Stopping,
-    /** This server doesn't own the slice, as far as this daemon knows. */
+    /** According to the stored rights, this server does not own the slice. */
     NotAssigned,
-    /** The caller relies on a newer assignment than this daemon knows. */
+    /** The caller used a newer assignment than this daemon has received. */
     UnknownVersion,
 };
 
@@ -42,34 +42,34 @@
 
 enum class LeaseReplyVerdict {
     Accepted,
-    /** It answers no request that is waiting: doubled, overtaken or not ours. */
+    /** It matches no pending request: duplicated, overtaken or not for this daemon. */
     Unmatched,
-    /** It comes from an older steward or carries an older assignment. */
+    /** It is from an earlier leader or carries an older assignment. */
     Outdated,
-    /** What it orders is taken in, but its lease had ended before it arrived. */
+    /** Its orders were applied, but its lease had expired before it arrived. */
     TooLate,
 };
 
 /**
- * Work that a daemon wishes to send to a server of its failure domain.
+ * Work that a daemon intends to send to a server of its failure domain.
  */
 struct DispatchQuery
 {
     ServiceName service;
     KeyHash key = 0;
     ServerName server;
-    /** Until when the caller waits, on this daemon's clock. */
+    /** The caller's deadline on this daemon's clock. */
     Instant callerDeadline;
-    /** Version of the assignment that led the work here. */
+    /** Version of the assignment by which the work was routed here. */
     Fence routedBy;
 };
 
 /**
- * The daemon's side of routing leases in one failure domain: whether it may send work for a slice
- * to a server right now, and what it reports to the steward.
+ * The daemon's side of routing leases in one failure domain: decides whether the daemon may send
+ * work for a slice to a server now, and creates its reports to the leader.
  *
- * Not thread safe: a dispatch asks, starts its flight and hands its bytes over in one step of the
- * thread that owns this object, so that a stop is never reported between them.
+ * Not thread safe. A dispatch has to check the right, start the flight and hand over its bytes in
+ * one step of the thread that owns this object, so that no stop is reported in between.
  */
 class RoutingRight
 {
@@ -77,12 +77,12 @@
     RoutingRight(Incarnation incarnation, LeaseTerms terms);
 
     /**
-     * \returns the next pull, to be sent at once; \a now is read before sending.
-     * \a knownVersion is that of the assignment that the daemon routes by.
+     * \returns the next lease request, to be sent immediately; \a now is read before sending.
+     * \a knownVersion is the version of the assignment that the daemon uses for routing.
      */
     LeaseRequest makeRequest(Fence knownVersion, Instant now);
 
-    /** Takes a reply in. One that is unmatched or outdated changes nothing. */
+    /** Applies a reply. An unmatched or outdated reply has no effect. */
     LeaseReplyVerdict accept(const LeaseReply &reply, Instant now);
 
     /**
@@ -91,19 +91,19 @@
      */
     DispatchDecision mayDispatch(const DispatchQuery &query, Instant now) const;
 
-    /** Counts work in flight from now on. \pre mayDispatch() has just allowed it. */
+    /** Registers work in flight. \pre mayDispatch() has just allowed it. */
     FlightId startFlight(const DispatchQuery &query, const DispatchAllowed &allowed);
 
-    /** Ends a flight whose whole answer came, or of which nothing reached the server. */
+    /** Removes a flight that was answered completely, or of which no byte reached the server. */
     void endFlight(FlightId flight);
 
-    /** Ends a flight that was given up: it counts until its deadline and the run cap are past. */
+    /** Marks a flight as abandoned: it counts until its deadline and the run cap have passed. */
     void abandonFlight(FlightId flight);
 
-    /** Takes \a server for lost or, with false, for found again; reported with each pull. */
+    /** Sets whether \a server is considered lost; lost servers are reported with each pull. */
     void setServerLost(const ServerName &server, bool isLost);
 
-    /** \returns whether something waits that the steward should hear at once. */
+    /** \returns whether there is news that should be sent to the leader immediately. */
     bool wantsPull() const;
 
     /** \returns the version of the assignment that came with the last accepted reply. */
@@ -115,7 +115,7 @@
     /** \returns what may be sent while the lease lasts, sorted by piece. */
     std::span<const SliceRight> rights() const;
 
-    /** \returns how many flights have not ended. */
+    /** \returns the number of flights that have not ended. */
     std::size_t flightCount() const;
 
 private:
@@ -145,8 +145,8 @@
     Incarnation m_incarnation;
     LeaseTerms m_terms;
     LeaseRequestId m_lastRequest = 0;
-    /** Instants before which the requests that wait for a reply were sent. */
-    std::map<LeaseRequestId, Instant> m_waiting;
+    /** Pending requests with an instant read before each was sent. */
+    std::map<LeaseRequestId, Instant> m_pendingRequests;
     std::optional<Instant> m_leaseEnd;
     Fence m_assignmentVersion;
     Fence m_rightsVersion;
--- a/src/libbulrush/process/serverdeadline.h
+++ b/src/libbulrush/process/serverdeadline.h
@@ -5,20 +5,20 @@
 namespace bulrush {
 
 /**
- * A backend server's clock as an answer of the server carried it.
+ * A reading of a backend server's clock, taken from an answer of the server.
  */
 struct ServerClockReading
 {
-    /** The server's clock when it answered, since an origin of its own. */
+    /** The server's clock when it answered, relative to an arbitrary origin. */
     Duration serverClock{0};
-    /** When the answer arrived here: later than the server read its clock. */
+    /** When the answer arrived here, which is later than the reading of the clock. */
     Instant receivedAt;
 };
 
 /**
- * \returns \a deadline on the server's clock, never later than here. An answer that was slow to
- * arrive makes it earlier. \pre \a deadline is not before the reading; the server's clock runs on
- * while the server is frozen.
+ * \returns \a deadline on the server's clock, never later than the actual deadline. A delayed
+ * answer makes it earlier. \pre \a deadline is not before the reading, and the server's clock keeps
+ * running while the server is frozen.
  */
 constexpr Duration serverDeadline(const ServerClockReading &reading, Instant deadline,
                                   std::int64_t driftPpm)
--- a/src/libbulrush/process/stewardseat.cpp
+++ b/src/libbulrush/process/stewardseat.cpp
@@ -42,16 +42,16 @@
 {
     m_actions.clear();
     m_isRowFresh = false;
-    endIfOver(now);
+    endLeadershipIfOver(now);
     std::visit([&](const auto &kind) { apply(kind, now); }, event);
-    endIfOver(now);
-    beginIfDue(now);
+    endLeadershipIfOver(now);
+    startLeadershipIfDue(now);
     if (holdsRow())
         actAsHolder(now);
     else
         actAsNonHolder(now);
-    endIfOver(now);
-    m_latestTenureEnd = std::max(m_latestTenureEnd, tenureUntil());
+    endLeadershipIfOver(now);
+    m_latestTermEnd = std::max(m_latestTermEnd, tenureUntil());
     return std::exchange(m_actions, {});
 }
 
@@ -71,7 +71,7 @@
 
 bool StewardSeat::isStewardAt(Instant now) const
 {
-    return m_isSteward && now < tenureUntil();
+    return m_isLeader && now < tenureUntil();
 }
 
 bool StewardSeat::mayGrantAt(Instant now) const
@@ -169,7 +169,7 @@
 void StewardSeat::apply(const DepartureRequested &, Instant)
 {
     m_isDeparting = true;
-    resignIfCandidate();
+    resignCandidacy();
 }
 
 void StewardSeat::handleWriteOutcome(const WriteCommitted &outcome,
@@ -229,7 +229,7 @@
     m_rowObserver.observe(row, now);
     m_committedSentAt = sentAt;
     m_platformLeaseUntil = sentAt + shortened(row.row.leaseLength, m_timings.driftPpm);
-    if (m_isSteward && candidatesChanged)
+    if (m_isLeader && candidatesChanged)
         announce();
     if (purpose == PendingRowWrite::Purpose::Renew || purpose == PendingRowWrite::Purpose::HandOver)
         return;
@@ -238,27 +238,27 @@
     m_mayGrantFrom = m_campaignMayGrantFrom;
 }
 
-void StewardSeat::endIfOver(Instant now)
+void StewardSeat::endLeadershipIfOver(Instant now)
 {
-    if (!m_isSteward)
+    if (!m_isLeader)
         return;
     if (!holdsRow())
-        end(LeadershipEndReason::Replaced);
+        endLeadership(LeadershipEndReason::Replaced);
     else if (now >= tenureUntil())
-        end(LeadershipEndReason::Lapsed);
+        endLeadership(LeadershipEndReason::Lapsed);
 }
 
-void StewardSeat::end(LeadershipEndReason reason)
+void StewardSeat::endLeadership(LeadershipEndReason reason)
 {
-    m_isSteward = false;
+    m_isLeader = false;
     m_actions.emplace_back(StewardshipEnded{m_announcedEpoch, reason});
 }
 
-void StewardSeat::beginIfDue(Instant now)
+void StewardSeat::startLeadershipIfDue(Instant now)
 {
-    if (m_isSteward || now >= tenureUntil())
+    if (m_isLeader || now >= tenureUntil())
         return;
-    m_isSteward = true;
+    m_isLeader = true;
     m_announcedEpoch = epoch();
     m_actions.emplace_back(StewardshipBegan{epoch(), m_mayGrantFrom});
     announce();
@@ -269,7 +269,7 @@
     m_actions.emplace_back(AnnounceSteward{m_self.incarnation, m_self.address, epoch()});
 }
 
-void StewardSeat::resignIfCandidate()
+void StewardSeat::resignCandidacy()
 {
     if (m_write || isNamedHolder() || !isCandidate())
         return;
@@ -344,8 +344,8 @@
 {
     if (!m_isDeparting || m_write || !isNamedHolder() || !canHandOver(now))
         return;
-    if (m_isSteward)
-        end(LeadershipEndReason::HandedOver);
+    if (m_isLeader)
+        endLeadership(LeadershipEndReason::HandedOver);
     m_handedOverEpoch = epoch();
     sendWrite(PendingRowWrite::Purpose::HandOver, m_rowObserver.row()->version, releasedRow(now),
               now);
@@ -426,7 +426,7 @@
 
 Instant StewardSeat::leasesEndBy(Instant now) const
 {
-    return std::min(m_latestTenureEnd, now + longestRoutingLease());
+    return std::min(m_latestTermEnd, now + longestRoutingLease());
 }
 
 Instant StewardSeat::promisedUntil() const
@@ -471,7 +471,7 @@
                                                    : m_rowObserver.leaseEndedFrom();
     const bool mayBreakLease = isCandidate() && !isRecreated(*m_rowObserver.row());
     const Instant ended =
-        mayBreakLease ? m_rowObserver.leaseEndedFrom() : m_rowObserver.tenureEndedFrom();
+        mayBreakLease ? m_rowObserver.leaseEndedFrom() : m_rowObserver.termEndedFrom();
     const Duration delay = isOfDomain() ? Duration::zero() : m_timings.otherDomainDelay;
     return std::max(ended, m_givenPromises.campaignAllowedFrom(row.epoch)) + delay;
 }
--- a/src/libbulrush/process/stewardseat.h
+++ b/src/libbulrush/process/stewardseat.h
@@ -97,11 +97,11 @@
                             Instant now);
     void observe(const VersionedStewardRow &row, Instant now);
     void adoptOwnWrite(const VersionedStewardRow &row, Instant sentAt, Instant now);
-    void endIfOver(Instant now);
-    void end(LeadershipEndReason reason);
-    void beginIfDue(Instant now);
+    void endLeadershipIfOver(Instant now);
+    void endLeadership(LeadershipEndReason reason);
+    void startLeadershipIfDue(Instant now);
     void announce();
-    void resignIfCandidate();
+    void resignCandidacy();
     void actAsHolder(Instant now);
     void actAsNonHolder(Instant now);
     void retryWriteIfDue(Instant now);
@@ -147,14 +147,14 @@
     Instant m_committedSentAt{};
     Instant m_platformLeaseUntil = Instant::min();
     /** The latest value that tenureUntil() ever had; routing leases may last until then. */
-    Instant m_latestTenureEnd = Instant::min();
+    Instant m_latestTermEnd = Instant::min();
     Instant m_mayGrantFrom{};
     /** Start of granting in the epoch for which this process campaigns. */
     Instant m_campaignMayGrantFrom{};
     /** Epoch that this process has given up and never holds again. */
     std::uint64_t m_handedOverEpoch = 0;
     std::uint64_t m_announcedEpoch = 0;
-    bool m_isSteward = false;
+    bool m_isLeader = false;
     bool m_isReading = false;
     bool m_isPlatformReachable = false;
     /** Whether the current event is a completed read of the row. */
--- a/tests/handover/test_leases.cpp
+++ b/tests/handover/test_leases.cpp
@@ -20,44 +20,44 @@
 const SlicePiece lower{catalogue, {0, 99}};
 const SlicePiece upper{catalogue, {100, 199}};
 constexpr Fence version{1, 1};
-constexpr Instant tenure{1h};
+constexpr Instant leadershipEnd{1h};
 
 Instant ms(int count)
 {
     return Instant(1ms * count);
 }
 
-/** A book and a daemon that holds one slice at s1. */
+/** The leader's lease table and a daemon that may send work of one slice to s1. */
 struct Fixture
 {
     LeaseTerms terms;
-    LeaseBook book{terms, 1};
-    RoutingRight right{d1, terms};
+    LeaseBook leases{terms, 1};
+    RoutingRight holder{d1, terms};
     DispatchQuery query{catalogue, 7, s1, Instant(1min), version};
 
     Fixture()
     {
-        book.allow(d1, {lower, s1, version});
+        leases.allow(d1, {lower, s1, version});
     }
 
     LeaseReply answer(const LeaseRequest &request, Instant now)
     {
-        return book.answer(request, version, now, tenure).value();
+        return leases.answer(request, version, now, leadershipEnd).value();
     }
 
     void renew(Instant now)
     {
-        right.accept(answer(right.makeRequest(version, now), now), now);
+        holder.accept(answer(holder.makeRequest(version, now), now), now);
     }
 
     bool mayDispatch(Instant now) const
     {
-        return std::holds_alternative<DispatchAllowed>(right.mayDispatch(query, now));
+        return std::holds_alternative<DispatchAllowed>(holder.mayDispatch(query, now));
     }
 
     DispatchRefusal refusal(Instant now) const
     {
-        return std::get<DispatchRefusal>(right.mayDispatch(query, now));
+        return std::get<DispatchRefusal>(holder.mayDispatch(query, now));
     }
 };
 
@@ -66,109 +66,109 @@
 BOOST_FIXTURE_TEST_CASE(lease_counts_from_before_the_request_was_sent, Fixture)
 {
     BOOST_TEST((refusal(ms(0)) == DispatchRefusal::NoLease));
-    const LeaseRequest request = right.makeRequest(version, ms(0));
+    const LeaseRequest request = holder.makeRequest(version, ms(0));
     const LeaseReply reply = answer(request, ms(300));
-    BOOST_TEST((right.accept(reply, ms(600)) == LeaseReplyVerdict::Accepted));
+    BOOST_TEST((holder.accept(reply, ms(600)) == LeaseReplyVerdict::Accepted));
     BOOST_TEST(mayDispatch(ms(1190)));
     BOOST_TEST((refusal(ms(1200)) == DispatchRefusal::Lapsed));
-    BOOST_TEST((book.sendsUntil(d1) > ms(1500)));
+    BOOST_TEST((leases.sendsUntil(d1) > ms(1500)));
 }
 
 BOOST_FIXTURE_TEST_CASE(deadline_is_within_caller_lease_and_cap, Fixture)
 {
     renew(ms(0));
     const auto deadline = [this](Instant now) {
-        return std::get<DispatchAllowed>(right.mayDispatch(query, now)).latestDeadline;
+        return std::get<DispatchAllowed>(holder.mayDispatch(query, now)).latestDeadline;
     };
     BOOST_TEST((deadline(ms(10)) == ms(810)));
-    BOOST_TEST((deadline(ms(1000)) == right.leaseEnd().value()));
+    BOOST_TEST((deadline(ms(1000)) == holder.leaseEnd().value()));
     query.callerDeadline = ms(50);
     BOOST_TEST((deadline(ms(10)) == ms(50)));
 }
 
 BOOST_FIXTURE_TEST_CASE(reply_from_before_a_stop_does_not_bring_the_slice_back, Fixture)
 {
-    const LeaseReply early = answer(right.makeRequest(version, ms(0)), ms(1));
-    book.stop(d1, lower, s1);
-    const LeaseReply late = answer(right.makeRequest(version, ms(5)), ms(6));
-    right.accept(late, ms(7));
-    BOOST_TEST((right.accept(early, ms(8)) == LeaseReplyVerdict::Unmatched));
-    BOOST_TEST((right.accept(late, ms(8)) == LeaseReplyVerdict::Unmatched));
+    const LeaseReply early = answer(holder.makeRequest(version, ms(0)), ms(1));
+    leases.stop(d1, lower, s1);
+    const LeaseReply late = answer(holder.makeRequest(version, ms(5)), ms(6));
+    holder.accept(late, ms(7));
+    BOOST_TEST((holder.accept(early, ms(8)) == LeaseReplyVerdict::Unmatched));
+    BOOST_TEST((holder.accept(late, ms(8)) == LeaseReplyVerdict::Unmatched));
     BOOST_TEST((refusal(ms(9)) == DispatchRefusal::Stopping));
-    BOOST_TEST(right.wantsPull());
+    BOOST_TEST(holder.wantsPull());
 }
 
 BOOST_FIXTURE_TEST_CASE(overtaken_or_doubled_request_gets_no_answer, Fixture)
 {
-    const LeaseRequest first = right.makeRequest(version, ms(0));
-    const LeaseRequest second = right.makeRequest(version, ms(1));
-    BOOST_TEST(book.answer(second, version, ms(2), tenure).has_value());
-    BOOST_TEST(!book.answer(first, version, ms(3), tenure).has_value());
-    BOOST_TEST(!book.answer(second, version, ms(3), tenure).has_value());
+    const LeaseRequest first = holder.makeRequest(version, ms(0));
+    const LeaseRequest second = holder.makeRequest(version, ms(1));
+    BOOST_TEST(leases.answer(second, version, ms(2), leadershipEnd).has_value());
+    BOOST_TEST(!leases.answer(first, version, ms(3), leadershipEnd).has_value());
+    BOOST_TEST(!leases.answer(second, version, ms(3), leadershipEnd).has_value());
 }
 
 BOOST_FIXTURE_TEST_CASE(stop_that_is_never_confirmed_waits_for_lease_and_running_work, Fixture)
 {
     renew(ms(0));
-    book.stop(d1, lower, s1);
-    // Later answers don't carry the slice, so they don't lengthen the wait.
-    answer(right.makeRequest(version, ms(500)), ms(500));
-    BOOST_TEST((book.quietFrom(lower, s1) == ms(0) + stretched(1200ms, terms.driftPpm)));
-    BOOST_TEST(
-        (book.freeFrom(lower, s1) == book.quietFrom(lower, s1) + stretched(500ms, terms.driftPpm)));
-    book.expire(ms(1000));
-    BOOST_TEST(!book.isIdle(lower, s1));
+    leases.stop(d1, lower, s1);
+    // Later answers do not include the slice, so they do not extend the wait.
+    answer(holder.makeRequest(version, ms(500)), ms(500));
+    BOOST_TEST((leases.sendingEndedFrom(lower, s1) == ms(0) + stretched(1200ms, terms.driftPpm)));
+    BOOST_TEST((leases.workEndedFrom(lower, s1)
+                == leases.sendingEndedFrom(lower, s1) + stretched(500ms, terms.driftPpm)));
+    leases.expire(ms(1000));
+    BOOST_TEST(!leases.isIdle(lower, s1));
 }
 
 BOOST_FIXTURE_TEST_CASE(confirmed_stop_waits_for_its_flights_only, Fixture)
 {
     renew(ms(0));
     query.callerDeadline = ms(100);
-    const auto allowed = std::get<DispatchAllowed>(right.mayDispatch(query, ms(10)));
-    const FlightId flight = right.startFlight(query, allowed);
-    book.stop(d1, lower, s1);
+    const auto allowed = std::get<DispatchAllowed>(holder.mayDispatch(query, ms(10)));
+    const FlightId flight = holder.startFlight(query, allowed);
+    leases.stop(d1, lower, s1);
     renew(ms(20));
     renew(ms(30));
-    BOOST_TEST((book.freeFrom(lower, s1) > ms(600)));
-    BOOST_TEST((book.freeFrom(lower, s1) < ms(602)));
-    BOOST_TEST(!right.wantsPull());
-    right.endFlight(flight);
-    BOOST_TEST(right.wantsPull());
+    BOOST_TEST((leases.workEndedFrom(lower, s1) > ms(600)));
+    BOOST_TEST((leases.workEndedFrom(lower, s1) < ms(602)));
+    BOOST_TEST(!holder.wantsPull());
+    holder.endFlight(flight);
+    BOOST_TEST(holder.wantsPull());
     renew(ms(40));
-    BOOST_TEST(book.isIdle(lower, s1));
-    BOOST_TEST((book.freeFrom(lower, s1) <= ms(40)));
+    BOOST_TEST(leases.isIdle(lower, s1));
+    BOOST_TEST((leases.workEndedFrom(lower, s1) <= ms(40)));
 }
 
 BOOST_FIXTURE_TEST_CASE(withdrawn_stop_gives_back_its_own_right_only, Fixture)
 {
     const Fence later{1, 2};
     renew(ms(0));
-    right.startFlight(query, std::get<DispatchAllowed>(right.mayDispatch(query, ms(1))));
-    book.stop(d1, lower, s1);
-    book.allow(d1, {lower, s1, later});
-    book.stop(d1, lower, s1);
-    BOOST_TEST(book.withdrawStops(d1, lower, s1, later));
-    BOOST_REQUIRE_EQUAL(book.rights(d1).size(), 1U);
-    BOOST_TEST((book.rights(d1)[0].fence == later));
-    BOOST_TEST(!book.isIdle(lower, s1));
+    holder.startFlight(query, std::get<DispatchAllowed>(holder.mayDispatch(query, ms(1))));
+    leases.stop(d1, lower, s1);
+    leases.allow(d1, {lower, s1, later});
+    leases.stop(d1, lower, s1);
+    BOOST_TEST(leases.withdrawStops(d1, lower, s1, later));
+    BOOST_REQUIRE_EQUAL(leases.rights(d1).size(), 1U);
+    BOOST_TEST((leases.rights(d1)[0].fence == later));
+    BOOST_TEST(!leases.isIdle(lower, s1));
 }
 
-BOOST_FIXTURE_TEST_CASE(lease_ends_within_the_tenure, Fixture)
+BOOST_FIXTURE_TEST_CASE(lease_ends_within_the_leadership_term, Fixture)
 {
-    const LeaseRequest request = right.makeRequest(version, ms(0));
-    const std::optional<LeaseReply> reply = book.answer(request, version, ms(0), ms(400));
+    const LeaseRequest request = holder.makeRequest(version, ms(0));
+    const std::optional<LeaseReply> reply = leases.answer(request, version, ms(0), ms(400));
     BOOST_TEST((reply.value().length == 400ms));
-    const LeaseRequest next = right.makeRequest(version, ms(400));
-    BOOST_TEST(!book.answer(next, version, ms(400), ms(400)).has_value());
+    const LeaseRequest next = holder.makeRequest(version, ms(400));
+    BOOST_TEST(!leases.answer(next, version, ms(400), ms(400)).has_value());
 }
 
 BOOST_FIXTURE_TEST_CASE(versions_never_go_back, Fixture)
 {
     renew(ms(0));
-    LeaseReply old = answer(right.makeRequest(version, ms(10)), ms(10));
+    LeaseReply old = answer(holder.makeRequest(version, ms(10)), ms(10));
     old.assignmentVersion = {0, 9};
-    BOOST_TEST((right.accept(old, ms(11)) == LeaseReplyVerdict::Outdated));
-    BOOST_TEST((right.leaseEnd().value() < ms(1200)));
+    BOOST_TEST((holder.accept(old, ms(11)) == LeaseReplyVerdict::Outdated));
+    BOOST_TEST((holder.leaseEnd().value() < ms(1200)));
     query.routedBy = {2, 1};
     query.server = s2;
     BOOST_TEST((refusal(ms(12)) == DispatchRefusal::UnknownVersion));
@@ -238,16 +238,16 @@
 
 namespace {
 
-/** A handover whose orders and commits are answered at once, and the daemon d1. */
+/** A handover whose orders and commits are confirmed immediately, and the daemon d1. */
 struct HandoverFixture
 {
-    LeaseBook book{{}, 1};
-    Handover handover{{}, 1, Assignment{}, {}, book};
-    RoutingRight right{d1, {}};
+    LeaseBook leases{{}, 1};
+    Handover handover{{}, 1, Assignment{}, {}, leases};
+    RoutingRight holder{d1, {}};
 
     HandoverFixture()
     {
-        drive(TenureExtended{tenure}, ms(0));
+        drive(TenureExtended{leadershipEnd}, ms(0));
     }
 
     void drive(const HandoverEvent &event, Instant now)
@@ -268,8 +268,8 @@
 
     void pull(Instant now)
     {
-        const LeaseRequest request = right.makeRequest(handover.version(), now);
-        right.accept(book.answer(request, handover.version(), now, tenure).value(), now);
+        const LeaseRequest request = holder.makeRequest(handover.version(), now);
+        holder.accept(leases.answer(request, handover.version(), now, leadershipEnd).value(), now);
     }
 };
 
@@ -282,9 +282,9 @@
     want(s2, ms(200));
     pull(ms(201));
     pull(ms(202));
-    BOOST_TEST(right.rights().empty());
+    BOOST_TEST(holder.rights().empty());
     drive(PlatformOutage{true}, ms(203));
     pull(ms(204));
-    BOOST_REQUIRE_EQUAL(right.rights().size(), 1U);
-    BOOST_TEST((right.rights()[0].server == s1));
+    BOOST_REQUIRE_EQUAL(holder.rights().size(), 1U);
+    BOOST_TEST((holder.rights()[0].server == s1));
 }
--- a/tests/handoversearch/test_handoversearch.cpp
+++ b/tests/handoversearch/test_handoversearch.cpp
@@ -11,13 +11,13 @@
 
 namespace {
 
-/** All faults but the deaths are over well before. */
+/** All faults except crashes end well before this time. */
 constexpr Duration scheduleEnd = 5s;
-/** A planted bug shows while the faults last. */
-constexpr Duration plantedEnd = 2500ms;
-/** What every key must be served within, at the end. */
-constexpr Duration settledSpan = 500ms;
-// Sanitizers make a schedule twenty times as slow.
+/** A planted fault becomes visible while the injected faults last. */
+constexpr Duration plantedFaultEnd = 2500ms;
+/** Period at the end of a schedule within which every key must be served. */
+constexpr Duration settledPeriod = 500ms;
+// Schedules run twenty times slower with sanitizers.
 #ifdef NDEBUG
 constexpr std::uint64_t defaultSchedules = 2000;
 #else
@@ -27,23 +27,23 @@
 constexpr int faultsPerSchedule = 4;
 
 /**
- * All spans a quarter of the product's. Odd seeds have clocks that differ by up to a fifth, even
- * ones good clocks and many slow messages.
+ * All durations are a quarter of the production values. With odd seeds, clock rates differ by up to
+ * a fifth; even seeds have accurate clocks and many slow messages.
  */
 WorldSettings searchSettings(std::uint64_t seed, PlantedFault fault)
 {
-    const bool drifts = seed % 2 == 1;
+    const bool hasDrift = seed % 2 == 1;
     WorldSettings settings;
     settings.seed = seed;
     settings.fault = fault;
-    settings.terms = {300ms, 75ms, 200ms, 120ms, drifts ? 200'000 : 1'000};
-    settings.clockPpm = drifts ? 90'000 : 450;
+    settings.terms = {300ms, 75ms, 200ms, 120ms, hasDrift ? 200'000 : 1'000};
+    settings.clockPpm = hasDrift ? 90'000 : 450;
     settings.hasExtremeClocks = seed % 4 == 1;
-    settings.moves.warmLimit = 100ms;
-    settings.moves.patience = 150ms;
-    settings.moves.deferral = 2500ms;
-    settings.moves.retryAfter = 50ms;
-    settings.moves.revokeLimit = 100ms;
+    settings.moves.warmupTimeout = 100ms;
+    settings.moves.stopTimeout = 150ms;
+    settings.moves.deferralPeriod = 2500ms;
+    settings.moves.retryDelay = 50ms;
+    settings.moves.revokeTimeout = 100ms;
     settings.keys = 4;
     settings.checksFence = seed % 3 == 0;
     settings.slowShare = seed % 4 == 0 ? 0.2 : 0.01;
@@ -59,43 +59,44 @@
     return settings;
 }
 
-/** One schedule: faults of all kinds at instants that the seed draws. */
+/** One schedule with random faults of all kinds at random instants, determined by the seed. */
 class Schedule
 {
 public:
     Schedule(std::uint64_t seed, PlantedFault fault)
-        : m_world(searchSettings(seed, fault))
+        : m_simulation(searchSettings(seed, fault))
         , m_random(seed * 7919)
     {
         for (int i = 0; i < faultsPerSchedule; ++i)
             drawFault();
         for (int i = 0; i < 3; ++i)
-            m_world.at(drawTime(),
-                       [this, key = draw(4), to = draw(4)] { m_world.moveSlice(key, to); });
-        m_world.runUntil(fault == PlantedFault::None ? scheduleEnd : plantedEnd);
+            m_simulation.at(drawTime(), [this, key = draw(4), to = draw(4)] {
+                m_simulation.moveSlice(key, to);
+            });
+        m_simulation.runUntil(fault == PlantedFault::None ? scheduleEnd : plantedFaultEnd);
     }
 
-    bool isSound() const
+    bool isSafe() const
     {
-        return m_world.observer().overlaps().empty() && m_world.uncoveredGrants() == 0;
+        return m_simulation.observer().overlaps().empty() && m_simulation.uncoveredGrants() == 0;
     }
 
-    /** \returns whether all keys are served again in the end, if anyone is left to. */
+    /** \returns whether all keys are served at the end, provided that any daemon is left. */
     bool isLive() const
     {
-        if (!m_world.hasLive())
+        if (!m_simulation.hasLive())
             return true;
         for (int key = 0; key < 4; ++key) {
-            if (m_world.unavailable(key, scheduleEnd - settledSpan, scheduleEnd)
-                > settledSpan - 50ms)
+            if (m_simulation.unavailable(key, scheduleEnd - settledPeriod, scheduleEnd)
+                > settledPeriod - 50ms)
                 return false;
         }
         return true;
     }
 
-    const OwnershipWorld &world() const
+    const OwnershipWorld &simulation() const
     {
-        return m_world;
+        return m_simulation;
     }
 
 private:
@@ -119,47 +120,49 @@
         const int target = draw(3);
         switch (draw(9)) {
         case 0:
-            m_world.at(from, [this, target] { m_world.freezeServer(target); });
-            m_world.at(until, [this, target] { m_world.thawServer(target); });
+            m_simulation.at(from, [this, target] { m_simulation.freezeServer(target); });
+            m_simulation.at(until, [this, target] { m_simulation.thawServer(target); });
             break;
         case 1:
-            m_world.at(from, [this, target] { m_world.freezeDaemon(target); });
-            m_world.at(until, [this, target] { m_world.thawDaemon(target); });
+            m_simulation.at(from, [this, target] { m_simulation.freezeDaemon(target); });
+            m_simulation.at(until, [this, target] { m_simulation.thawDaemon(target); });
             break;
         case 2:
-            m_world.at(from, [this, target] { m_world.killServer(target); });
+            m_simulation.at(from, [this, target] { m_simulation.killServer(target); });
             break;
         case 3:
-            m_world.at(from, [this, target] { m_world.killDaemon(target); });
+            m_simulation.at(from, [this, target] { m_simulation.killDaemon(target); });
             break;
         case 4:
-            m_world.at(from, [this] {
-                m_world.freezeSteward();
-                m_world.startSuccessor();
+            m_simulation.at(from, [this] {
+                m_simulation.freezeSteward();
+                m_simulation.startSuccessor();
             });
-            m_world.at(until, [this] { m_world.thawStewards(); });
+            m_simulation.at(until, [this] { m_simulation.thawStewards(); });
             break;
         case 5:
-            m_world.at(from, [this] { m_world.setPlatform(PlatformFault::Down); });
-            m_world.at(until, [this] { m_world.setPlatform(PlatformFault::None); });
+            m_simulation.at(from, [this] { m_simulation.setPlatform(PlatformFault::Down); });
+            m_simulation.at(until, [this] { m_simulation.setPlatform(PlatformFault::None); });
             break;
         case 6:
         case 7: {
             const int server = draw(2) == 0 ? target : draw(4);
-            const Duration joined = from + 400ms + drawLength();
-            m_world.at(from, [this, target, server] { m_world.isolate(target, server, true); });
-            m_world.at(joined, [this, target, server] { m_world.isolate(target, server, false); });
+            const Duration healedAt = from + 400ms + drawLength();
+            m_simulation.at(from,
+                            [this, target, server] { m_simulation.isolate(target, server, true); });
+            m_simulation.at(
+                healedAt, [this, target, server] { m_simulation.isolate(target, server, false); });
             break;
         }
         default:
-            m_world.at(from, [this, fault = 2 + draw(3)] {
-                m_world.setPlatform(static_cast<PlatformFault>(fault));
+            m_simulation.at(from, [this, fault = 2 + draw(3)] {
+                m_simulation.setPlatform(static_cast<PlatformFault>(fault));
             });
-            m_world.at(until, [this] { m_world.setPlatform(PlatformFault::None); });
+            m_simulation.at(until, [this] { m_simulation.setPlatform(PlatformFault::None); });
         }
     }
 
-    OwnershipWorld m_world;
+    OwnershipWorld m_simulation;
     std::mt19937_64 m_random;
 };
 
@@ -175,8 +178,8 @@
 
 void print(const Schedule &schedule)
 {
-    std::cout << schedule.world().session();
-    for (const WorkOverlap &overlap : schedule.world().observer().overlaps()) {
+    std::cout << schedule.simulation().session();
+    for (const WorkOverlap &overlap : schedule.simulation().observer().overlaps()) {
         print(overlap.first);
         print(overlap.second);
     }
@@ -188,11 +191,11 @@
     return wanted ? std::strtoull(wanted, nullptr, 10) : defaultSchedules;
 }
 
-/** \returns the first seed whose schedule shows the planted bug, or 0. */
+/** \returns the first seed whose schedule detects the planted fault, or 0. */
 std::uint64_t firstFound(PlantedFault fault)
 {
     for (std::uint64_t seed = 1; seed <= plantedSchedules; ++seed) {
-        if (!Schedule(seed, fault).isSound())
+        if (!Schedule(seed, fault).isSafe())
             return seed;
     }
     return 0;
@@ -213,10 +216,10 @@
     const std::uint64_t count = scheduleCount();
     for (std::uint64_t seed = 1; seed <= count; ++seed) {
         const Schedule schedule(seed, PlantedFault::None);
-        work += schedule.world().observer().workCount();
-        if (!schedule.isSound() || !schedule.isLive())
+        work += schedule.simulation().observer().workCount();
+        if (!schedule.isSafe() || !schedule.isLive())
             print(schedule);
-        BOOST_TEST(schedule.isSound(), "seed " << seed << " has two owners");
+        BOOST_TEST(schedule.isSafe(), "seed " << seed << " has two owners");
         BOOST_TEST(schedule.isLive(), "seed " << seed << " leaves a key unserved");
     }
     std::cout << count << " schedules, " << work << " pieces of accepted work\n";
