--- a/tests/stewardsearch/randomschedule.cpp
+++ b/tests/stewardsearch/randomschedule.cpp
@@ -17,8 +17,8 @@
 
 StewardTimings searchTimings(std::uint64_t seed)
 {
-    // Short spans and a coarse drift bound: what is wrong shows within a schedule. Late renewals
-    // leave less of the lease to hide behind.
+    // Short durations and a large drift bound make faults visible within one schedule. With late
+    // renewals, less of the lease is left to mask a fault.
     const Duration renewInterval = (seed % 3 + 1) * 500ms;
     return {.renewInterval = renewInterval,
             .platformPatience = renewInterval + 250ms,
@@ -28,7 +28,7 @@
             .driftPpm = driftPpm};
 }
 
-/** One schedule being played. */
+/** Execution of one random schedule. */
 class RandomSchedule
 {
 public:
@@ -36,14 +36,15 @@
     ScheduleResult play();
 
 private:
-    enum class Mood {
-        Well,
+    enum class PlatformMode {
+        Healthy,
         Slow,
         Lossy,
         Refusing,
     };
 
-    // The standard distributions differ between libraries; seeds must not.
+    // Standard distributions differ between libraries, but a seed must give the same schedule
+    // everywhere.
     std::uint64_t below(std::uint64_t bound)
     {
         return m_random() % bound;
@@ -57,130 +58,132 @@
         return Duration(below(bound.count()));
     }
 
-    void startAnother(std::size_t place);
-    void disturb();
-    void restart(std::size_t place);
-    std::size_t placeOf(const std::string &name);
-    Fate drawFate();
+    void startDaemon(std::size_t index);
+    void injectFault();
+    void restart(std::size_t index);
+    std::size_t indexOf(const std::string &name);
+    PlatformCallBehavior drawBehavior();
     Duration drawDelay();
 
     std::mt19937_64 m_random;
-    StewardWorld m_world;
-    Mood m_mood = Mood::Well;
-    bool m_areMessagesSlow = false;
+    StewardWorld m_simulation;
+    PlatformMode m_platformMode = PlatformMode::Healthy;
+    bool m_hasSlowMessages = false;
     bool m_isPlatformUp = true;
     std::vector<std::string> m_names;
     std::vector<char> m_domains = {'a', 'a', 'a', 'a', 'b', 'c'};
-    int m_runs = 0;
+    int m_startCount = 0;
 };
 
 RandomSchedule::RandomSchedule(std::uint64_t seed)
     : m_random(seed)
-    , m_world(searchTimings(seed))
+    , m_simulation(searchTimings(seed))
 {
-    m_world.setFates([this] { return drawFate(); });
-    m_world.setMessageDelays([this] { return drawDelay(); });
+    m_simulation.setBehaviorSource([this] { return drawBehavior(); });
+    m_simulation.setMessageDelays([this] { return drawDelay(); });
     if (seed % 4 >= 2)
-        m_world.setPlatformRemembersWrites();
+        m_simulation.setPlatformDeduplicatesWrites();
     m_names.resize(m_domains.size());
-    for (std::size_t place = 0; place < m_domains.size(); ++place)
-        startAnother(place);
+    for (std::size_t index = 0; index < m_domains.size(); ++index)
+        startDaemon(index);
 }
 
 ScheduleResult RandomSchedule::play()
 {
-    m_world.run(2s);
-    while (m_world.now() < scheduleLength) {
-        disturb();
-        m_world.run(isOneIn(3) ? upTo(6s) : upTo(1s));
+    m_simulation.run(2s);
+    while (m_simulation.now() < scheduleLength) {
+        injectFault();
+        m_simulation.run(isOneIn(3) ? upTo(6s) : upTo(1s));
     }
-    return {m_world.checker().violations(), m_world.transcript(), m_world.row().row.epoch};
+    return {m_simulation.checker().violations(), m_simulation.transcript(),
+            m_simulation.row().row.epoch};
 }
 
-void RandomSchedule::startAnother(std::size_t place)
+void RandomSchedule::startDaemon(std::size_t index)
 {
-    m_names[place] = m_domains[place] + std::to_string(++m_runs);
+    m_names[index] = m_domains[index] + std::to_string(++m_startCount);
     const auto rate = static_cast<std::int64_t>(below(3)) - 1;
-    m_world.start(m_names[place], {upTo(1h), rate * driftPpm});
+    m_simulation.start(m_names[index], {upTo(1h), rate * driftPpm});
 }
 
-void RandomSchedule::disturb()
+void RandomSchedule::injectFault()
 {
-    const std::size_t place = below(m_names.size());
-    const std::string name = m_names[place];
+    const std::size_t index = below(m_names.size());
+    const std::string name = m_names[index];
     const std::string other = m_names[below(m_names.size())];
-    const std::string steward = m_world.steward();
+    const std::string steward = m_simulation.steward();
     switch (below(14)) {
     case 0:
     case 1:
         m_isPlatformUp = !m_isPlatformUp;
-        return m_world.setPlatformUp(m_isPlatformUp);
+        return m_simulation.setPlatformUp(m_isPlatformUp);
     case 2:
     case 3:
-        m_mood = static_cast<Mood>(below(4));
-        return m_world.note("platform's mood " + std::to_string(static_cast<int>(m_mood)));
+        m_platformMode = static_cast<PlatformMode>(below(4));
+        return m_simulation.note("platform's mode "
+                                 + std::to_string(static_cast<int>(m_platformMode)));
     case 4:
-        return m_world.setPlatformCut(name, !isOneIn(2));
+        return m_simulation.setPlatformCut(name, !isOneIn(2));
     case 5:
         if (name != other)
-            m_world.setCut(name, other, !isOneIn(3));
+            m_simulation.setCut(name, other, !isOneIn(3));
         return;
     case 6:
     case 7:
         if (!steward.empty() && isOneIn(2))
-            return m_world.freeze(steward, upTo(8s));
-        return m_world.freeze(name, upTo(8s));
+            return m_simulation.freeze(steward, upTo(8s));
+        return m_simulation.freeze(name, upTo(8s));
     case 8:
-        return restart(place);
+        return restart(index);
     case 9:
-        return m_world.depart(name);
+        return m_simulation.depart(name);
     case 10:
-        m_areMessagesSlow = !m_areMessagesSlow;
+        m_hasSlowMessages = !m_hasSlowMessages;
         return;
     case 11:
         if (!steward.empty())
-            m_world.setPlatformCut(steward, true);
+            m_simulation.setPlatformCut(steward, true);
         return;
     case 12:
         if (!steward.empty())
-            m_world.setCut(steward, other, steward != other);
+            m_simulation.setCut(steward, other, steward != other);
         return;
     default:
-        restart(placeOf(steward));
+        restart(indexOf(steward));
     }
 }
 
-void RandomSchedule::restart(std::size_t place)
+void RandomSchedule::restart(std::size_t index)
 {
-    m_world.kill(m_names[place]);
-    startAnother(place);
+    m_simulation.kill(m_names[index]);
+    startDaemon(index);
 }
 
-std::size_t RandomSchedule::placeOf(const std::string &name)
+std::size_t RandomSchedule::indexOf(const std::string &name)
 {
     const auto found = std::ranges::find(m_names, name);
     return found == m_names.end() ? below(m_names.size()) : found - m_names.begin();
 }
 
-Fate RandomSchedule::drawFate()
+PlatformCallBehavior RandomSchedule::drawBehavior()
 {
-    Fate fate{.toPlatform = 1ms + upTo(20ms), .back = 1ms + upTo(20ms)};
-    if (m_mood == Mood::Slow) {
-        fate.toPlatform = isOneIn(4) ? upTo(4s) : upTo(250ms);
-        fate.back = upTo(250ms);
+    PlatformCallBehavior behavior{.toPlatform = 1ms + upTo(20ms), .back = 1ms + upTo(20ms)};
+    if (m_platformMode == PlatformMode::Slow) {
+        behavior.toPlatform = isOneIn(4) ? upTo(4s) : upTo(250ms);
+        behavior.back = upTo(250ms);
     }
-    if (m_mood == Mood::Lossy) {
-        fate.isLost = isOneIn(3);
-        fate.isAnswerLost = isOneIn(2);
-        fate.toPlatform = isOneIn(4) ? upTo(4s) : fate.toPlatform;
+    if (m_platformMode == PlatformMode::Lossy) {
+        behavior.isLost = isOneIn(3);
+        behavior.isAnswerLost = isOneIn(2);
+        behavior.toPlatform = isOneIn(4) ? upTo(4s) : behavior.toPlatform;
     }
-    fate.isRefused = m_mood == Mood::Refusing && isOneIn(2);
-    return fate;
+    behavior.isRefused = m_platformMode == PlatformMode::Refusing && isOneIn(2);
+    return behavior;
 }
 
 Duration RandomSchedule::drawDelay()
 {
-    if (!m_areMessagesSlow)
+    if (!m_hasSlowMessages)
         return 1ms + upTo(5ms);
     return isOneIn(4) ? upTo(4s) : upTo(700ms);
 }
--- a/tests/stewardsearch/randomschedule.h
+++ b/tests/stewardsearch/randomschedule.h
@@ -6,22 +6,23 @@
 
 namespace bulrush::test {
 
-/** What a schedule came to. */
+/** Result of a schedule. */
 struct ScheduleResult
 {
     std::vector<std::string> violations;
     std::string transcript;
-    /** Times that a steward began; a search in which nothing happens finds nothing. */
+    /** Number of leadership terms; shows whether the schedule caused any changes of leader. */
     std::uint64_t lastEpoch = 0;
 };
 
 /**
- * Plays 60 s of faults drawn from \a seed: losses, restarts, freezes, departures, cuts, platform
- * outages, late writes and lost answers, on clocks that are off by up to the bound.
+ * Simulates 60 s of random faults drawn from \a seed: crashes, restarts, freezes, departures, cut
+ * connections, platform outages, late writes and lost answers, with clocks drifting up to the
+ * bound.
  */
 ScheduleResult playSchedule(std::uint64_t seed);
 
-/** The text to print for a schedule that failed. */
+/** \returns the report for a failed schedule. */
 std::string describe(std::uint64_t seed, const ScheduleResult &result);
 
 /** \returns the value of an environment variable, or \a fallback. */
--- a/tests/stewardsearch/test_plantedbug.cpp
+++ b/tests/stewardsearch/test_plantedbug.cpp
@@ -8,10 +8,10 @@
 
 BOOST_AUTO_TEST_CASE(searchFindsThePlantedBug)
 {
-    constexpr std::uint64_t mostSeeds = 1000;
+    constexpr std::uint64_t maxSeeds = 1000;
     std::uint64_t seed = 1;
-    while (seed <= mostSeeds && playSchedule(seed).violations.empty())
+    while (seed <= maxSeeds && playSchedule(seed).violations.empty())
         ++seed;
     BOOST_TEST_MESSAGE("found with seed " << seed);
-    BOOST_TEST(seed <= mostSeeds);
+    BOOST_TEST(seed <= maxSeeds);
 }
--- a/tests/stewardsearch/test_stewardsearch.cpp
+++ b/tests/stewardsearch/test_stewardsearch.cpp
@@ -6,8 +6,8 @@
 
 using namespace bulrush::test;
 
-// BULRUSH_SEARCH_FIRST and BULRUSH_SEARCH_COUNT choose other seeds than those of each build.
-BOOST_AUTO_TEST_CASE(noScheduleLetsTwoStewardsOverlap)
+// BULRUSH_SEARCH_FIRST and BULRUSH_SEARCH_COUNT override the default range of seeds.
+BOOST_AUTO_TEST_CASE(noScheduleYieldsTwoLeaders)
 {
     const auto first = numberFromEnvironment("BULRUSH_SEARCH_FIRST", 1);
     const auto count = numberFromEnvironment("BULRUSH_SEARCH_COUNT", 1000);
--- a/tests/stewardseat/test_promises.cpp
+++ b/tests/stewardseat/test_promises.cpp
@@ -13,7 +13,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(answerToARoundBeforeTheReleaseCountsNoMore)
+BOOST_AUTO_TEST_CASE(answerToARoundBeforeTheReleaseIsIgnored)
 {
     PromisesReceived received(0);
     received.startRound(1, 10s, Instant(1s));
@@ -24,7 +24,7 @@
     BOOST_TEST((received.coveredUntil(candidates) == Instant::min()));
 }
 
-BOOST_AUTO_TEST_CASE(resignationOutlastsTheRelease)
+BOOST_AUTO_TEST_CASE(resignationRemainsAfterTheRelease)
 {
     PromisesReceived received(0);
     received.recordResignation(Incarnation("a2"));
@@ -33,7 +33,7 @@
     BOOST_TEST((received.coveredUntil(candidates) == Instant(11s - 1ns)));
 }
 
-BOOST_AUTO_TEST_CASE(releaseThatALaterPromiseOvertookIsIgnored)
+BOOST_AUTO_TEST_CASE(releaseOvertakenByALaterPromiseIsIgnored)
 {
     PromisesGiven given(0);
     given.promise(1, 1, 10s, Instant(1s));
--- a/tests/stewardseat/test_stewardseat.cpp
+++ b/tests/stewardseat/test_stewardseat.cpp
@@ -17,14 +17,14 @@
     return std::to_string(count) + " ms";
 }
 
-/** A session: three daemons of domain a, whose row it is, and one each of b and c. */
-struct Session : StewardWorld
+/** Three daemons of domain a, whose leader is elected, and one daemon each of domains b and c. */
+struct Scenario : StewardWorld
 {
-    explicit Session(StewardTimings timings = {})
+    explicit Scenario(StewardTimings timings = {})
         : StewardWorld(timings)
     { }
 
-    /** Starts all, a1 first, and waits until it has named its candidates. */
+    /** Starts all daemons, a1 first, and waits until a1 has named its candidates. */
     void startAll(DriftingClock first = {}, DriftingClock others = {})
     {
         start("a1", first);
@@ -36,10 +36,10 @@
         BOOST_TEST(row().row.candidates.size() == 4U);
     }
 
-    /** Compares the transcript with the golden file and asks the checker. */
+    /** Compares the transcript with the golden file and checks for violations. */
     void finish(const std::string &name)
     {
-        note("longest time without a routing lease: " + milliseconds(longestDark()));
+        note("longest time without a routing lease: " + milliseconds(longestTimeWithoutLease()));
         const std::string path = BULRUSH_GOLDEN_DIR "/stewardseat/" + name + ".txt";
         BOOST_TEST(transcript() == goldenText(path, transcript()));
         expectNoViolation();
@@ -51,7 +51,7 @@
             BOOST_ERROR(violation);
     }
 
-    /** Kills the holder. \returns how long it takes until another may grant. */
+    /** Stops the holder. \returns the time until another leader may grant. */
     Duration loseHolder()
     {
         const TrueTime lostAt = now();
@@ -61,9 +61,9 @@
         return now() - lostAt;
     }
 
-    Duration longestDark() const
+    Duration longestTimeWithoutLease() const
     {
-        return checker().longestDarkTime(now());
+        return checker().longestTimeWithoutLease(now());
     }
 };
 
@@ -71,431 +71,432 @@
 
 BOOST_AUTO_TEST_CASE(renewsWhileThePlatformAnswers)
 {
-    Session session;
-    session.startAll();
-    session.runUntil(60s);
-    BOOST_TEST((session.longestDark() < 500ms));
-    session.finish("renewal");
+    Scenario scenario;
+    scenario.startAll();
+    scenario.runUntil(60s);
+    BOOST_TEST((scenario.longestTimeWithoutLease() < 500ms));
+    scenario.finish("renewal");
 }
 
 BOOST_AUTO_TEST_CASE(candidateTakesOverFromALostHolderWithinFourSeconds)
 {
-    Session session;
-    session.startAll();
-    session.kill("a1");
-    session.runUntil(9s);
-    BOOST_TEST(!session.steward().empty());
-    BOOST_TEST(session.seat(session.steward()).epoch() == 2U);
-    BOOST_TEST(session.seat(session.steward()).mayGrantAt(Instant(9s)));
-    session.finish("holderlost");
+    Scenario scenario;
+    scenario.startAll();
+    scenario.kill("a1");
+    scenario.runUntil(9s);
+    BOOST_TEST(!scenario.steward().empty());
+    BOOST_TEST(scenario.seat(scenario.steward()).epoch() == 2U);
+    BOOST_TEST(scenario.seat(scenario.steward()).mayGrantAt(Instant(9s)));
+    scenario.finish("holderlost");
 }
 
-BOOST_AUTO_TEST_CASE(lossIsMendedWithinFourSecondsWhateverItsInstant)
+BOOST_AUTO_TEST_CASE(takeoverWithinFourSecondsForEveryLossInstant)
 {
     Duration longest{};
     for (TrueTime lostAt = 5s; lostAt < 6s; lostAt += 10ms) {
-        Session session;
-        session.startAll();
-        session.runUntil(lostAt);
-        longest = std::max(longest, session.loseHolder());
+        Scenario scenario;
+        scenario.startAll();
+        scenario.runUntil(lostAt);
+        longest = std::max(longest, scenario.loseHolder());
     }
     BOOST_TEST_MESSAGE("longest time from a loss to the next grant: " << milliseconds(longest));
     BOOST_TEST((longest < 4s));
 }
 
-BOOST_AUTO_TEST_CASE(lossSoonAfterAnOutageNeverOverlaps)
+BOOST_AUTO_TEST_CASE(lossSoonAfterAnOutageNeverYieldsTwoLeaders)
 {
-    // Renewals are rare, so that the lease has little left when promises are released.
+    // With a long renewal interval, little of the lease is left when promises are released.
     for (TrueTime cutAt = 5s; cutAt < 6s; cutAt += 100ms) {
         for (TrueTime lostAt = 16s; lostAt < 18s; lostAt += 50ms) {
-            Session session(
+            Scenario scenario(
                 {.renewInterval = 1s, .platformPatience = 1250ms, .askInterval = 350ms});
-            session.startAll();
-            session.runUntil(cutAt);
-            session.setPlatformUp(false);
-            session.runUntil(15s);
-            session.setPlatformUp(true);
-            session.runUntil(lostAt);
-            session.loseHolder();
-            session.expectNoViolation();
+            scenario.startAll();
+            scenario.runUntil(cutAt);
+            scenario.setPlatformUp(false);
+            scenario.runUntil(15s);
+            scenario.setPlatformUp(true);
+            scenario.runUntil(lostAt);
+            scenario.loseHolder();
+            scenario.expectNoViolation();
         }
     }
 }
 
-BOOST_AUTO_TEST_CASE(lossIsMendedWithinFourSecondsSoonAfterAnOutage)
+BOOST_AUTO_TEST_CASE(takeoverWithinFourSecondsSoonAfterAnOutage)
 {
     Duration longest{};
     for (TrueTime lostAt = 19s; lostAt < 20s; lostAt += 10ms) {
-        Session session;
-        session.startAll();
-        session.setPlatformUp(false);
-        session.runUntil(15s);
-        session.setPlatformUp(true);
-        session.runUntil(lostAt);
-        longest = std::max(longest, session.loseHolder());
+        Scenario scenario;
+        scenario.startAll();
+        scenario.setPlatformUp(false);
+        scenario.runUntil(15s);
+        scenario.setPlatformUp(true);
+        scenario.runUntil(lostAt);
+        longest = std::max(longest, scenario.loseHolder());
     }
     BOOST_TEST_MESSAGE("the same from 4 s after an outage on: " << milliseconds(longest));
     BOOST_TEST((longest < 4s));
 }
 
-BOOST_AUTO_TEST_CASE(lossNeverOverlapsWhateverItsInstant)
+BOOST_AUTO_TEST_CASE(lossNeverYieldsTwoLeadersForAnyInstant)
 {
-    // The holder's clock is slow, the others' are fast, and the platform answers the holder late.
-    // Over ten seconds the others' reads fall on all places between two renewals.
+    // The holder's clock is slow, the other clocks are fast, and the platform answers the holder
+    // late. Within ten seconds, the other daemons' reads cover all points between two renewals.
     for (TrueTime lostAt = 5s; lostAt < 15s; lostAt += 70ms) {
-        Session session({.driftPpm = 50'000});
-        session.startAll({.ppm = -50'000}, {.ppm = 50'000});
-        session.runUntil(lostAt);
-        session.setNextWriteFate("a1", {.back = 350ms});
-        session.run(600ms);
-        session.kill("a1");
-        session.run(4s);
-        BOOST_TEST(!session.steward().empty());
-        session.expectNoViolation();
+        Scenario scenario({.driftPpm = 50'000});
+        scenario.startAll({.ppm = -50'000}, {.ppm = 50'000});
+        scenario.runUntil(lostAt);
+        scenario.setNextWriteBehavior("a1", {.back = 350ms});
+        scenario.run(600ms);
+        scenario.kill("a1");
+        scenario.run(4s);
+        BOOST_TEST(!scenario.steward().empty());
+        scenario.expectNoViolation();
     }
 }
 
-BOOST_AUTO_TEST_CASE(cutFromACandidateNeverOverlapsWhateverItsInstant)
+BOOST_AUTO_TEST_CASE(cutFromACandidateNeverYieldsTwoLeadersForAnyInstant)
 {
     for (TrueTime cutAt = 20s; cutAt < 21s; cutAt += 10ms) {
-        Session session;
-        session.startAll();
-        session.setPlatformCut("a1", true);
-        session.runUntil(cutAt);
-        session.setCut("a1", "a2", true);
-        session.run(25s);
-        BOOST_TEST(session.steward() == "a2");
-        session.expectNoViolation();
+        Scenario scenario;
+        scenario.startAll();
+        scenario.setPlatformCut("a1", true);
+        scenario.runUntil(cutAt);
+        scenario.setCut("a1", "a2", true);
+        scenario.run(25s);
+        BOOST_TEST(scenario.steward() == "a2");
+        scenario.expectNoViolation();
     }
 }
 
-BOOST_AUTO_TEST_CASE(lossOfAHolderThatAloneLostThePlatformIsMendedAlike)
+BOOST_AUTO_TEST_CASE(takeoverFromALostHolderThatAloneHadNoPlatform)
 {
-    Session session;
-    session.startAll();
-    session.setPlatformCut("a1", true);
-    session.runUntil(125s);
-    BOOST_TEST(session.steward() == "a1");
-    BOOST_TEST((session.loseHolder() < 4s));
-    session.finish("holdercutandlost");
+    Scenario scenario;
+    scenario.startAll();
+    scenario.setPlatformCut("a1", true);
+    scenario.runUntil(125s);
+    BOOST_TEST(scenario.steward() == "a1");
+    BOOST_TEST((scenario.loseHolder() < 4s));
+    scenario.finish("holdercutandlost");
 }
 
-BOOST_AUTO_TEST_CASE(promisesCarryTheHolderThroughAnHourWithoutPlatform)
+BOOST_AUTO_TEST_CASE(promisesExtendTheLeaseThroughAnHourWithoutPlatform)
 {
-    Session session;
-    session.startAll();
-    session.setPlatformUp(false);
-    session.runUntil(1h);
-    BOOST_TEST(session.steward() == "a1");
-    session.setPlatformUp(true);
-    session.run(10s);
-    BOOST_TEST(session.steward() == "a1");
-    BOOST_TEST((session.longestDark() < 500ms));
-    session.finish("platformoutforanhour");
+    Scenario scenario;
+    scenario.startAll();
+    scenario.setPlatformUp(false);
+    scenario.runUntil(1h);
+    BOOST_TEST(scenario.steward() == "a1");
+    scenario.setPlatformUp(true);
+    scenario.run(10s);
+    BOOST_TEST(scenario.steward() == "a1");
+    BOOST_TEST((scenario.longestTimeWithoutLease() < 500ms));
+    scenario.finish("platformoutforanhour");
 }
 
-BOOST_AUTO_TEST_CASE(oneSilentCandidateInAnOutageMakesTheDomainDark)
+BOOST_AUTO_TEST_CASE(oneUnreachableCandidateInAnOutageEndsTheLeadership)
 {
-    Session session;
-    session.startAll();
-    session.setPlatformUp(false);
-    session.runUntil(65s);
-    session.setCut("a1", "c1", true);
-    session.runUntil(125s);
-    BOOST_TEST(session.steward().empty());
-    session.setCut("a1", "c1", false);
-    session.run(2s);
-    BOOST_TEST(session.steward() == "a1");
-    session.setPlatformUp(true);
-    session.run(10s);
-    session.finish("silentcandidate");
+    Scenario scenario;
+    scenario.startAll();
+    scenario.setPlatformUp(false);
+    scenario.runUntil(65s);
+    scenario.setCut("a1", "c1", true);
+    scenario.runUntil(125s);
+    BOOST_TEST(scenario.steward().empty());
+    scenario.setCut("a1", "c1", false);
+    scenario.run(2s);
+    BOOST_TEST(scenario.steward() == "a1");
+    scenario.setPlatformUp(true);
+    scenario.run(10s);
+    scenario.finish("silentcandidate");
 }
 
 BOOST_AUTO_TEST_CASE(candidateThatResignedNeedNotPromise)
 {
-    Session session;
-    session.startAll();
-    session.setPlatformUp(false);
-    session.run(5s);
-    session.depart("c1");
-    session.run(1s);
-    session.kill("c1");
-    session.runUntil(600s);
-    BOOST_TEST(session.steward() == "a1");
-    session.finish("resignedcandidate");
+    Scenario scenario;
+    scenario.startAll();
+    scenario.setPlatformUp(false);
+    scenario.run(5s);
+    scenario.depart("c1");
+    scenario.run(1s);
+    scenario.kill("c1");
+    scenario.runUntil(600s);
+    BOOST_TEST(scenario.steward() == "a1");
+    scenario.finish("resignedcandidate");
 }
 
 BOOST_AUTO_TEST_CASE(candidateWithAnUnsettledTakeoverDoesNotPromise)
 {
-    Session session;
-    session.startAll();
-    // a1 is frozen until its lease has lapsed; a2's takeover takes effect much later.
+    Scenario scenario;
+    scenario.startAll();
+    // a1 is frozen until its lease has expired; a2's takeover takes effect much later.
     for (const char *name : {"a3", "b1", "c1"})
-        session.setPlatformCut(name, true);
-    session.setNextWriteFate("a2", {.toPlatform = 4s, .isAnswerLost = true});
-    session.freeze("a1", 3s);
-    session.at(7900ms, [&] { session.setPlatformCut("a1", true); });
-    session.at(6900ms, [&] { session.setPlatformCut("a2", true); });
-    session.runUntil(10500ms);
-    BOOST_TEST(session.seat("a2").hasUnsettledWrite());
-    BOOST_TEST(session.row().row.holder.value() == "a1");
-    BOOST_TEST(session.steward().empty());
-    session.runUntil(12s);
-    BOOST_TEST(session.row().row.holder.value() == "a2");
-    session.setPlatformCut("a2", false);
-    session.run(2s);
-    BOOST_TEST(session.steward() == "a2");
-    session.finish("unsettledtakeover");
+        scenario.setPlatformCut(name, true);
+    scenario.setNextWriteBehavior("a2", {.toPlatform = 4s, .isAnswerLost = true});
+    scenario.freeze("a1", 3s);
+    scenario.at(7900ms, [&] { scenario.setPlatformCut("a1", true); });
+    scenario.at(6900ms, [&] { scenario.setPlatformCut("a2", true); });
+    scenario.runUntil(10500ms);
+    BOOST_TEST(scenario.seat("a2").hasUnsettledWrite());
+    BOOST_TEST(scenario.row().row.holder.value() == "a1");
+    BOOST_TEST(scenario.steward().empty());
+    scenario.runUntil(12s);
+    BOOST_TEST(scenario.row().row.holder.value() == "a2");
+    scenario.setPlatformCut("a2", false);
+    scenario.run(2s);
+    BOOST_TEST(scenario.steward() == "a2");
+    scenario.finish("unsettledtakeover");
 }
 
-BOOST_AUTO_TEST_CASE(unsettledSwapNeedsOldAndNewCandidates)
+BOOST_AUTO_TEST_CASE(unsettledCandidateChangeNeedsPromisesOfOldAndNewCandidates)
 {
-    Session session;
-    session.startAll();
-    // a1 takes c1 for lost and names c2: the write takes effect, but a1 is never told. Then c1 is
-    // back, and c2 can't be reached.
-    session.start("c2");
-    session.setCut("a1", "c1", true);
-    session.runUntil(5950ms);
-    session.setNextWriteFate("a1", {.isAnswerLost = true});
-    session.runUntil(6200ms);
-    BOOST_TEST(namesCandidate(session.row().row, Incarnation("c2")));
-    session.setPlatformCut("a1", true);
-    session.setCut("a1", "c1", false);
-    session.setCut("a1", "c2", true);
-    session.runUntil(20s);
-    BOOST_TEST(session.steward() == "c2");
-    session.finish("unsettledswap");
+    Scenario scenario;
+    scenario.startAll();
+    // a1 considers c1 lost and names c2. The write takes effect, but its answer to a1 is lost. Then
+    // c1 is reachable again and c2 is not.
+    scenario.start("c2");
+    scenario.setCut("a1", "c1", true);
+    scenario.runUntil(5950ms);
+    scenario.setNextWriteBehavior("a1", {.isAnswerLost = true});
+    scenario.runUntil(6200ms);
+    BOOST_TEST(namesCandidate(scenario.row().row, Incarnation("c2")));
+    scenario.setPlatformCut("a1", true);
+    scenario.setCut("a1", "c1", false);
+    scenario.setCut("a1", "c2", true);
+    scenario.runUntil(20s);
+    BOOST_TEST(scenario.steward() == "c2");
+    scenario.finish("unsettledswap");
 }
 
-BOOST_AUTO_TEST_CASE(newCandidateNeedNotPromiseOnceThePlatformIsBack)
+BOOST_AUTO_TEST_CASE(newCandidateNeedNotPromiseAfterTheOutage)
 {
-    // Promises of the outage are long, c1 is gone, and c2 that takes its place has given none.
-    Session session;
-    session.startAll();
-    session.setPlatformUp(false);
-    session.runUntil(24900ms);
-    session.start("c2");
-    session.kill("c1");
-    session.setPlatformUp(true);
-    session.run(3s);
-    session.freeze("a1", 30s);
-    session.run(40s);
-    BOOST_TEST(!session.steward().empty());
-    session.finish("swapafteroutage");
+    // Promises of the outage are long, c1 has stopped, and its replacement c2 has given no promise.
+    Scenario scenario;
+    scenario.startAll();
+    scenario.setPlatformUp(false);
+    scenario.runUntil(24900ms);
+    scenario.start("c2");
+    scenario.kill("c1");
+    scenario.setPlatformUp(true);
+    scenario.run(3s);
+    scenario.freeze("a1", 30s);
+    scenario.run(40s);
+    BOOST_TEST(!scenario.steward().empty());
+    scenario.finish("swapafteroutage");
 }
 
-BOOST_AUTO_TEST_CASE(newDaemonsInAnOutageAreNoCandidates)
+BOOST_AUTO_TEST_CASE(newDaemonsInAnOutageAreNotCandidates)
 {
-    Session session;
-    session.startAll();
-    session.setPlatformUp(false);
-    session.run(10s);
-    session.start("a4");
-    session.start("b2");
-    session.run(60s);
-    BOOST_TEST(session.steward() == "a1");
-    session.setPlatformUp(true);
-    session.run(60s);
-    BOOST_TEST(session.steward() == "a1");
-    BOOST_TEST(!session.seat("a4").isCandidate());
-    session.finish("newdaemonsinoutage");
+    Scenario scenario;
+    scenario.startAll();
+    scenario.setPlatformUp(false);
+    scenario.run(10s);
+    scenario.start("a4");
+    scenario.start("b2");
+    scenario.run(60s);
+    BOOST_TEST(scenario.steward() == "a1");
+    scenario.setPlatformUp(true);
+    scenario.run(60s);
+    BOOST_TEST(scenario.steward() == "a1");
+    BOOST_TEST(!scenario.seat("a4").isCandidate());
+    scenario.finish("newdaemonsinoutage");
 }
 
-BOOST_AUTO_TEST_CASE(allRestartedAtOnceWaitOutTheAllowance)
+BOOST_AUTO_TEST_CASE(simultaneousRestartOfAllWaitsForTheOutageAllowance)
 {
-    Session session({.outageAllowance = 10min});
-    session.startAll();
-    session.setPlatformUp(false);
-    session.run(10s);
+    Scenario scenario({.outageAllowance = 10min});
+    scenario.startAll();
+    scenario.setPlatformUp(false);
+    scenario.run(10s);
     for (const char *name : {"a1", "a2", "a3", "b1", "c1"})
-        session.kill(name);
+        scenario.kill(name);
     for (const char *name : {"a1x", "a2x", "b1x", "c1x"})
-        session.start(name);
-    session.run(10s);
-    session.setPlatformUp(true);
-    session.run(590s);
-    BOOST_TEST(session.steward().empty());
-    session.run(30s);
-    BOOST_TEST(!session.steward().empty());
-    session.finish("allrestarted");
+        scenario.start(name);
+    scenario.run(10s);
+    scenario.setPlatformUp(true);
+    scenario.run(590s);
+    BOOST_TEST(scenario.steward().empty());
+    scenario.run(30s);
+    BOOST_TEST(!scenario.steward().empty());
+    scenario.finish("allrestarted");
 }
 
-BOOST_AUTO_TEST_CASE(holderAndCandidatesWithoutPlatformKeepOthersOut)
+BOOST_AUTO_TEST_CASE(holderAndCandidatesWithoutPlatformPreventATakeover)
 {
-    // a4 reaches the platform, the holder and its candidates don't, but reach each other.
-    Session session({.outageAllowance = 10min});
-    session.startAll();
-    session.start("a4");
-    session.run(5s);
+    // a4 reaches the platform. The holder and its candidates reach only each other.
+    Scenario scenario({.outageAllowance = 10min});
+    scenario.startAll();
+    scenario.start("a4");
+    scenario.run(5s);
     for (const char *name : {"a1", "a2", "a3", "b1", "c1"})
-        session.setPlatformCut(name, true);
-    session.run(590s);
-    BOOST_TEST(session.steward() == "a1");
-    session.run(30s);
-    BOOST_TEST(session.steward() == "a4");
-    session.finish("groupwithoutplatform");
+        scenario.setPlatformCut(name, true);
+    scenario.run(590s);
+    BOOST_TEST(scenario.steward() == "a1");
+    scenario.run(30s);
+    BOOST_TEST(scenario.steward() == "a4");
+    scenario.finish("groupwithoutplatform");
 }
 
 BOOST_AUTO_TEST_CASE(operatorsReleaseEndsTheWaitAfterATotalLoss)
 {
-    Session session;
-    session.startAll();
+    Scenario scenario;
+    scenario.startAll();
     for (const char *name : {"a1", "a2", "a3", "b1", "c1"})
-        session.kill(name);
-    session.start("a1x");
-    session.run(60s);
-    BOOST_TEST(session.steward().empty());
-    session.releaseByOperator();
-    session.run(60s);
-    BOOST_TEST(session.steward() == "a1x");
-    session.finish("operatorrelease");
+        scenario.kill(name);
+    scenario.start("a1x");
+    scenario.run(60s);
+    BOOST_TEST(scenario.steward().empty());
+    scenario.releaseByOperator();
+    scenario.run(60s);
+    BOOST_TEST(scenario.steward() == "a1x");
+    scenario.finish("operatorrelease");
 }
 
-BOOST_AUTO_TEST_CASE(holderFrozenAcrossTheWholeOfItFindsItselfReplaced)
+BOOST_AUTO_TEST_CASE(holderFrozenDuringOutageAndTakeoverIsReplaced)
 {
-    Session session;
-    session.startAll();
-    session.freeze("a1", 120s);
-    session.run(20s);
-    session.setPlatformUp(false);
-    session.runUntil(124900ms);
-    BOOST_TEST(session.steward() == "a2");
-    BOOST_TEST(!session.seat("a1").isStewardAt(Instant(session.now())));
-    session.run(10s);
-    BOOST_TEST(session.steward() == "a2");
-    session.setPlatformUp(true);
-    session.run(10s);
-    session.finish("holderfrozen");
+    Scenario scenario;
+    scenario.startAll();
+    scenario.freeze("a1", 120s);
+    scenario.run(20s);
+    scenario.setPlatformUp(false);
+    scenario.runUntil(124900ms);
+    BOOST_TEST(scenario.steward() == "a2");
+    BOOST_TEST(!scenario.seat("a1").isStewardAt(Instant(scenario.now())));
+    scenario.run(10s);
+    BOOST_TEST(scenario.steward() == "a2");
+    scenario.setPlatformUp(true);
+    scenario.run(10s);
+    scenario.finish("holderfrozen");
 }
 
-BOOST_AUTO_TEST_CASE(frozenCandidateKeepsItsPromiseWhenItThaws)
+BOOST_AUTO_TEST_CASE(frozenCandidateKeepsItsPromiseAfterThawing)
 {
-    Session session;
-    session.startAll();
-    session.setPlatformCut("a1", true);
-    session.run(20s);
-    session.freeze("a2", 1500ms);
-    session.run(10s);
-    BOOST_TEST(session.steward() == "a1");
-    session.finish("candidatefrozen");
+    Scenario scenario;
+    scenario.startAll();
+    scenario.setPlatformCut("a1", true);
+    scenario.run(20s);
+    scenario.freeze("a2", 1500ms);
+    scenario.run(10s);
+    BOOST_TEST(scenario.steward() == "a1");
+    scenario.finish("candidatefrozen");
 }
 
 BOOST_AUTO_TEST_CASE(takeoverWhoseAnswerIsLostIsSettledByReading)
 {
-    Session session;
-    session.startAll();
+    Scenario scenario;
+    scenario.startAll();
     for (const char *name : {"a3", "b1", "c1"})
-        session.setPlatformCut(name, true);
-    session.setNextWriteFate("a2", {.isAnswerLost = true});
-    session.kill("a1");
-    session.run(10s);
-    BOOST_TEST(session.steward() == "a2");
-    BOOST_TEST(session.row().row.epoch == 2U);
-    session.finish("takeoveranswerlost");
+        scenario.setPlatformCut(name, true);
+    scenario.setNextWriteBehavior("a2", {.isAnswerLost = true});
+    scenario.kill("a1");
+    scenario.run(10s);
+    BOOST_TEST(scenario.steward() == "a2");
+    BOOST_TEST(scenario.row().row.epoch == 2U);
+    scenario.finish("takeoveranswerlost");
 }
 
-BOOST_AUTO_TEST_CASE(retryAnsweredForAnEarlierSendingCountsFromThatOne)
+BOOST_AUTO_TEST_CASE(retryAnsweredForAnEarlierAttemptCountsFromThatAttempt)
 {
-    // The platform takes the takeover at once, and says so 1.5 s later, to a later sending.
-    Session session;
-    session.startAll();
-    session.setPlatformRemembersWrites();
-    session.kill("a1");
-    session.setNextWriteFate("a2", {.isAnswerLost = true});
-    session.runUntil(6690ms);
-    BOOST_TEST(session.row().row.holder.value() == "a2");
-    session.setPlatformCut("a2", true);
-    session.setCut("a2", "a3", true);
-    session.runUntil(8150ms);
-    session.setPlatformCut("a2", false);
-    session.runUntil(8205ms);
-    session.setPlatformCut("a2", true);
-    session.run(10s);
-    BOOST_TEST(session.steward() == "a3");
-    session.finish("retryanswered");
+    // The platform applies the takeover immediately, but confirms it 1.5 s later, to a retry.
+    Scenario scenario;
+    scenario.startAll();
+    scenario.setPlatformDeduplicatesWrites();
+    scenario.kill("a1");
+    scenario.setNextWriteBehavior("a2", {.isAnswerLost = true});
+    scenario.runUntil(6690ms);
+    BOOST_TEST(scenario.row().row.holder.value() == "a2");
+    scenario.setPlatformCut("a2", true);
+    scenario.setCut("a2", "a3", true);
+    scenario.runUntil(8150ms);
+    scenario.setPlatformCut("a2", false);
+    scenario.runUntil(8205ms);
+    scenario.setPlatformCut("a2", true);
+    scenario.run(10s);
+    BOOST_TEST(scenario.steward() == "a3");
+    scenario.finish("retryanswered");
 }
 
-BOOST_AUTO_TEST_CASE(clocksAtTheDriftBoundDontOverlap)
+BOOST_AUTO_TEST_CASE(clocksAtTheDriftBoundNeverYieldTwoLeaders)
 {
-    Session session({.driftPpm = 50'000});
-    session.startAll({.offset = 7s, .ppm = -50'000}, {.offset = 3h, .ppm = 50'000});
-    session.setPlatformCut("a1", true);
-    session.run(20s);
-    session.setCut("a1", "a2", true);
-    session.run(30s);
-    BOOST_TEST(!session.steward().empty());
-    BOOST_TEST(session.steward() != "a1");
-    session.finish("clocksatbound");
+    Scenario scenario({.driftPpm = 50'000});
+    scenario.startAll({.offset = 7s, .ppm = -50'000}, {.offset = 3h, .ppm = 50'000});
+    scenario.setPlatformCut("a1", true);
+    scenario.run(20s);
+    scenario.setCut("a1", "a2", true);
+    scenario.run(30s);
+    BOOST_TEST(!scenario.steward().empty());
+    BOOST_TEST(scenario.steward() != "a1");
+    scenario.finish("clocksatbound");
 }
 
-BOOST_AUTO_TEST_CASE(twoThatBothWantItNeverBothHoldIt)
+BOOST_AUTO_TEST_CASE(concurrentTakeoversNeverYieldTwoLeaders)
 {
-    Session session;
-    session.startAll();
-    session.freeze("a1", 4s);
-    session.setNextWriteFate("a2", {.toPlatform = 50ms, .isAnswerLost = true});
-    session.setNextWriteFate("a3", {.toPlatform = 50ms, .isAnswerLost = true});
-    session.setNextWriteFate("a1", {.toPlatform = 1ms});
-    session.run(30s);
-    BOOST_TEST(!session.steward().empty());
-    session.finish("twocontenders");
+    Scenario scenario;
+    scenario.startAll();
+    scenario.freeze("a1", 4s);
+    scenario.setNextWriteBehavior("a2", {.toPlatform = 50ms, .isAnswerLost = true});
+    scenario.setNextWriteBehavior("a3", {.toPlatform = 50ms, .isAnswerLost = true});
+    scenario.setNextWriteBehavior("a1", {.toPlatform = 1ms});
+    scenario.run(30s);
+    BOOST_TEST(!scenario.steward().empty());
+    scenario.finish("twocontenders");
 }
 
-BOOST_AUTO_TEST_CASE(resignedHolderOfALaterEpochIsNoEvidence)
+BOOST_AUTO_TEST_CASE(resignationOfALaterHolderDoesNotCountAsPromise)
 {
-    // a2 takes epoch 2 unseen by a1 and departs; a1 asks on for epoch 1 and must not go on.
-    Session session;
-    session.startAll();
-    session.freeze("a1", 4s);
-    session.at(8900ms, [&] { session.setPlatformCut("a1", true); });
-    session.runUntil(12s);
-    const std::string second = session.steward();
-    session.depart(second);
-    session.run(10s);
-    BOOST_TEST(session.steward() != "a1");
-    BOOST_TEST(session.steward() != second);
-    BOOST_TEST(session.row().row.epoch == 3U);
-    session.finish("resignedholder");
+    // a2 acquires epoch 2 without a1 observing it, then departs. a1 keeps requesting promises for
+    // epoch 1 and must not continue as leader.
+    Scenario scenario;
+    scenario.startAll();
+    scenario.freeze("a1", 4s);
+    scenario.at(8900ms, [&] { scenario.setPlatformCut("a1", true); });
+    scenario.runUntil(12s);
+    const std::string second = scenario.steward();
+    scenario.depart(second);
+    scenario.run(10s);
+    BOOST_TEST(scenario.steward() != "a1");
+    BOOST_TEST(scenario.steward() != second);
+    BOOST_TEST(scenario.row().row.epoch == 3U);
+    scenario.finish("resignedholder");
 }
 
-BOOST_AUTO_TEST_CASE(departingHolderHandsOverWithoutALapse)
+BOOST_AUTO_TEST_CASE(departingHolderHandsOverWithoutAGap)
 {
-    Session session;
-    session.startAll();
-    session.depart("a1");
-    session.run(10s);
-    BOOST_TEST(session.seat("a1").isDepartureComplete());
-    BOOST_TEST(session.steward() == "a2");
-    session.kill("a1");
-    session.finish("handover");
+    Scenario scenario;
+    scenario.startAll();
+    scenario.depart("a1");
+    scenario.run(10s);
+    BOOST_TEST(scenario.seat("a1").isDepartureComplete());
+    BOOST_TEST(scenario.steward() == "a2");
+    scenario.kill("a1");
+    scenario.finish("handover");
 }
 
-BOOST_AUTO_TEST_CASE(handOverSaysWhatIsLeftOnAnyClock)
+BOOST_AUTO_TEST_CASE(handOverCoversTheRestOfTheLeaseOnAnyClock)
 {
-    // What is left of a slow clock's lease is longer than its holder reckons.
-    Session session({.driftPpm = 50'000});
-    session.start("a1", {.ppm = -50'000});
-    session.run(100ms);
-    session.start("a2", {.ppm = 50'000});
-    session.runUntil(5090ms);
-    session.depart("a1");
-    session.run(10s);
-    BOOST_TEST(session.steward() == "a2");
-    session.finish("handoverclocks");
+    // The rest of a lease on a slow clock is longer than its holder computes.
+    Scenario scenario({.driftPpm = 50'000});
+    scenario.start("a1", {.ppm = -50'000});
+    scenario.run(100ms);
+    scenario.start("a2", {.ppm = 50'000});
+    scenario.runUntil(5090ms);
+    scenario.depart("a1");
+    scenario.run(10s);
+    BOOST_TEST(scenario.steward() == "a2");
+    scenario.finish("handoverclocks");
 }
 
-BOOST_AUTO_TEST_CASE(recreatedRowIsTakenOnlyAfterTheAllowance)
+BOOST_AUTO_TEST_CASE(recreatedRowIsTakenOverOnlyAfterTheOutageAllowance)
 {
-    Session session({.outageAllowance = 5min});
-    session.startAll();
-    session.setPlatformCut("a1", true);
-    session.deleteRow();
-    session.start("a5");
-    session.run(4min);
-    BOOST_TEST((session.steward() == "a1" || session.steward().empty()));
-    session.run(90s);
-    BOOST_TEST(!session.steward().empty());
-    BOOST_TEST(session.row().row.epoch > 2U);
-    session.finish("recreatedrow");
+    Scenario scenario({.outageAllowance = 5min});
+    scenario.startAll();
+    scenario.setPlatformCut("a1", true);
+    scenario.deleteRow();
+    scenario.start("a5");
+    scenario.run(4min);
+    BOOST_TEST((scenario.steward() == "a1" || scenario.steward().empty()));
+    scenario.run(90s);
+    BOOST_TEST(!scenario.steward().empty());
+    BOOST_TEST(scenario.row().row.epoch > 2U);
+    scenario.finish("recreatedrow");
 }
--- a/tests/stewardworld/driftingclock.h
+++ b/tests/stewardworld/driftingclock.h
@@ -4,10 +4,10 @@
 
 namespace bulrush::test {
 
-/** True time, which no process knows. */
+/** True time, which no process can read. */
 using TrueTime = Duration;
 
-/** A process's clock: off by an offset, and fast or slow by a rate. */
+/** A process's clock with an offset and a rate error. */
 struct DriftingClock
 {
     Duration offset{};
--- a/tests/stewardworld/leadershipchecker.cpp
+++ b/tests/stewardworld/leadershipchecker.cpp
@@ -1,4 +1,4 @@
-#include "tenurechecker.h"
+#include "leadershipchecker.h"
 
 #include <algorithm>
 #include <chrono>
@@ -16,49 +16,50 @@
 
 } // namespace
 
-void TenureChecker::check(const std::string &process, const StewardSeat &seat,
-                          const std::vector<StewardAction> &did, const DriftingClock &clock,
-                          TrueTime now, const StewardTimings &timings)
+void LeadershipChecker::check(const std::string &process, const StewardSeat &seat,
+                              const std::vector<StewardAction> &actions, const DriftingClock &clock,
+                              TrueTime now, const StewardTimings &timings)
 {
-    Office &office = m_offices[process];
-    for (const StewardAction &action : did) {
+    Term &term = m_terms[process];
+    for (const StewardAction &action : actions) {
         if (std::holds_alternative<StewardshipEnded>(action))
-            office.until = std::min(office.until, now);
+            term.until = std::min(term.until, now);
         if (const auto *began = std::get_if<StewardshipBegan>(&action))
-            checkOthers(process, now, std::max(now, clock.trueTimeOf(began->mayGrantFrom)));
+            checkAgainstOthers(process, now, std::max(now, clock.trueTimeOf(began->mayGrantFrom)));
     }
     if (!seat.isStewardAt(clock.at(now)))
         return;
-    checkOthers(process, now, seat.mayGrantAt(clock.at(now)) ? now : TrueTime::max());
-    office.until = clock.trueTimeOf(seat.tenureUntil());
-    // The latest lease that it can give before its next event.
+    checkAgainstOthers(process, now, seat.mayGrantAt(clock.at(now)) ? now : TrueTime::max());
+    term.until = clock.trueTimeOf(seat.tenureUntil());
+    // The latest lease that the process can grant before its next event.
     const Instant latest = std::min(clock.at(now + tickInterval), seat.tenureUntil() - Duration(1));
     const Instant leaseUntil = seat.routingLeaseUntil(latest);
     const Duration work = shortened(timings.workPastLease, timings.driftPpm);
-    office.workUntil = std::max(office.workUntil, clock.trueTimeOf(leaseUntil + work));
+    term.workUntil = std::max(term.workUntil, clock.trueTimeOf(leaseUntil + work));
     if (!seat.mayGrantAt(clock.at(now)))
         return;
-    m_longestDark = std::max(m_longestDark, now - m_servedUntil);
-    m_servedUntil = std::max(m_servedUntil, clock.trueTimeOf(leaseUntil));
+    m_longestTimeWithoutLease = std::max(m_longestTimeWithoutLease, now - m_leasesUntil);
+    m_leasesUntil = std::max(m_leasesUntil, clock.trueTimeOf(leaseUntil));
 }
 
-Duration TenureChecker::longestDarkTime(TrueTime now) const
+Duration LeadershipChecker::longestTimeWithoutLease(TrueTime now) const
 {
-    return std::max(m_longestDark, now - m_servedUntil);
+    return std::max(m_longestTimeWithoutLease, now - m_leasesUntil);
 }
 
-void TenureChecker::checkOthers(const std::string &process, TrueTime now, TrueTime mayGrantFrom)
+void LeadershipChecker::checkAgainstOthers(const std::string &process, TrueTime now,
+                                           TrueTime mayGrantFrom)
 {
-    for (const auto &[other, office] : m_offices) {
+    for (const auto &[other, term] : m_terms) {
         if (other == process)
             continue;
         std::ostringstream text;
-        if (office.until > now)
-            text << process << " in office at " << inMilliseconds(now) << ", " << other << " until "
-                 << inMilliseconds(office.until);
-        else if (office.workUntil > mayGrantFrom)
+        if (term.until > now)
+            text << process << " is leader at " << inMilliseconds(now) << ", " << other << " until "
+                 << inMilliseconds(term.until);
+        else if (term.workUntil > mayGrantFrom)
             text << process << " may grant from " << inMilliseconds(mayGrantFrom) << ", work of "
-                 << other << " until " << inMilliseconds(office.workUntil);
+                 << other << " until " << inMilliseconds(term.workUntil);
         else
             continue;
         m_violations.push_back(text.str());
--- a/tests/stewardworld/leadershipchecker.h
+++ b/tests/stewardworld/leadershipchecker.h
@@ -9,44 +9,45 @@
 
 namespace bulrush::test {
 
-/** Longest time that passes between two events of a process that isn't frozen. */
+/** Maximum time between two events of a process that is not frozen. */
 constexpr Duration tickInterval = std::chrono::milliseconds(50);
 
 /**
- * Watches in true time, which no process knows, that no two are in office at once, and that none
- * may grant while work under the leases of another may run.
+ * Checks in true time that no two processes are leader at the same time, and that no process may
+ * grant while work under the leases of another process may run.
  */
-class TenureChecker
+class LeadershipChecker
 {
 public:
-    /** Looks at \a seat right after an event at \a now, and at what it \a did. */
+    /** Checks \a seat and the actions in \a actions, right after an event at \a now. */
     void check(const std::string &process, const StewardSeat &seat,
-               const std::vector<StewardAction> &did, const DriftingClock &clock, TrueTime now,
+               const std::vector<StewardAction> &actions, const DriftingClock &clock, TrueTime now,
                const StewardTimings &timings);
 
     const std::vector<std::string> &violations() const
     {
         return m_violations;
     }
-    /** The longest time up to \a now in which no routing lease can have been in force. A lost
-     *  daemon's leases count to their end. */
-    Duration longestDarkTime(TrueTime now) const;
+    /** \returns the longest period up to \a now during which no routing lease can have been in
+     *  force. The leases of a lost daemon count until their end. */
+    Duration longestTimeWithoutLease(TrueTime now) const;
 
 private:
-    struct Office
+    struct Term
     {
-        /** When it ends unless it is renewed; a process that is frozen or dead leaves it so. */
+        /** End of the term unless it is extended; unchanged while the process is frozen or stopped.
+         */
         TrueTime until{};
-        /** When work under the last lease that it can have given ends. */
+        /** End of work under the last lease that the process can have granted. */
         TrueTime workUntil{};
     };
 
-    void checkOthers(const std::string &process, TrueTime now, TrueTime mayGrantFrom);
+    void checkAgainstOthers(const std::string &process, TrueTime now, TrueTime mayGrantFrom);
 
-    std::map<std::string, Office> m_offices;
+    std::map<std::string, Term> m_terms;
     std::vector<std::string> m_violations;
-    TrueTime m_servedUntil{};
-    Duration m_longestDark{};
+    TrueTime m_leasesUntil{};
+    Duration m_longestTimeWithoutLease{};
 };
 
 } // namespace bulrush::test
--- a/tests/stewardworld/stewardworld.cpp
+++ b/tests/stewardworld/stewardworld.cpp
@@ -13,8 +13,8 @@
 
 constexpr Duration peersInterval = 1s;
 constexpr Duration platformTimeout = 400ms;
-/** Questions that follow one another more closely are noted once. */
-constexpr Duration quietInterval = 2s;
+/** Promise requests of a daemon within this interval of the previous one are not logged. */
+constexpr Duration minLogInterval = 2s;
 
 std::string textOf(LeadershipEndReason reason)
 {
@@ -57,7 +57,7 @@
     daemon.clock = clock;
     daemon.seat = std::make_unique<StewardSeat>(daemon.self, DomainName("a"), m_timings);
     m_daemons[name] = std::move(daemon);
-    tellPeers(name);
+    sendPeers(name);
     tick(name);
 }
 
@@ -127,17 +127,17 @@
 
 void StewardWorld::runUntil(TrueTime time)
 {
-    while (!m_agenda.empty() && m_agenda.begin()->first <= time) {
-        auto next = m_agenda.extract(m_agenda.begin());
+    while (!m_scheduledCalls.empty() && m_scheduledCalls.begin()->first <= time) {
+        auto next = m_scheduledCalls.extract(m_scheduledCalls.begin());
         m_now = next.key();
         next.mapped()();
     }
     m_now = time;
 }
 
-void StewardWorld::at(TrueTime time, std::function<void()> deed)
+void StewardWorld::at(TrueTime time, std::function<void()> callback)
 {
-    m_agenda.emplace(time, std::move(deed));
+    m_scheduledCalls.emplace(time, std::move(callback));
 }
 
 std::string StewardWorld::steward() const
@@ -166,7 +166,7 @@
     at(m_now + tickInterval, [this, name] { tick(name); });
 }
 
-void StewardWorld::tellPeers(const std::string &name)
+void StewardWorld::sendPeers(const std::string &name)
 {
     if (!isAlive(name))
         return;
@@ -176,7 +176,7 @@
             change.peers.push_back(daemon.self);
     }
     deliver(name, change);
-    at(m_now + peersInterval, [this, name] { tellPeers(name); });
+    at(m_now + peersInterval, [this, name] { sendPeers(name); });
 }
 
 void StewardWorld::deliver(const std::string &name, const StewardEvent &event)
@@ -213,21 +213,21 @@
     return m_isPlatformUp && !m_platformCuts.contains(name);
 }
 
-Fate StewardWorld::nextFate(const std::string &name)
+PlatformCallBehavior StewardWorld::nextBehavior(const std::string &name)
 {
-    Fate fate = m_fateSource ? m_fateSource() : Fate();
-    fate.isLost = fate.isLost || !reachesPlatform(name);
-    return fate;
+    PlatformCallBehavior behavior = m_behaviorSource ? m_behaviorSource() : PlatformCallBehavior();
+    behavior.isLost = behavior.isLost || !reachesPlatform(name);
+    return behavior;
 }
 
 void StewardWorld::perform(const std::string &from, const ReadStewardRow &)
 {
     ++m_counts.reads;
-    const Fate fate = nextFate(from);
+    const PlatformCallBehavior behavior = nextBehavior(from);
     auto isAnswered = std::make_shared<bool>(false);
-    if (!fate.isLost && !fate.isRefused && !fate.isAnswerLost)
-        at(m_now + fate.toPlatform, [=, this] {
-            at(m_now + fate.back,
+    if (!behavior.isLost && !behavior.isRefused && !behavior.isAnswerLost)
+        at(m_now + behavior.toPlatform, [=, this] {
+            at(m_now + behavior.back,
                [=, this, row = m_row] { answerOnce(from, StewardRowRead{row}, isAnswered); });
         });
     at(m_now + platformTimeout, [=, this] { answerOnce(from, StewardReadFailed{}, isAnswered); });
@@ -236,40 +236,42 @@
 void StewardWorld::perform(const std::string &from, const WriteStewardRow &write)
 {
     ++m_counts.writes;
-    Fate fate = nextFate(from);
-    if (const auto set = m_fates.find(from); set != m_fates.end()) {
-        fate = set->second;
-        m_fates.erase(set);
+    PlatformCallBehavior behavior = nextBehavior(from);
+    if (const auto set = m_nextWriteBehaviors.find(from); set != m_nextWriteBehaviors.end()) {
+        behavior = set->second;
+        m_nextWriteBehaviors.erase(set);
     }
     auto isAnswered = std::make_shared<bool>(false);
-    if (fate.isRefused) {
+    if (behavior.isRefused) {
         const StewardWriteAnswered refusal{write.attempt, WriteRefused{}};
         at(m_now, [=, this] { answerOnce(from, refusal, isAnswered); });
         return;
     }
-    if (!fate.isLost)
-        at(m_now + fate.toPlatform, [=, this] { applyWrite(from, write, fate, isAnswered); });
+    if (!behavior.isLost)
+        at(m_now + behavior.toPlatform,
+           [=, this] { applyWrite(from, write, behavior, isAnswered); });
     const StewardWriteAnswered unknown{write.attempt, WriteUnknown{}};
     at(m_now + platformTimeout, [=, this] { answerOnce(from, unknown, isAnswered); });
 }
 
 void StewardWorld::applyWrite(const std::string &from, const WriteStewardRow &write,
-                              const Fate &fate, const std::shared_ptr<bool> &isAnswered)
+                              const PlatformCallBehavior &behavior,
+                              const std::shared_ptr<bool> &isAnswered)
 {
     WriteOutcome outcome = WriteConflicted{m_row};
     if (m_row.version == write.expectedVersion) {
-        const bool isNews = m_row.row.epoch != write.row.epoch || write.row.isReleased
+        const bool isLoggedChange = m_row.row.epoch != write.row.epoch || write.row.isReleased
             || m_row.row.candidates != write.row.candidates;
         m_row = {++m_latestVersion, write.row};
         outcome = WriteCommitted{m_row.version};
-        if (isNews || fate.isAnswerLost || *isAnswered)
+        if (isLoggedChange || behavior.isAnswerLost || *isAnswered)
             noteRow(from + " writes");
-    } else if (m_remembersWrites && m_row.row.writeId == write.row.writeId)
+    } else if (m_deduplicatesWrites && m_row.row.writeId == write.row.writeId)
         outcome = WriteCommitted{m_row.version};
-    if (fate.isAnswerLost)
+    if (behavior.isAnswerLost)
         return;
     const StewardWriteAnswered answer{write.attempt, outcome};
-    at(m_now + fate.back, [=, this] { answerOnce(from, answer, isAnswered); });
+    at(m_now + behavior.back, [=, this] { answerOnce(from, answer, isAnswered); });
 }
 
 void StewardWorld::answerOnce(const std::string &to, const StewardEvent &event,
@@ -282,9 +284,9 @@
 void StewardWorld::perform(const std::string &from, const AskPromise &question)
 {
     Daemon &daemon = m_daemons.at(from);
-    if (m_now > daemon.requestedAt + quietInterval)
+    if (m_now > daemon.lastPromiseRequestAt + minLogInterval)
         note(from + " asks for promises");
-    daemon.requestedAt = m_now;
+    daemon.lastPromiseRequestAt = m_now;
     send(from, question.to.incarnation.value(),
          PromiseAsked{Incarnation(from), question.epoch, question.length, question.askId});
 }
@@ -303,7 +305,7 @@
 void StewardWorld::perform(const std::string &from, const ReleasePromise &release)
 {
     Daemon &daemon = m_daemons.at(from);
-    if (std::exchange(daemon.releasedAsk, release.askId) != release.askId)
+    if (std::exchange(daemon.lastReleasedRound, release.askId) != release.askId)
         note(from + " releases the promises");
     send(from, release.to.incarnation.value(),
          PromiseReleased{release.epoch, release.askId, release.length});
--- a/tests/stewardworld/stewardworld.h
+++ b/tests/stewardworld/stewardworld.h
@@ -1,8 +1,8 @@
 #pragma once
 
 #include "driftingclock.h"
+#include "leadershipchecker.h"
 #include "process/stewardseat.h"
-#include "tenurechecker.h"
 
 #include <deque>
 #include <functional>
@@ -14,20 +14,20 @@
 
 namespace bulrush::test {
 
-/** What becomes of one read or write on its way to the platform and back. */
-struct Fate
+/** Delays and faults of one read or write between a daemon and the platform. */
+struct PlatformCallBehavior
 {
     Duration toPlatform = std::chrono::milliseconds(5);
     Duration back = std::chrono::milliseconds(5);
-    /** Never reaches the platform. */
+    /** The call never reaches the platform. */
     bool isLost = false;
-    /** Takes effect or not, but nobody is told. */
+    /** The call is processed, but its answer is lost. */
     bool isAnswerLost = false;
-    /** The connection was refused, so that a write surely has no effect. */
+    /** The connection is refused, so a write certainly has no effect. */
     bool isRefused = false;
 };
 
-/** What the daemons have sent, tried or not. */
+/** Numbers of calls and messages that the daemons have sent, including lost ones. */
 struct WorldCounts
 {
     std::uint64_t reads = 0;
@@ -36,45 +36,46 @@
 };
 
 /**
- * A handful of steward seats about the row of one failure domain, on a virtual clock: each with a
- * clock of its own, a platform row that can be down, slow or lose answers, and a net with cuts.
+ * Simulation of the leader election of one failure domain with several daemons on a virtual clock.
+ * Each daemon has its own drifting clock. The platform can be down, slow or lose answers, and
+ * connections between daemons can be cut.
  */
 class StewardWorld
 {
 public:
     explicit StewardWorld(StewardTimings timings);
 
-    /** Starts a run of a daemon; its name is its incarnation, its first letter its domain. */
+    /** Starts a daemon. Its name is its incarnation, and the first letter is its domain. */
     void start(const std::string &name, DriftingClock clock = {});
     void kill(const std::string &name);
     void freeze(const std::string &name, Duration length);
     void depart(const std::string &name);
     void setPlatformUp(bool isUp);
-    /** Lets the platform answer a write that it has applied before as committed. */
-    void setPlatformRemembersWrites()
+    /** Makes the platform answer a repeated write that it has already applied as committed. */
+    void setPlatformDeduplicatesWrites()
     {
-        m_remembersWrites = true;
+        m_deduplicatesWrites = true;
     }
-    /** Cuts a daemon's way to the platform, or heals it. */
+    /** Cuts or restores a daemon's connection to the platform. */
     void setPlatformCut(const std::string &name, bool isCut);
-    /** Cuts two daemons' ways to each other, or heals them. */
+    /** Cuts or restores the connection between two daemons. */
     void setCut(const std::string &one, const std::string &other, bool isCut);
-    /** Decides the delay of each message between daemons. */
+    /** Sets the source of the delays of messages between daemons. */
     void setMessageDelays(std::function<Duration()> source)
     {
         m_delaySource = std::move(source);
     }
-    /** Decides the fate of the next write of \a name. */
-    void setNextWriteFate(const std::string &name, Fate fate)
+    /** Sets the delays and faults of the next write of \a name. */
+    void setNextWriteBehavior(const std::string &name, PlatformCallBehavior behavior)
     {
-        m_fates[name] = fate;
+        m_nextWriteBehaviors[name] = behavior;
     }
-    /** Decides the fate of each read, and of each write that has none of its own. */
-    void setFates(std::function<Fate()> source)
+    /** Sets the source of delays and faults for reads and for writes without their own setting. */
+    void setBehaviorSource(std::function<PlatformCallBehavior()> source)
     {
-        m_fateSource = std::move(source);
+        m_behaviorSource = std::move(source);
     }
-    /** An operator releases the row, vouching that its holder is gone. */
+    /** Releases the row as an operator who guarantees that its holder has stopped. */
     void releaseByOperator();
     void deleteRow();
 
@@ -83,8 +84,8 @@
     {
         runUntil(m_now + length);
     }
-    /** Calls \a deed at \a time. */
-    void at(TrueTime time, std::function<void()> deed);
+    /** Schedules \a callback for \a time. */
+    void at(TrueTime time, std::function<void()> callback);
 
     TrueTime now() const
     {
@@ -94,7 +95,7 @@
     {
         return m_daemons.contains(name);
     }
-    /** The daemon in office now; empty if there is none. */
+    /** \returns the current leader, or an empty name if there is none. */
     std::string steward() const;
     const VersionedStewardRow &row() const
     {
@@ -104,7 +105,7 @@
     {
         return m_counts;
     }
-    const TenureChecker &checker() const
+    const LeadershipChecker &checker() const
     {
         return m_checker;
     }
@@ -112,7 +113,7 @@
     {
         return *m_daemons.at(name).seat;
     }
-    /** What happened, a line each. */
+    /** \returns a log of the events, one line each. */
     const std::string &transcript() const
     {
         return m_transcript;
@@ -129,17 +130,17 @@
         std::vector<StewardEvent> inbox;
         std::map<std::string, PromiseVerdict> lastVerdicts;
         bool isDeparting = false;
-        PromiseRoundId releasedAsk = 0;
-        TrueTime requestedAt = -std::chrono::hours(1);
+        PromiseRoundId lastReleasedRound = 0;
+        TrueTime lastPromiseRequestAt = -std::chrono::hours(1);
     };
 
     void tick(const std::string &name);
-    void tellPeers(const std::string &name);
+    void sendPeers(const std::string &name);
     void deliver(const std::string &name, const StewardEvent &event);
     void handle(Daemon &daemon, const StewardEvent &event);
     void send(const std::string &from, const std::string &to, StewardEvent event);
     bool reachesPlatform(const std::string &name) const;
-    Fate nextFate(const std::string &name);
+    PlatformCallBehavior nextBehavior(const std::string &name);
     void answerOnce(const std::string &to, const StewardEvent &event,
                     const std::shared_ptr<bool> &isAnswered);
 
@@ -151,25 +152,25 @@
     void perform(const std::string &from, const AnnounceSteward &announcement);
     void perform(const std::string &from, const StewardshipBegan &began);
     void perform(const std::string &from, const StewardshipEnded &ended);
-    void applyWrite(const std::string &from, const WriteStewardRow &write, const Fate &fate,
-                    const std::shared_ptr<bool> &isAnswered);
+    void applyWrite(const std::string &from, const WriteStewardRow &write,
+                    const PlatformCallBehavior &behavior, const std::shared_ptr<bool> &isAnswered);
     void noteRow(const std::string &how);
 
     StewardTimings m_timings;
     TrueTime m_now{};
-    std::multimap<TrueTime, std::function<void()>> m_agenda;
+    std::multimap<TrueTime, std::function<void()>> m_scheduledCalls;
     std::map<std::string, Daemon> m_daemons;
     VersionedStewardRow m_row;
     RowVersion m_latestVersion = 0;
     bool m_isPlatformUp = true;
-    bool m_remembersWrites = false;
+    bool m_deduplicatesWrites = false;
     std::set<std::string> m_platformCuts;
     std::set<std::set<std::string>> m_cuts;
-    std::map<std::string, Fate> m_fates;
-    std::function<Fate()> m_fateSource;
+    std::map<std::string, PlatformCallBehavior> m_nextWriteBehaviors;
+    std::function<PlatformCallBehavior()> m_behaviorSource;
     std::function<Duration()> m_delaySource;
     WorldCounts m_counts;
-    TenureChecker m_checker;
+    LeadershipChecker m_checker;
     std::string m_transcript;
 };
 
