--- a/src/libbulrush/process/drain.h
+++ b/src/libbulrush/process/drain.h
@@ -21,7 +21,7 @@
 {
     /** How long new work is accepted after the start of the drain. */
     Duration announcement = std::chrono::seconds{2};
-    /** Time from the start of the drain for work in flight to finish. */
+    /** Time limit for work in flight, counted from the start of the drain. */
     Duration deadline = std::chrono::minutes{30};
 };
 
--- a/src/libbulrush/process/handover.cpp
+++ b/src/libbulrush/process/handover.cpp
@@ -159,8 +159,7 @@
         endLeadership();
         return;
     }
-    // A server cannot hold a higher fence of this epoch, but if one does, later fences must exceed
-    // it.
+    // No server should hold a higher fence of this epoch. If one does, later fences must exceed it.
     m_lastSequence = std::max(m_lastSequence, event.highest.sequence);
     m_orders.close(event.order);
     for (Move &move : m_moves) {
--- a/src/libbulrush/process/handover.h
+++ b/src/libbulrush/process/handover.h
@@ -17,8 +17,10 @@
 {
     /** Time for the new owner to warm up; afterwards the move continues without warm-up. */
     Duration warmupTimeout = std::chrono::seconds{2};
-    /** Time that a planned move blocks a piece while its in-flight work finishes, before the move
-     * is deferred. */
+    /**
+     * Time that a planned move blocks a piece while its work in flight finishes, before the move is
+     * deferred.
+     */
     Duration stopTimeout = std::chrono::milliseconds{300};
     /** Time for which a deferred move is not retried. */
     Duration deferralPeriod = std::chrono::seconds{10};
@@ -189,7 +191,7 @@
     Fence m_published;
     OwnershipMap m_inForce;
     OwnershipMap m_wanted;
-    /** Slice boundaries in force and wanted; they may divide pieces of the same owner and fence. */
+    /** Slice boundaries in force and wanted. They may divide pieces of the same owner and fence. */
     std::vector<SlicePiece> m_layout;
     std::vector<SlicePiece> m_wantedLayout;
     bool m_layoutsDiffer = false;
--- a/src/libbulrush/process/handovermessages.h
+++ b/src/libbulrush/process/handovermessages.h
@@ -31,7 +31,8 @@
     ServerName server;
 };
 
-/** A server is being vacated permanently: its moves wait for in-flight work without a time limit.
+/**
+ * A server is being vacated permanently: its moves wait for in-flight work without a time limit.
  */
 struct ServerLeaving
 {
--- a/src/libbulrush/process/leaderrowobserver.h
+++ b/src/libbulrush/process/leaderrowobserver.h
@@ -25,8 +25,10 @@
      */
     bool observe(const VersionedStewardRow &row, Instant now);
 
-    /** \returns the latest observed row: version 0 if observed as absent, nothing if never
-     *  observed. */
+    /**
+     * \returns the latest observed row: version 0 if observed as absent, nothing if never
+     * observed.
+     */
     const std::optional<VersionedStewardRow> &row() const;
 
     /** \returns whether the latest observation found an existing row. */
--- a/src/libbulrush/process/leasebook.h
+++ b/src/libbulrush/process/leasebook.h
@@ -70,8 +70,10 @@
     /** \returns the instant until which \a holder may send work, or Instant{} if it is unknown. */
     Instant sendsUntil(const Incarnation &holder) const;
 
-    /** \returns a count that is incremented when a result of sendingEndedFrom(), workEndedFrom() or
-     * isIdle() may have changed. */
+    /**
+     * \returns a count that is incremented when a result of sendingEndedFrom(), workEndedFrom() or
+     * isIdle() may have changed.
+     */
     std::uint64_t changeCount() const;
 
     /** Removes finished stops, and daemons that have no rights and whose lease has ended. */
--- a/src/libbulrush/process/promisesgiven.h
+++ b/src/libbulrush/process/promisesgiven.h
@@ -18,12 +18,16 @@
 public:
     explicit PromisesGiven(std::int64_t driftPpm);
 
-    /** Records the promise at \a now, in answer to round \a id, not to campaign against the leader
-     *  of \a epoch for \a length. */
+    /**
+     * Records the promise at \a now, in answer to round \a id, not to campaign against the leader
+     * of \a epoch for \a length.
+     */
     void promise(std::uint64_t epoch, PromiseRoundId id, Duration length, Instant now);
 
-    /** Records that the leader of \a epoch relies on the promises up to round \a id for no more
-     *  than \a length from \a now. Ignored if a later round was answered. */
+    /**
+     * Records that the leader of \a epoch relies on the promises up to round \a id for no more
+     * than \a length from \a now. Ignored if a later round was answered.
+     */
     void release(std::uint64_t epoch, PromiseRoundId id, Duration length, Instant now);
 
     /** Resigns permanently: this incarnation never campaigns against the leader of \a epoch. */
@@ -32,8 +36,10 @@
     /** \returns whether this incarnation has resigned for \a epoch. */
     bool hasResigned(std::uint64_t epoch) const;
 
-    /** \returns the instant from which the promises allow this incarnation to campaign against the
-     *  leader of \a epoch, or Instant::min() if there are none. */
+    /**
+     * \returns the instant from which the promises allow this incarnation to campaign against the
+     * leader of \a epoch, or Instant::min() if there are none.
+     */
     Instant campaignAllowedFrom(std::uint64_t epoch) const;
 
 private:
--- a/src/libbulrush/process/recovery.h
+++ b/src/libbulrush/process/recovery.h
@@ -42,7 +42,7 @@
      */
     std::optional<Assignment> result(Instant now) const;
 
-    /** \returns the highest fence received. A new epoch must be above the epoch of this fence. */
+    /** \returns the highest known fence. A new epoch must be above the epoch of this fence. */
     Fence highest() const;
 
 private:
--- a/src/libbulrush/process/routingright.h
+++ b/src/libbulrush/process/routingright.h
@@ -103,7 +103,7 @@
     /** Sets whether \a server is considered lost; lost servers are reported with each pull. */
     void setServerLost(const ServerName &server, bool isLost);
 
-    /** \returns whether there is news that should be sent to the leader immediately. */
+    /** \returns whether there is a change that should be reported to the leader immediately. */
     bool wantsPull() const;
 
     /** \returns the version of the assignment that came with the last accepted reply. */
--- a/src/libbulrush/process/stewardrow.h
+++ b/src/libbulrush/process/stewardrow.h
@@ -45,9 +45,11 @@
     Duration promiseLength{};
     /** Maximum time by which promises may extend the lease beyond the last write of the row. */
     Duration outageAllowance{};
-    /** How long work may continue after the end of the routing lease under which it was sent. The
-     *  sender applies this duration shortened by the clock drift, a later leader applies it
-     *  stretched by the clock drift. */
+    /**
+     * How long work may continue after the end of the routing lease under which it was sent. The
+     * sender applies this duration shortened by the clock drift, a later leader applies it
+     * stretched by the clock drift.
+     */
     Duration workPastLease{};
     /** Number of writes by this holder. */
     std::uint64_t renewal = 0;
--- a/src/libbulrush/process/stewardseat.cpp
+++ b/src/libbulrush/process/stewardseat.cpp
@@ -127,15 +127,16 @@
                answer.outcome);
 }
 
-void StewardSeat::apply(const PromiseAsked &question, Instant now)
+void StewardSeat::apply(const PromiseAsked &promiseRequest, Instant now)
 {
-    const PromiseVerdict verdict = verdictFor(question);
+    const PromiseVerdict verdict = verdictFor(promiseRequest);
     if (verdict == PromiseVerdict::Promised)
-        m_givenPromises.promise(question.epoch, question.askId, question.length, now);
+        m_givenPromises.promise(promiseRequest.epoch, promiseRequest.askId, promiseRequest.length,
+                                now);
     if (verdict == PromiseVerdict::Resigned)
-        m_givenPromises.resign(question.epoch);
-    m_actions.emplace_back(AnswerPromise{question.from, question.epoch, question.askId, verdict,
-                                         m_isPlatformReachable});
+        m_givenPromises.resign(promiseRequest.epoch);
+    m_actions.emplace_back(AnswerPromise{promiseRequest.from, promiseRequest.epoch,
+                                         promiseRequest.askId, verdict, m_isPlatformReachable});
 }
 
 void StewardSeat::apply(const PromiseAnswered &answer, Instant now)
@@ -476,15 +477,15 @@
     return std::max(ended, m_givenPromises.campaignAllowedFrom(row.epoch)) + delay;
 }
 
-PromiseVerdict StewardSeat::verdictFor(const PromiseAsked &question) const
+PromiseVerdict StewardSeat::verdictFor(const PromiseAsked &promiseRequest) const
 {
     // An unsettled takeover may still take effect in spite of a promise given now.
     if (m_write || isNamedHolder())
         return PromiseVerdict::Refused;
     if (m_rowObserver.hasRow()) {
         const StewardRow &row = m_rowObserver.row()->row;
-        const bool isOther = row.isReleased || row.holder != question.from;
-        if (row.epoch > question.epoch || (row.epoch == question.epoch && isOther))
+        const bool isOther = row.isReleased || row.holder != promiseRequest.from;
+        if (row.epoch > promiseRequest.epoch || (row.epoch == promiseRequest.epoch && isOther))
             return PromiseVerdict::Refused;
     }
     return m_isDeparting ? PromiseVerdict::Resigned : PromiseVerdict::Promised;
--- a/src/libbulrush/process/stewardseat.h
+++ b/src/libbulrush/process/stewardseat.h
@@ -51,8 +51,10 @@
      */
     Instant tenureUntil() const;
 
-    /** \returns the latest end of a routing lease granted at \a now, on this process's clock, or
-     *  Instant::min() if none may be granted. */
+    /**
+     * \returns the latest end of a routing lease granted at \a now, on this process's clock, or
+     * Instant::min() if none may be granted.
+     */
     Instant routingLeaseUntil(Instant now) const;
 
     bool isStewardAt(Instant now) const;
@@ -80,7 +82,7 @@
     void apply(const StewardRowRead &read, Instant now);
     void apply(const StewardReadFailed &failure, Instant now);
     void apply(const StewardWriteAnswered &answer, Instant now);
-    void apply(const PromiseAsked &question, Instant now);
+    void apply(const PromiseAsked &promiseRequest, Instant now);
     void apply(const PromiseAnswered &answer, Instant now);
     void apply(const PromiseReleased &release, Instant now);
     void apply(const StewardAnnounced &announcement, Instant now);
@@ -123,7 +125,7 @@
     std::vector<StewardCandidate> possibleCandidates() const;
     std::vector<StewardCandidate> candidatesToName(Instant now) const;
     std::optional<Instant> mayCampaignFrom() const;
-    PromiseVerdict verdictFor(const PromiseAsked &question) const;
+    PromiseVerdict verdictFor(const PromiseAsked &promiseRequest) const;
     Duration promiseLengthToRequest(Instant now) const;
     StewardRow rowOfNewEpoch(std::uint64_t epoch) const;
     StewardRow renewedRow(Instant now) const;
--- a/src/libbulrush/process/stewardtimings.h
+++ b/src/libbulrush/process/stewardtimings.h
@@ -22,22 +22,28 @@
     Duration readInterval = std::chrono::milliseconds(250);
     /** Time between two reads of the row by a daemon of the domain that is not a candidate. */
     Duration watchInterval = std::chrono::seconds(2);
-    /** Delay of a takeover by a candidate of another domain, which gives priority to candidates
-     *  of the domain itself. */
+    /**
+     * Delay of a takeover by a candidate of another domain, which gives priority to candidates
+     * of the domain itself.
+     */
     Duration otherDomainDelay = std::chrono::milliseconds(300);
     /** Age of the last committed write from which the holder requests promises. */
     Duration platformPatience = std::chrono::milliseconds(750);
     /** Time between two rounds of promise requests. */
     Duration askInterval = std::chrono::milliseconds(500);
-    /** Longest promise that is requested. Each round requests the age of the last committed write,
-     *  limited to between the lease length and this value. */
+    /**
+     * Longest promise that is requested. Each round requests the age of the last committed write,
+     * limited to between the lease length and this value.
+     */
     Duration promiseLength = std::chrono::seconds(30);
     /** Maximum time by which promises extend the lease beyond the last committed write. */
     Duration outageAllowance = std::chrono::hours(2);
     /** Longest routing lease that a leader grants; limited to the drift-adjusted lease length. */
     Duration longestRoutingLease = std::chrono::milliseconds(1500);
-    /** How long work may continue after the end of the routing lease under which it was sent; see
-     *  StewardRow::workPastLease. */
+    /**
+     * How long work may continue after the end of the routing lease under which it was sent; see
+     * StewardRow::workPastLease.
+     */
     Duration workPastLease = std::chrono::milliseconds(500);
     /** Upper bound on the difference in rate between any two clocks. */
     std::int64_t driftPpm = defaultDriftPpm;
--- a/tests/handover/test_handover.cpp
+++ b/tests/handover/test_handover.cpp
@@ -134,7 +134,7 @@
     finish(simulation, "attendant_and_server_lost");
 }
 
-BOOST_AUTO_TEST_CASE(daemon_routes_from_an_old_assignment)
+BOOST_AUTO_TEST_CASE(daemon_routes_by_an_old_assignment)
 {
     WorldSettings settings;
     settings.terms.pullInterval = 400ms;
@@ -147,7 +147,7 @@
     finish(simulation, "old_assignment");
 }
 
-BOOST_AUTO_TEST_CASE(messages_delayed_doubled_and_reordered)
+BOOST_AUTO_TEST_CASE(messages_delayed_duplicated_and_reordered)
 {
     WorldSettings settings;
     settings.slowShare = 0.2;
--- a/tests/handover/test_leases.cpp
+++ b/tests/handover/test_leases.cpp
@@ -31,18 +31,18 @@
 struct Fixture
 {
     LeaseTerms terms;
-    LeaseBook leases{terms, 1};
+    LeaseBook leaseTable{terms, 1};
     RoutingRight holder{d1, terms};
     DispatchQuery query{catalogue, 7, s1, Instant(1min), version};
 
     Fixture()
     {
-        leases.allow(d1, {lower, s1, version});
+        leaseTable.allow(d1, {lower, s1, version});
     }
 
     LeaseReply answer(const LeaseRequest &request, Instant now)
     {
-        return leases.answer(request, version, now, leadershipEnd).value();
+        return leaseTable.answer(request, version, now, leadershipEnd).value();
     }
 
     void renew(Instant now)
@@ -71,7 +71,7 @@
     BOOST_TEST((holder.accept(reply, ms(600)) == LeaseReplyVerdict::Accepted));
     BOOST_TEST(mayDispatch(ms(1190)));
     BOOST_TEST((refusal(ms(1200)) == DispatchRefusal::Lapsed));
-    BOOST_TEST((leases.sendsUntil(d1) > ms(1500)));
+    BOOST_TEST((leaseTable.sendsUntil(d1) > ms(1500)));
 }
 
 BOOST_FIXTURE_TEST_CASE(deadline_is_within_caller_lease_and_cap, Fixture)
@@ -86,10 +86,10 @@
     BOOST_TEST((deadline(ms(10)) == ms(50)));
 }
 
-BOOST_FIXTURE_TEST_CASE(reply_from_before_a_stop_does_not_bring_the_slice_back, Fixture)
+BOOST_FIXTURE_TEST_CASE(reply_sent_before_a_stop_does_not_restore_the_right, Fixture)
 {
     const LeaseReply early = answer(holder.makeRequest(version, ms(0)), ms(1));
-    leases.stop(d1, lower, s1);
+    leaseTable.stop(d1, lower, s1);
     const LeaseReply late = answer(holder.makeRequest(version, ms(5)), ms(6));
     holder.accept(late, ms(7));
     BOOST_TEST((holder.accept(early, ms(8)) == LeaseReplyVerdict::Unmatched));
@@ -98,26 +98,27 @@
     BOOST_TEST(holder.wantsPull());
 }
 
-BOOST_FIXTURE_TEST_CASE(overtaken_or_doubled_request_gets_no_answer, Fixture)
+BOOST_FIXTURE_TEST_CASE(overtaken_or_duplicated_request_gets_no_answer, Fixture)
 {
     const LeaseRequest first = holder.makeRequest(version, ms(0));
     const LeaseRequest second = holder.makeRequest(version, ms(1));
-    BOOST_TEST(leases.answer(second, version, ms(2), leadershipEnd).has_value());
-    BOOST_TEST(!leases.answer(first, version, ms(3), leadershipEnd).has_value());
-    BOOST_TEST(!leases.answer(second, version, ms(3), leadershipEnd).has_value());
+    BOOST_TEST(leaseTable.answer(second, version, ms(2), leadershipEnd).has_value());
+    BOOST_TEST(!leaseTable.answer(first, version, ms(3), leadershipEnd).has_value());
+    BOOST_TEST(!leaseTable.answer(second, version, ms(3), leadershipEnd).has_value());
 }
 
 BOOST_FIXTURE_TEST_CASE(stop_that_is_never_confirmed_waits_for_lease_and_running_work, Fixture)
 {
     renew(ms(0));
-    leases.stop(d1, lower, s1);
+    leaseTable.stop(d1, lower, s1);
     // Later answers do not include the slice, so they do not extend the wait.
     answer(holder.makeRequest(version, ms(500)), ms(500));
-    BOOST_TEST((leases.sendingEndedFrom(lower, s1) == ms(0) + stretched(1200ms, terms.driftPpm)));
-    BOOST_TEST((leases.workEndedFrom(lower, s1)
-                == leases.sendingEndedFrom(lower, s1) + stretched(500ms, terms.driftPpm)));
-    leases.expire(ms(1000));
-    BOOST_TEST(!leases.isIdle(lower, s1));
+    BOOST_TEST(
+        (leaseTable.sendingEndedFrom(lower, s1) == ms(0) + stretched(1200ms, terms.driftPpm)));
+    BOOST_TEST((leaseTable.workEndedFrom(lower, s1)
+                == leaseTable.sendingEndedFrom(lower, s1) + stretched(500ms, terms.driftPpm)));
+    leaseTable.expire(ms(1000));
+    BOOST_TEST(!leaseTable.isIdle(lower, s1));
 }
 
 BOOST_FIXTURE_TEST_CASE(confirmed_stop_waits_for_its_flights_only, Fixture)
@@ -126,43 +127,43 @@
     query.callerDeadline = ms(100);
     const auto allowed = std::get<DispatchAllowed>(holder.mayDispatch(query, ms(10)));
     const FlightId flight = holder.startFlight(query, allowed);
-    leases.stop(d1, lower, s1);
+    leaseTable.stop(d1, lower, s1);
     renew(ms(20));
     renew(ms(30));
-    BOOST_TEST((leases.workEndedFrom(lower, s1) > ms(600)));
-    BOOST_TEST((leases.workEndedFrom(lower, s1) < ms(602)));
+    BOOST_TEST((leaseTable.workEndedFrom(lower, s1) > ms(600)));
+    BOOST_TEST((leaseTable.workEndedFrom(lower, s1) < ms(602)));
     BOOST_TEST(!holder.wantsPull());
     holder.endFlight(flight);
     BOOST_TEST(holder.wantsPull());
     renew(ms(40));
-    BOOST_TEST(leases.isIdle(lower, s1));
-    BOOST_TEST((leases.workEndedFrom(lower, s1) <= ms(40)));
+    BOOST_TEST(leaseTable.isIdle(lower, s1));
+    BOOST_TEST((leaseTable.workEndedFrom(lower, s1) <= ms(40)));
 }
 
-BOOST_FIXTURE_TEST_CASE(withdrawn_stop_gives_back_its_own_right_only, Fixture)
+BOOST_FIXTURE_TEST_CASE(withdrawn_stop_restores_only_its_own_right, Fixture)
 {
     const Fence later{1, 2};
     renew(ms(0));
     holder.startFlight(query, std::get<DispatchAllowed>(holder.mayDispatch(query, ms(1))));
-    leases.stop(d1, lower, s1);
-    leases.allow(d1, {lower, s1, later});
-    leases.stop(d1, lower, s1);
-    BOOST_TEST(leases.withdrawStops(d1, lower, s1, later));
-    BOOST_REQUIRE_EQUAL(leases.rights(d1).size(), 1U);
-    BOOST_TEST((leases.rights(d1)[0].fence == later));
-    BOOST_TEST(!leases.isIdle(lower, s1));
+    leaseTable.stop(d1, lower, s1);
+    leaseTable.allow(d1, {lower, s1, later});
+    leaseTable.stop(d1, lower, s1);
+    BOOST_TEST(leaseTable.withdrawStops(d1, lower, s1, later));
+    BOOST_REQUIRE_EQUAL(leaseTable.rights(d1).size(), 1U);
+    BOOST_TEST((leaseTable.rights(d1)[0].fence == later));
+    BOOST_TEST(!leaseTable.isIdle(lower, s1));
 }
 
 BOOST_FIXTURE_TEST_CASE(lease_ends_within_the_leadership_term, Fixture)
 {
     const LeaseRequest request = holder.makeRequest(version, ms(0));
-    const std::optional<LeaseReply> reply = leases.answer(request, version, ms(0), ms(400));
+    const std::optional<LeaseReply> reply = leaseTable.answer(request, version, ms(0), ms(400));
     BOOST_TEST((reply.value().length == 400ms));
     const LeaseRequest next = holder.makeRequest(version, ms(400));
-    BOOST_TEST(!leases.answer(next, version, ms(400), ms(400)).has_value());
+    BOOST_TEST(!leaseTable.answer(next, version, ms(400), ms(400)).has_value());
 }
 
-BOOST_FIXTURE_TEST_CASE(versions_never_go_back, Fixture)
+BOOST_FIXTURE_TEST_CASE(outdated_versions_are_rejected, Fixture)
 {
     renew(ms(0));
     LeaseReply old = answer(holder.makeRequest(version, ms(10)), ms(10));
@@ -178,7 +179,7 @@
     BOOST_TEST((refusal(ms(12)) == DispatchRefusal::NotAttendant));
 }
 
-BOOST_AUTO_TEST_CASE(changes_cut_slices_where_owners_differ)
+BOOST_AUTO_TEST_CASE(changes_split_slices_where_owners_differ)
 {
     const Assignment now{{}, version, {{catalogue, {0, 199}, s1, version}}, {{s1, d1}, {s2, d1}}};
     Assignment wanted = now;
@@ -195,7 +196,7 @@
     BOOST_TEST(owned.changesTo(OwnershipMap(now), 2).size() == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(attendance_is_even_and_sticky)
+BOOST_AUTO_TEST_CASE(attendance_is_balanced_and_stable)
 {
     const std::set<ServerName> servers{ServerName("a"), ServerName("b"), ServerName("c"),
                                        ServerName("d"), ServerName("e"), ServerName("f")};
@@ -215,7 +216,7 @@
     BOOST_TEST(table.attendances().size() == 6U);
 }
 
-BOOST_AUTO_TEST_CASE(recovery_takes_the_highest_and_waits)
+BOOST_AUTO_TEST_CASE(recovery_starts_from_the_highest_assignment_and_waits)
 {
     const Assignment row{{}, {1, 3}, {{catalogue, {0, 199}, s1, {1, 3}}}, {}};
     Assignment view = row;
@@ -241,8 +242,8 @@
 /** A handover whose orders and commits are confirmed immediately, and the daemon d1. */
 struct HandoverFixture
 {
-    LeaseBook leases{{}, 1};
-    Handover handover{{}, 1, Assignment{}, {}, leases};
+    LeaseBook leaseTable{{}, 1};
+    Handover handover{{}, 1, Assignment{}, {}, leaseTable};
     RoutingRight holder{d1, {}};
 
     HandoverFixture()
@@ -269,13 +270,14 @@
     void pull(Instant now)
     {
         const LeaseRequest request = holder.makeRequest(handover.version(), now);
-        holder.accept(leases.answer(request, handover.version(), now, leadershipEnd).value(), now);
+        holder.accept(leaseTable.answer(request, handover.version(), now, leadershipEnd).value(),
+                      now);
     }
 };
 
 } // namespace
 
-BOOST_FIXTURE_TEST_CASE(outage_gives_back_a_slice_whose_stop_was_just_confirmed, HandoverFixture)
+BOOST_FIXTURE_TEST_CASE(outage_returns_a_slice_whose_stop_was_just_confirmed, HandoverFixture)
 {
     want(s1, ms(100));
     pull(ms(101));
--- a/tests/handoversearch/test_handoversearch.cpp
+++ b/tests/handoversearch/test_handoversearch.cpp
@@ -23,7 +23,7 @@
 #else
 constexpr std::uint64_t defaultSchedules = 100;
 #endif
-constexpr std::uint64_t plantedSchedules = 400;
+constexpr std::uint64_t maxPlantedFaultSeeds = 400;
 constexpr int faultsPerSchedule = 4;
 
 /**
@@ -192,25 +192,25 @@
 }
 
 /** \returns the first seed whose schedule detects the planted fault, or 0. */
-std::uint64_t firstFound(PlantedFault fault)
+std::uint64_t firstDetectingSeed(PlantedFault fault)
 {
-    for (std::uint64_t seed = 1; seed <= plantedSchedules; ++seed) {
+    for (std::uint64_t seed = 1; seed <= maxPlantedFaultSeeds; ++seed) {
         if (!Schedule(seed, fault).isSafe())
             return seed;
     }
     return 0;
 }
 
-void checkFound(PlantedFault fault, const char *name)
+void checkDetected(PlantedFault fault, const char *name)
 {
-    const std::uint64_t seed = firstFound(fault);
+    const std::uint64_t seed = firstDetectingSeed(fault);
     std::cout << "planted " << name << ": first found by seed " << seed << "\n";
     BOOST_TEST(seed > 0U);
 }
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(no_schedule_breaks_ownership)
+BOOST_AUTO_TEST_CASE(no_schedule_yields_two_owners_or_unserved_keys)
 {
     std::uint64_t work = 0;
     const std::uint64_t count = scheduleCount();
@@ -226,11 +226,11 @@
     BOOST_TEST(work > 100 * count);
 }
 
-BOOST_AUTO_TEST_CASE(finds_planted_bugs)
+BOOST_AUTO_TEST_CASE(detects_planted_faults)
 {
-    checkFound(PlantedFault::LeaseCountedFromReceipt, "lease counted from receipt");
-    checkFound(PlantedFault::NoWaitForRunningWork, "no wait for running work");
-    checkFound(PlantedFault::NoDriftMargin, "no drift margin");
-    checkFound(PlantedFault::IdleReportedEarly, "idle reported early");
-    checkFound(PlantedFault::UnknownTakenAsCommitted, "unknown taken as committed");
+    checkDetected(PlantedFault::LeaseCountedFromReceipt, "lease counted from receipt");
+    checkDetected(PlantedFault::NoWaitForRunningWork, "no wait for running work");
+    checkDetected(PlantedFault::NoDriftMargin, "no drift margin");
+    checkDetected(PlantedFault::IdleReportedEarly, "idle reported early");
+    checkDetected(PlantedFault::UnknownTakenAsCommitted, "unknown taken as committed");
 }
--- a/tests/stewardsearch/randomschedule.cpp
+++ b/tests/stewardsearch/randomschedule.cpp
@@ -33,7 +33,7 @@
 {
 public:
     explicit RandomSchedule(std::uint64_t seed);
-    ScheduleResult play();
+    ScheduleResult run();
 
 private:
     enum class PlatformMode {
@@ -45,17 +45,17 @@
 
     // Standard distributions differ between libraries, but a seed must give the same schedule
     // everywhere.
-    std::uint64_t below(std::uint64_t bound)
+    std::uint64_t randomBelow(std::uint64_t bound)
     {
         return m_random() % bound;
     }
     bool isOneIn(std::uint64_t count)
     {
-        return below(count) == 0;
+        return randomBelow(count) == 0;
     }
-    Duration upTo(Duration bound)
+    Duration randomDurationBelow(Duration bound)
     {
-        return Duration(below(bound.count()));
+        return Duration(randomBelow(bound.count()));
     }
 
     void startDaemon(std::size_t index);
@@ -88,12 +88,12 @@
         startDaemon(index);
 }
 
-ScheduleResult RandomSchedule::play()
+ScheduleResult RandomSchedule::run()
 {
     m_simulation.run(2s);
     while (m_simulation.now() < scheduleLength) {
         injectFault();
-        m_simulation.run(isOneIn(3) ? upTo(6s) : upTo(1s));
+        m_simulation.run(isOneIn(3) ? randomDurationBelow(6s) : randomDurationBelow(1s));
     }
     return {m_simulation.checker().violations(), m_simulation.transcript(),
             m_simulation.row().row.epoch};
@@ -102,24 +102,24 @@
 void RandomSchedule::startDaemon(std::size_t index)
 {
     m_names[index] = m_domains[index] + std::to_string(++m_startCount);
-    const auto rate = static_cast<std::int64_t>(below(3)) - 1;
-    m_simulation.start(m_names[index], {upTo(1h), rate * driftPpm});
+    const auto rate = static_cast<std::int64_t>(randomBelow(3)) - 1;
+    m_simulation.start(m_names[index], {randomDurationBelow(1h), rate * driftPpm});
 }
 
 void RandomSchedule::injectFault()
 {
-    const std::size_t index = below(m_names.size());
+    const std::size_t index = randomBelow(m_names.size());
     const std::string name = m_names[index];
-    const std::string other = m_names[below(m_names.size())];
+    const std::string other = m_names[randomBelow(m_names.size())];
     const std::string steward = m_simulation.steward();
-    switch (below(14)) {
+    switch (randomBelow(14)) {
     case 0:
     case 1:
         m_isPlatformUp = !m_isPlatformUp;
         return m_simulation.setPlatformUp(m_isPlatformUp);
     case 2:
     case 3:
-        m_platformMode = static_cast<PlatformMode>(below(4));
+        m_platformMode = static_cast<PlatformMode>(randomBelow(4));
         return m_simulation.note("platform's mode "
                                  + std::to_string(static_cast<int>(m_platformMode)));
     case 4:
@@ -131,8 +131,8 @@
     case 6:
     case 7:
         if (!steward.empty() && isOneIn(2))
-            return m_simulation.freeze(steward, upTo(8s));
-        return m_simulation.freeze(name, upTo(8s));
+            return m_simulation.freeze(steward, randomDurationBelow(8s));
+        return m_simulation.freeze(name, randomDurationBelow(8s));
     case 8:
         return restart(index);
     case 9:
@@ -162,20 +162,21 @@
 std::size_t RandomSchedule::indexOf(const std::string &name)
 {
     const auto found = std::ranges::find(m_names, name);
-    return found == m_names.end() ? below(m_names.size()) : found - m_names.begin();
+    return found == m_names.end() ? randomBelow(m_names.size()) : found - m_names.begin();
 }
 
 PlatformCallBehavior RandomSchedule::drawBehavior()
 {
-    PlatformCallBehavior behavior{.toPlatform = 1ms + upTo(20ms), .back = 1ms + upTo(20ms)};
+    PlatformCallBehavior behavior{.toPlatform = 1ms + randomDurationBelow(20ms),
+                                  .back = 1ms + randomDurationBelow(20ms)};
     if (m_platformMode == PlatformMode::Slow) {
-        behavior.toPlatform = isOneIn(4) ? upTo(4s) : upTo(250ms);
-        behavior.back = upTo(250ms);
+        behavior.toPlatform = isOneIn(4) ? randomDurationBelow(4s) : randomDurationBelow(250ms);
+        behavior.back = randomDurationBelow(250ms);
     }
     if (m_platformMode == PlatformMode::Lossy) {
         behavior.isLost = isOneIn(3);
         behavior.isAnswerLost = isOneIn(2);
-        behavior.toPlatform = isOneIn(4) ? upTo(4s) : behavior.toPlatform;
+        behavior.toPlatform = isOneIn(4) ? randomDurationBelow(4s) : behavior.toPlatform;
     }
     behavior.isRefused = m_platformMode == PlatformMode::Refusing && isOneIn(2);
     return behavior;
@@ -184,15 +185,15 @@
 Duration RandomSchedule::drawDelay()
 {
     if (!m_hasSlowMessages)
-        return 1ms + upTo(5ms);
-    return isOneIn(4) ? upTo(4s) : upTo(700ms);
+        return 1ms + randomDurationBelow(5ms);
+    return isOneIn(4) ? randomDurationBelow(4s) : randomDurationBelow(700ms);
 }
 
 } // namespace
 
-ScheduleResult playSchedule(std::uint64_t seed)
+ScheduleResult runSchedule(std::uint64_t seed)
 {
-    return RandomSchedule(seed).play();
+    return RandomSchedule(seed).run();
 }
 
 std::string describe(std::uint64_t seed, const ScheduleResult &result)
--- a/tests/stewardsearch/randomschedule.h
+++ b/tests/stewardsearch/randomschedule.h
@@ -20,7 +20,7 @@
  * connections, platform outages, late writes and lost answers, with clocks drifting up to the
  * bound.
  */
-ScheduleResult playSchedule(std::uint64_t seed);
+ScheduleResult runSchedule(std::uint64_t seed);
 
 /** \returns the report for a failed schedule. */
 std::string describe(std::uint64_t seed, const ScheduleResult &result);
--- a/tests/stewardsearch/test_plantedbug.cpp
+++ b/tests/stewardsearch/test_plantedbug.cpp
@@ -6,11 +6,11 @@
 
 using namespace bulrush::test;
 
-BOOST_AUTO_TEST_CASE(searchFindsThePlantedBug)
+BOOST_AUTO_TEST_CASE(searchDetectsThePlantedFault)
 {
     constexpr std::uint64_t maxSeeds = 1000;
     std::uint64_t seed = 1;
-    while (seed <= maxSeeds && playSchedule(seed).violations.empty())
+    while (seed <= maxSeeds && runSchedule(seed).violations.empty())
         ++seed;
     BOOST_TEST_MESSAGE("found with seed " << seed);
     BOOST_TEST(seed <= maxSeeds);
--- a/tests/stewardsearch/test_stewardsearch.cpp
+++ b/tests/stewardsearch/test_stewardsearch.cpp
@@ -13,7 +13,7 @@
     const auto count = numberFromEnvironment("BULRUSH_SEARCH_COUNT", 1000);
     std::uint64_t epochs = 0;
     for (std::uint64_t seed = first; seed < first + count; ++seed) {
-        const ScheduleResult result = playSchedule(seed);
+        const ScheduleResult result = runSchedule(seed);
         BOOST_REQUIRE_MESSAGE(result.violations.empty(), describe(seed, result));
         epochs += result.lastEpoch;
     }
--- a/tests/stewardseat/test_stewardseat.cpp
+++ b/tests/stewardseat/test_stewardseat.cpp
@@ -52,13 +52,13 @@
     }
 
     /** Stops the holder. \returns the time until another leader may grant. */
-    Duration loseHolder()
+    Duration crashHolder()
     {
-        const TrueTime lostAt = now();
+        const TrueTime crashAt = now();
         kill("a1");
         while (steward().empty() || !seat(steward()).mayGrantAt(Instant(now())))
             run(10ms);
-        return now() - lostAt;
+        return now() - crashAt;
     }
 
     Duration longestTimeWithoutLease() const
@@ -93,11 +93,11 @@
 BOOST_AUTO_TEST_CASE(takeoverWithinFourSecondsForEveryLossInstant)
 {
     Duration longest{};
-    for (TrueTime lostAt = 5s; lostAt < 6s; lostAt += 10ms) {
+    for (TrueTime crashAt = 5s; crashAt < 6s; crashAt += 10ms) {
         Scenario scenario;
         scenario.startAll();
-        scenario.runUntil(lostAt);
-        longest = std::max(longest, scenario.loseHolder());
+        scenario.runUntil(crashAt);
+        longest = std::max(longest, scenario.crashHolder());
     }
     BOOST_TEST_MESSAGE("longest time from a loss to the next grant: " << milliseconds(longest));
     BOOST_TEST((longest < 4s));
@@ -107,7 +107,7 @@
 {
     // With a long renewal interval, little of the lease is left when promises are released.
     for (TrueTime cutAt = 5s; cutAt < 6s; cutAt += 100ms) {
-        for (TrueTime lostAt = 16s; lostAt < 18s; lostAt += 50ms) {
+        for (TrueTime crashAt = 16s; crashAt < 18s; crashAt += 50ms) {
             Scenario scenario(
                 {.renewInterval = 1s, .platformPatience = 1250ms, .askInterval = 350ms});
             scenario.startAll();
@@ -115,8 +115,8 @@
             scenario.setPlatformUp(false);
             scenario.runUntil(15s);
             scenario.setPlatformUp(true);
-            scenario.runUntil(lostAt);
-            scenario.loseHolder();
+            scenario.runUntil(crashAt);
+            scenario.crashHolder();
             scenario.expectNoViolation();
         }
     }
@@ -125,14 +125,14 @@
 BOOST_AUTO_TEST_CASE(takeoverWithinFourSecondsSoonAfterAnOutage)
 {
     Duration longest{};
-    for (TrueTime lostAt = 19s; lostAt < 20s; lostAt += 10ms) {
+    for (TrueTime crashAt = 19s; crashAt < 20s; crashAt += 10ms) {
         Scenario scenario;
         scenario.startAll();
         scenario.setPlatformUp(false);
         scenario.runUntil(15s);
         scenario.setPlatformUp(true);
-        scenario.runUntil(lostAt);
-        longest = std::max(longest, scenario.loseHolder());
+        scenario.runUntil(crashAt);
+        longest = std::max(longest, scenario.crashHolder());
     }
     BOOST_TEST_MESSAGE("the same from 4 s after an outage on: " << milliseconds(longest));
     BOOST_TEST((longest < 4s));
@@ -142,10 +142,10 @@
 {
     // The holder's clock is slow, the other clocks are fast, and the platform answers the holder
     // late. Within ten seconds, the other daemons' reads cover all points between two renewals.
-    for (TrueTime lostAt = 5s; lostAt < 15s; lostAt += 70ms) {
+    for (TrueTime crashAt = 5s; crashAt < 15s; crashAt += 70ms) {
         Scenario scenario({.driftPpm = 50'000});
         scenario.startAll({.ppm = -50'000}, {.ppm = 50'000});
-        scenario.runUntil(lostAt);
+        scenario.runUntil(crashAt);
         scenario.setNextWriteBehavior("a1", {.back = 350ms});
         scenario.run(600ms);
         scenario.kill("a1");
@@ -176,7 +176,7 @@
     scenario.setPlatformCut("a1", true);
     scenario.runUntil(125s);
     BOOST_TEST(scenario.steward() == "a1");
-    BOOST_TEST((scenario.loseHolder() < 4s));
+    BOOST_TEST((scenario.crashHolder() < 4s));
     scenario.finish("holdercutandlost");
 }
 
--- a/tests/stewardworld/leadershipchecker.h
+++ b/tests/stewardworld/leadershipchecker.h
@@ -28,14 +28,18 @@
     {
         return m_violations;
     }
-    /** \returns the longest period up to \a now during which no routing lease can have been in
-     *  force. The leases of a lost daemon count until their end. */
+    /**
+     * \returns the longest period up to \a now during which no routing lease can have been in
+     * force. The leases of a lost daemon count until their end.
+     */
     Duration longestTimeWithoutLease(TrueTime now) const;
 
 private:
     struct Term
     {
-        /** End of the term unless it is extended; unchanged while the process is frozen or stopped.
+        /**
+         * End of the term unless it is extended; unchanged while the process is frozen or stopped.
+         *
          */
         TrueTime until{};
         /** End of work under the last lease that the process can have granted. */
--- a/tests/stewardworld/stewardworld.cpp
+++ b/tests/stewardworld/stewardworld.cpp
@@ -281,14 +281,15 @@
         deliver(to, event);
 }
 
-void StewardWorld::perform(const std::string &from, const AskPromise &question)
+void StewardWorld::perform(const std::string &from, const AskPromise &promiseRequest)
 {
     Daemon &daemon = m_daemons.at(from);
     if (m_now > daemon.lastPromiseRequestAt + minLogInterval)
         note(from + " asks for promises");
     daemon.lastPromiseRequestAt = m_now;
-    send(from, question.to.incarnation.value(),
-         PromiseAsked{Incarnation(from), question.epoch, question.length, question.askId});
+    send(from, promiseRequest.to.incarnation.value(),
+         PromiseAsked{Incarnation(from), promiseRequest.epoch, promiseRequest.length,
+                      promiseRequest.askId});
 }
 
 void StewardWorld::perform(const std::string &from, const AnswerPromise &answer)
--- a/tests/stewardworld/stewardworld.h
+++ b/tests/stewardworld/stewardworld.h
@@ -146,7 +146,7 @@
 
     void perform(const std::string &from, const ReadStewardRow &read);
     void perform(const std::string &from, const WriteStewardRow &write);
-    void perform(const std::string &from, const AskPromise &question);
+    void perform(const std::string &from, const AskPromise &promiseRequest);
     void perform(const std::string &from, const AnswerPromise &answer);
     void perform(const std::string &from, const ReleasePromise &release);
     void perform(const std::string &from, const AnnounceSteward &announcement);
