--- a/tests/stewardsearch/test_stewardsearch.cpp
+++ b/tests/stewardsearch/test_stewardsearch.cpp
@@ -6,14 +6,14 @@
 
 using namespace bulrush::test;
 
-// BULRUSH_SEARCH_FIRST and BULRUSH_SEARCH_COUNT choose other seeds than those of each build.
-BOOST_AUTO_TEST_CASE(noScheduleLetsTwoStewardsOverlap)
+// BULRUSH_SEARCH_FIRST and BULRUSH_SEARCH_COUNT override the default range of seeds.
+BOOST_AUTO_TEST_CASE(noScheduleYieldsTwoLeaders)
 {
     const auto first = numberFromEnvironment("BULRUSH_SEARCH_FIRST", 1);
     const auto count = numberFromEnvironment("BULRUSH_SEARCH_COUNT", 1000);
     std::uint64_t epochs = 0;
     for (std::uint64_t seed = first; seed < first + count; ++seed) {
-        const ScheduleResult result = playSchedule(seed);
+        const ScheduleResult result = runSchedule(seed);
         BOOST_REQUIRE_MESSAGE(result.violations.empty(), describe(seed, result));
         epochs += result.lastEpoch;
     }
