--- a/src/bulrushctl/blockinghttp.cpp
+++ b/src/bulrushctl/blockinghttp.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr std::size_t mostAnswerBytes = std::size_t{64} << 20;
+constexpr std::size_t maxAnswerBytes = std::size_t{64} << 20;
 
 struct EasyDeleter
 {
@@ -32,13 +32,13 @@
 {
     auto &body = *static_cast<std::string *>(target);
     const std::size_t bytes = size * count;
-    if (body.size() + bytes > mostAnswerBytes)
+    if (body.size() + bytes > maxAnswerBytes)
         return 0;
     body.append(data, bytes);
     return bytes;
 }
 
-void setUp(CURL *handle, const BlockingRequest &request, std::string &body)
+void setOptions(CURL *handle, const BlockingRequest &request, std::string &body)
 {
     const auto timeout = std::chrono::ceil<std::chrono::milliseconds>(request.timeout).count();
     curl_easy_setopt(handle, CURLOPT_URL, request.url.c_str());
@@ -56,7 +56,7 @@
     curl_easy_setopt(handle, CURLOPT_POSTFIELDS, request.body.data());
 }
 
-bool hasSentAnything(CURL *handle)
+bool hasSentBytes(CURL *handle)
 {
     long bytes = 0;
     curl_easy_getinfo(handle, CURLINFO_REQUEST_SIZE, &bytes);
@@ -74,12 +74,12 @@
     const std::unique_ptr<curl_slist, ListDeleter> headers{
         curl_slist_append(nullptr, "Content-Type: application/json")};
     BlockingAnswer answer;
-    setUp(handle.get(), request, answer.body);
+    setOptions(handle.get(), request, answer.body);
     curl_easy_setopt(handle.get(), CURLOPT_HTTPHEADER, headers.get());
 
     const CURLcode code = curl_easy_perform(handle.get());
     if (code != CURLE_OK) {
-        const bool isSent = hasSentAnything(handle.get());
+        const bool isSent = hasSentBytes(handle.get());
         answer.error = make_error_code(isSent ? CtlError::Unknown : CtlError::Unreachable);
         answer.cause = curl_easy_strerror(code);
         return answer;
--- a/src/bulrushctl/blockinghttp.h
+++ b/src/bulrushctl/blockinghttp.h
@@ -8,30 +8,30 @@
 
 namespace bulrush::ctl {
 
-/** One call over HTTP. */
+/** An HTTP request. */
 struct BlockingRequest
 {
     std::string method = "GET";
     std::string url;
     std::string body;
-    /** Time for the whole call. */
+    /** Timeout of the complete call. */
     Duration timeout = std::chrono::seconds{2};
 };
 
-/** The end of a call. \a error is clear if, and only if, there is a whole answer. */
+/** The result of a call. \a error is clear if, and only if, a complete answer was received. */
 struct BlockingAnswer
 {
     /** CtlError::Unreachable if nothing was sent, CtlError::Unknown if something may have been. */
     std::error_code error;
-    /** The cause in words, if there is no answer. */
+    /** Description of the cause, if there is no answer. */
     std::string cause;
     int status = 0;
     std::string body;
 };
 
 /**
- * Makes one call over a connection of its own, so that nothing is ever sent twice, and waits for
- * its end. Thread safe.
+ * Sends \a request over a new connection, so that it is never sent twice, and blocks until the call
+ * completes or times out. Thread safe.
  */
 BlockingAnswer fetch(const BlockingRequest &request);
 
--- a/src/bulrushctl/commandline.h
+++ b/src/bulrushctl/commandline.h
@@ -10,8 +10,8 @@
 namespace bulrush::ctl {
 
 /**
- * Runs bulrushctl with \a arguments, the program's name not among them, reading and printing on the
- * given streams. \returns what the process is to end with. Not thread safe.
+ * Runs bulrushctl with \a arguments, which exclude the program name, and with the given streams for
+ * input and output. \returns the exit code of the process. Not thread safe.
  */
 ExitCode run(std::span<const std::string> arguments, std::istream &in, std::ostream &out,
              std::ostream &err);
--- a/src/bulrushctl/console.h
+++ b/src/bulrushctl/console.h
@@ -6,13 +6,13 @@
 
 namespace bulrush::ctl {
 
-/** What answers are printed as. */
+/** Format in which results are printed. */
 enum class OutputFormat {
     Table, ///< for people
     Json,  ///< for programs
 };
 
-/** Where a command reads and prints. */
+/** Streams and output format of a command. */
 struct Console
 {
     std::istream &in;
@@ -24,7 +24,8 @@
 };
 
 /**
- * Prints \a question and reads a line. \returns whether it says yes; the end of input says no.
+ * Prints \a question and reads one line. \returns true if the answer is "y", "Y" or "yes"; the end
+ * of input counts as no.
  */
 bool confirm(Console &console, const std::string &question);
 
--- a/src/bulrushctl/contracttext.cpp
+++ b/src/bulrushctl/contracttext.cpp
@@ -9,15 +9,15 @@
 constexpr std::string_view fieldName = "version:";
 constexpr std::string_view digits = "0123456789";
 
-/** A part of a text. */
-struct Part
+/** A range of characters in a text. */
+struct Span
 {
     std::size_t begin = 0;
     std::size_t length = 0;
 };
 
-/** \returns where the digits of a line "version: 7 # comment" are, or nothing. */
-std::optional<Part> versionIn(std::string_view line)
+/** \returns the digits in a line such as "version: 7 # comment", or nothing for other lines. */
+std::optional<Span> findVersionDigits(std::string_view line)
 {
     if (!line.starts_with(fieldName))
         return std::nullopt;
@@ -30,19 +30,20 @@
     const bool isComment = rest != std::string_view::npos && line[rest] == '#' && rest > end;
     if (end == begin || (rest != std::string_view::npos && !isComment))
         return std::nullopt;
-    return Part{begin, end - begin};
+    return Span{begin, end - begin};
 }
 
-std::optional<Part> onlyVersionIn(std::string_view text)
+/** \returns the digits of the only version line of \a text; nothing unless there is exactly one. */
+std::optional<Span> findOnlyVersion(std::string_view text)
 {
-    std::optional<Part> found;
+    std::optional<Span> found;
     std::size_t start = 0;
     while (start < text.size()) {
         const std::size_t end = std::min(text.find('\n', start), text.size());
-        if (const auto part = versionIn(text.substr(start, end - start))) {
+        if (const auto span = findVersionDigits(text.substr(start, end - start))) {
             if (found)
                 return std::nullopt;
-            found = Part{start + part->begin, part->length};
+            found = Span{start + span->begin, span->length};
         }
         start = end + 1;
     }
@@ -53,14 +54,15 @@
 
 std::optional<std::string> withVersion(std::string_view text, std::uint64_t version)
 {
-    const auto part = onlyVersionIn(text);
-    if (!part)
+    const auto span = findOnlyVersion(text);
+    if (!span)
         return std::nullopt;
 
     std::string changed{text};
-    changed.replace(part->begin, part->length, std::to_string(version));
+    changed.replace(span->begin, span->length, std::to_string(version));
 
-    // The line may have been part of a longer text, so the outcome is read to be sure.
+    // The line may belong to a multi-line text value, so both texts are parsed to verify that only
+    // the version differs.
     const io::ContractReading before = io::readContract(text, "before");
     io::ContractReading after = io::readContract(changed, "after");
     if (before.error || after.error || after.contract.version != version)
--- a/src/bulrushctl/contracttext.h
+++ b/src/bulrushctl/contracttext.h
@@ -8,8 +8,9 @@
 namespace bulrush::ctl {
 
 /**
- * \returns the contract in \a text with \a version in its field "version" and all else as it was,
- * comments too; or nothing unless that field stands once, at the start of a line of its own.
+ * \returns the contract in \a text with its field "version" set to \a version and everything else,
+ * including comments, unchanged. \returns nothing unless the field occurs exactly once, unindented
+ * and on a line of its own.
  * Thread safe.
  */
 std::optional<std::string> withVersion(std::string_view text, std::uint64_t version);
--- a/src/bulrushctl/exitcode.h
+++ b/src/bulrushctl/exitcode.h
@@ -4,23 +4,23 @@
 
 namespace bulrush::ctl {
 
-/** What bulrushctl's process ends with; documented in its help. */
+/** Exit codes of the bulrushctl process; documented in its help. */
 enum class ExitCode {
     Done = 0,
-    Refused = 1,     ///< nothing was changed, and the message says why
-    Usage = 2,       ///< the command line can't be understood
-    Unreachable = 3, ///< the platform or daemons that were needed did not answer
-    Unknown = 4,     ///< a write was sent, and whether it took effect can't be told
-    Conflict = 5,    ///< someone else's change went first
+    Refused = 1,     ///< nothing was changed, and the message gives the reason
+    Usage = 2,       ///< the command line is invalid
+    Unreachable = 3, ///< the required platform or daemons did not answer, or not all in time
+    Unknown = 4,     ///< a write was sent, and it is unknown whether it took effect
+    Conflict = 5,    ///< a change by someone else was written first; nothing was merged
 };
 
-/** Why a call to the platform or to a daemon brought nothing. */
+/** Reasons why a call to the platform or to a daemon failed. */
 enum class CtlError {
     Unreachable = 1, ///< no answer, and nothing was sent that could take effect
-    Unknown,         ///< no answer, and what was sent may have taken effect
-    Refused,         ///< the answer says that the call is wrong
-    BadAnswer,       ///< the answer is not of the form that was expected
-    NotFound,        ///< what was asked for does not exist
+    Unknown,         ///< no answer, and the request that was sent may have taken effect
+    Refused,         ///< the answer rejects the call
+    BadAnswer,       ///< the answer does not have the expected format
+    NotFound,        ///< the requested item does not exist
 };
 
 /** \returns the category of CtlError. Thread safe. */
@@ -28,7 +28,7 @@
 
 std::error_code make_error_code(CtlError error);
 
-/** \returns what a command that failed with \a error ends with. Thread safe. */
+/** \returns the exit code for a command that failed with \a error. Thread safe. */
 ExitCode exitCodeFor(const std::error_code &error);
 
 } // namespace bulrush::ctl
--- a/src/bulrushctl/linediff.cpp
+++ b/src/bulrushctl/linediff.cpp
@@ -10,12 +10,15 @@
 namespace {
 
 constexpr std::size_t contextLines = 3;
-/** Texts whose changed parts are larger than this many pairs of lines are shown as replaced. */
-constexpr std::size_t mostPairs = 16'000'000;
+/**
+ * Limits the memory of the comparison. If the changed parts have more pairs of lines than this,
+ * they are shown as completely replaced.
+ */
+constexpr std::size_t maxLinePairs = 16'000'000;
 
 using Lines = std::vector<std::string_view>;
 
-/** One line of a diff: ' ' kept, '-' removed, '+' added. */
+/** One line of a diff; the sign is ' ' for kept, '-' for removed and '+' for added lines. */
 struct Edit
 {
     char sign = ' ';
@@ -24,7 +27,7 @@
 
 using Edits = std::vector<Edit>;
 
-Lines linesOf(std::string_view text)
+Lines splitLines(std::string_view text)
 {
     Lines lines;
     while (!text.empty()) {
@@ -42,7 +45,8 @@
 }
 
 /**
- * Finds the longest run of common lines of two texts, by the lengths for each pair of ends.
+ * Computes the longest common subsequence of the lines of two texts by dynamic programming over all
+ * pairs of suffixes.
  */
 class CommonLines
 {
@@ -104,7 +108,7 @@
     return m_lengths[i * (m_after.size() + 1) + j];
 }
 
-Edits editsOf(const Lines &before, const Lines &after)
+Edits computeEdits(const Lines &before, const Lines &after)
 {
     const std::size_t shorter = std::min(before.size(), after.size());
     std::size_t head = 0;
@@ -119,7 +123,7 @@
     const auto middleAfter = std::span{after}.subspan(head, after.size() - head - tail);
     Edits edits;
     append(edits, ' ', std::span{before}.first(head));
-    if (middleBefore.size() * middleAfter.size() <= mostPairs) {
+    if (middleBefore.size() * middleAfter.size() <= maxLinePairs) {
         CommonLines{middleBefore, middleAfter}.appendTo(edits);
     } else {
         append(edits, '-', middleBefore);
@@ -129,14 +133,14 @@
     return edits;
 }
 
-/** Where a group of neighbouring changes with its context lies among the edits. */
+/** The range of edits that holds a group of neighbouring changes with their context. */
 struct Hunk
 {
     std::size_t begin = 0;
     std::size_t end = 0;
 };
 
-std::vector<Hunk> hunksOf(const Edits &edits)
+std::vector<Hunk> computeHunks(const Edits &edits)
 {
     std::vector<Hunk> hunks;
     for (std::size_t i = 0; i < edits.size(); ++i) {
@@ -157,7 +161,7 @@
     return std::ranges::count_if(edits, [sign](const Edit &edit) { return edit.sign != sign; });
 }
 
-/** A place in the form of unified diffs, where an empty range starts at the line before it. */
+/** \returns a range in unified diff format, where an empty range starts at the line before it. */
 std::string rangeText(std::size_t linesBefore, std::size_t count)
 {
     const std::size_t start = count == 0 ? linesBefore : linesBefore + 1;
@@ -179,10 +183,10 @@
 
 std::string lineDiff(std::string_view before, std::string_view after, const DiffNames &names)
 {
-    const Lines linesBefore = linesOf(before);
-    const Lines linesAfter = linesOf(after);
-    const Edits edits = editsOf(linesBefore, linesAfter);
-    const std::vector<Hunk> hunks = hunksOf(edits);
+    const Lines linesBefore = splitLines(before);
+    const Lines linesAfter = splitLines(after);
+    const Edits edits = computeEdits(linesBefore, linesAfter);
+    const std::vector<Hunk> hunks = computeHunks(edits);
     if (hunks.empty())
         return {};
 
--- a/src/bulrushctl/linediff.h
+++ b/src/bulrushctl/linediff.h
@@ -5,7 +5,7 @@
 
 namespace bulrush::ctl {
 
-/** What a diff calls its two texts. */
+/** The names of the two texts in the header of a diff. */
 struct DiffNames
 {
     std::string before;
@@ -13,8 +13,8 @@
 };
 
 /**
- * \returns the difference of two texts by lines, in the unified form with three lines around each
- * change; empty if they are equal. Thread safe.
+ * \returns the unified diff of two texts with three lines of context around each change; empty if
+ * they are equal. Thread safe.
  */
 std::string lineDiff(std::string_view before, std::string_view after, const DiffNames &names);
 
--- a/src/bulrushctl/randomid.h
+++ b/src/bulrushctl/randomid.h
@@ -4,7 +4,7 @@
 
 namespace bulrush::ctl {
 
-/** \returns 128 random bits as hex digits, for ids that no other process uses. Thread safe. */
+/** \returns 128 random bits as hexadecimal digits, for globally unique ids. Thread safe. */
 std::string randomId();
 
 } // namespace bulrush::ctl
--- a/src/bulrushctl/texttable.cpp
+++ b/src/bulrushctl/texttable.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-constexpr std::size_t gap = 2;
+constexpr std::size_t columnGap = 2;
 
-/** Counts characters, not bytes: continuation bytes of UTF-8 take no width. */
+/** Counts code points, not bytes: continuation bytes of UTF-8 have no width. */
 std::size_t widthOf(const std::string &text)
 {
     return std::ranges::count_if(
@@ -38,7 +38,7 @@
     for (const Cells &row : m_rows) {
         std::string line;
         for (std::size_t i = 0; i < row.size(); ++i)
-            line += row[i] + std::string(widths[i] - widthOf(row[i]) + gap, ' ');
+            line += row[i] + std::string(widths[i] - widthOf(row[i]) + columnGap, ' ');
         line.resize(line.find_last_not_of(' ') + 1);
         text += line + "\n";
     }
--- a/src/bulrushctl/texttable.h
+++ b/src/bulrushctl/texttable.h
@@ -6,7 +6,7 @@
 namespace bulrush::ctl {
 
 /**
- * Rows of cells, printed in columns as wide as their widest cell.
+ * Formats rows of cells as text, with each column as wide as its widest cell.
  */
 class TextTable
 {
@@ -20,7 +20,7 @@
 
     bool isEmpty() const;
 
-    /** \returns the header and all rows, a line each, with no blanks at the ends. */
+    /** \returns the header and all rows, one line each, without trailing blanks. */
     std::string text() const;
 
 private:
