--- a/src/bulrushctl/commandline.cpp
+++ b/src/bulrushctl/commandline.cpp
@@ -20,8 +20,8 @@
 
 using namespace std::chrono_literals;
 
-constexpr int attempts = 5;
-constexpr Duration pauseBetweenAttempts = 300ms;
+constexpr int maxWriteAttempts = 5;
+constexpr Duration retryDelay = 300ms;
 
 constexpr const char *footer =
     "Exit codes:\n"
@@ -35,7 +35,7 @@
     "--platform and --daemon can also be set in BULRUSHCTL_PLATFORM and BULRUSHCTL_DAEMON,\n"
     "with commas between several.";
 
-/** All that a command line can say. */
+/** Values of the options and arguments of all commands, initialised with their defaults. */
 struct Arguments
 {
     std::vector<std::string> platform;
@@ -46,7 +46,7 @@
     std::string file;
     std::string name;
     std::string domain;
-    std::string waitFor = "30s";
+    std::string waitTimeout = "30s";
     std::string format = "table";
     std::uint64_t version = 0;
     bool isConfirmed = false;
@@ -56,7 +56,7 @@
 };
 
 template<typename T>
-T parsed(const io::ScalarType<T> &type, const std::string &text)
+T parseOrThrow(const io::ScalarType<T> &type, const std::string &text)
 {
     auto value = type.parse(text);
     if (!value)
@@ -64,9 +64,9 @@
     return *value;
 }
 
-/** Refuses texts that are not of \a type while the command line is read. */
+/** \returns a CLI11 validator that rejects texts which \a type does not allow. */
 template<typename T>
-std::function<std::string(const std::string &)> check(const io::ScalarType<T> &type)
+std::function<std::string(const std::string &)> validatorFor(const io::ScalarType<T> &type)
 {
     return [type](const std::string &text) {
         return type.parse(text) ? std::string{}
@@ -87,22 +87,22 @@
                                    {"html", BurnFormat::Html}});
 }
 
-std::vector<Endpoint> endpoints(const std::vector<std::string> &texts)
+std::vector<Endpoint> parseEndpoints(const std::vector<std::string> &texts)
 {
-    std::vector<Endpoint> parsedOnes;
-    parsedOnes.reserve(texts.size());
+    std::vector<Endpoint> result;
+    result.reserve(texts.size());
     for (const std::string &text : texts)
-        parsedOnes.push_back(parsed(io::endpoint(io::PortZero::Refused), text));
-    return parsedOnes;
+        result.push_back(parseOrThrow(io::endpoint(io::PortZero::Refused), text));
+    return result;
 }
 
-void pause()
+void sleepBeforeRetry()
 {
-    std::this_thread::sleep_for(pauseBetweenAttempts);
+    std::this_thread::sleep_for(retryDelay);
 }
 
 /**
- * What a command works with, made when the command line has been read.
+ * The objects that a command uses, created after the command line is parsed.
  */
 class Session
 {
@@ -116,8 +116,8 @@
     BurnFormat burnFormat() const;
 
 private:
-    /** \returns how long the command is to wait, or nothing if it is not to. */
-    std::optional<Duration> waitFor() const;
+    /** \returns the time limit of --wait, or nothing if the command does not wait. */
+    std::optional<Duration> waitTimeout() const;
 
     const Arguments &m_arguments;
     Console &m_console;
@@ -131,9 +131,9 @@
 Session::Session(const Arguments &arguments, Console &console)
     : m_arguments(arguments)
     , m_console(console)
-    , m_platform(endpoints(arguments.platform), parsed(timeoutType(), arguments.timeout))
-    , m_daemons(endpoints(arguments.daemons), parsed(timeoutType(), arguments.timeout))
-    , m_store(m_platform, m_writer, {attempts, pause})
+    , m_platform(parseEndpoints(arguments.platform), parseOrThrow(timeoutType(), arguments.timeout))
+    , m_daemons(parseEndpoints(arguments.daemons), parseOrThrow(timeoutType(), arguments.timeout))
+    , m_store(m_platform, m_writer, {maxWriteAttempts, sleepBeforeRetry})
 { }
 
 ContractCommands Session::contracts()
@@ -146,40 +146,40 @@
     return {m_platform,
             m_daemons,
             m_console,
-            {m_arguments.changedBy, m_requestId, m_writer, {attempts, pause}}};
+            {m_arguments.changedBy, m_requestId, m_writer, {maxWriteAttempts, sleepBeforeRetry}}};
 }
 
 ChangeOptions Session::changeOptions() const
 {
-    return {{m_arguments.changedBy, m_requestId}, m_arguments.isConfirmed, waitFor()};
+    return {{m_arguments.changedBy, m_requestId}, m_arguments.isConfirmed, waitTimeout()};
 }
 
 LeaveOptions Session::leaveOptions() const
 {
-    return {m_arguments.isUnlisted, waitFor()};
+    return {m_arguments.isUnlisted, waitTimeout()};
 }
 
-std::optional<Duration> Session::waitFor() const
+std::optional<Duration> Session::waitTimeout() const
 {
     if (!m_arguments.isWaiting)
         return std::nullopt;
-    return parsed(timeoutType(), m_arguments.waitFor);
+    return parseOrThrow(timeoutType(), m_arguments.waitTimeout);
 }
 
 BurnFormat Session::burnFormat() const
 {
-    return parsed(burnFormatType(), m_arguments.format);
+    return parseOrThrow(burnFormatType(), m_arguments.format);
 }
 
 using Command = std::function<ExitCode(Session &)>;
 
 /**
- * The commands and options of bulrushctl; the command that was given is kept to be run.
+ * Defines the commands and options of bulrushctl, and stores the selected command for execution.
  */
-class Syntax
+class CommandLineParser
 {
 public:
-    explicit Syntax(Arguments &arguments);
+    explicit CommandLineParser(Arguments &arguments);
 
     CLI::App &app();
     const Command &command() const;
@@ -201,7 +201,7 @@
     Command m_command;
 };
 
-Syntax::Syntax(Arguments &arguments)
+CommandLineParser::CommandLineParser(Arguments &arguments)
     : m_arguments(arguments)
 {
     m_app.footer(footer);
@@ -214,19 +214,19 @@
     addOtherCommands();
 }
 
-CLI::App &Syntax::app()
+CLI::App &CommandLineParser::app()
 {
     return m_app;
 }
 
-const Command &Syntax::command() const
+const Command &CommandLineParser::command() const
 {
     return m_command;
 }
 
-void Syntax::addGlobalOptions()
+void CommandLineParser::addGlobalOptions()
 {
-    const auto address = check(io::endpoint(io::PortZero::Refused));
+    const auto address = validatorFor(io::endpoint(io::PortZero::Refused));
     const char *user = std::getenv("USER");
     m_arguments.changedBy = user ? user : "unknown";
     m_app.add_option("--platform", m_arguments.platform, "An endpoint of the platform; repeatable")
@@ -245,7 +245,7 @@
         ->check(CLI::IsMember({"table", "json"}));
     m_app.add_option("--timeout", m_arguments.timeout, "Time for each call (default 2s)")
         ->type_name("DURATION")
-        ->check(check(timeoutType()));
+        ->check(validatorFor(timeoutType()));
     m_app.add_option("--as", m_arguments.changedBy, "Who makes the change (default $USER)")
         ->type_name("NAME")
         ->check([](const std::string &text) {
@@ -253,7 +253,7 @@
         });
 }
 
-void Syntax::addContractCommands()
+void CommandLineParser::addContractCommands()
 {
     CLI::App *group = addGroup("contract", "Contracts of customer organisations");
 
@@ -303,7 +303,7 @@
     addChangeOptions(rollback);
 }
 
-void Syntax::addHostCommands()
+void CommandLineParser::addHostCommands()
 {
     CLI::App *group = addGroup("host", "Entry hosts");
     addCommand(group, "list", "List the platform's hosts and the planned departures",
@@ -319,7 +319,7 @@
     addWaitOptions(leave, "Show how far it is, and wait until the host is gone");
 }
 
-void Syntax::addOtherCommands()
+void CommandLineParser::addOtherCommands()
 {
     CLI::App *assignment = addGroup("assignment", "Who owns which keys");
     CLI::App *show =
@@ -336,8 +336,8 @@
     CLI::App *release = addCommand(
         steward, "release", "Release the stewardship of a domain whose steward is gone for good",
         [this](Session &session) {
-            return session.operators().releaseSteward(DomainName{m_arguments.name},
-                                                      m_arguments.isConfirmedGone);
+            return session.operators().releaseLeadership(DomainName{m_arguments.name},
+                                                         m_arguments.isConfirmedGone);
         });
     addName(release, "DOMAIN", "The failure domain");
     release->add_flag(
@@ -352,21 +352,23 @@
         ->check(CLI::IsMember({"table", "json", "csv", "html"}));
 }
 
-void Syntax::addChangeOptions(CLI::App *command)
+void CommandLineParser::addChangeOptions(CLI::App *command)
 {
     command->add_flag("--yes", m_arguments.isConfirmed, "Don't ask");
     addWaitOptions(command, "Wait until it is in force everywhere, as the daemons say");
 }
 
-void Syntax::addWaitOptions(CLI::App *command, const char *description)
+void CommandLineParser::addWaitOptions(CLI::App *command, const char *description)
 {
     command->add_flag("--wait", m_arguments.isWaiting, description);
-    command->add_option("--wait-for", m_arguments.waitFor, "How long to wait at most (default 30s)")
+    command
+        ->add_option("--wait-for", m_arguments.waitTimeout,
+                     "How long to wait at most (default 30s)")
         ->type_name("DURATION")
-        ->check(check(timeoutType()));
+        ->check(validatorFor(timeoutType()));
 }
 
-void Syntax::addName(CLI::App *command, const char *option, const char *description)
+void CommandLineParser::addName(CLI::App *command, const char *option, const char *description)
 {
     command->add_option(option, m_arguments.name, description)
         ->required()
@@ -376,15 +378,15 @@
         });
 }
 
-CLI::App *Syntax::addCommand(CLI::App *parent, const char *name, const char *description,
-                             Command command)
+CLI::App *CommandLineParser::addCommand(CLI::App *parent, const char *name, const char *description,
+                                        Command command)
 {
     CLI::App *added = parent->add_subcommand(name, description);
     added->callback([this, command = std::move(command)] { m_command = command; });
     return added;
 }
 
-CLI::App *Syntax::addGroup(const char *name, const char *description)
+CLI::App *CommandLineParser::addGroup(const char *name, const char *description)
 {
     CLI::App *group = m_app.add_subcommand(name, description);
     group->require_subcommand(1);
@@ -397,20 +399,20 @@
              std::ostream &err)
 {
     Arguments parsedArguments;
-    Syntax syntax{parsedArguments};
-    // CLI11 takes the arguments from the back.
+    CommandLineParser parser{parsedArguments};
+    // CLI11 expects the arguments in reverse order.
     std::vector<std::string> reversed{arguments.rbegin(), arguments.rend()};
     try {
-        syntax.app().parse(reversed);
+        parser.app().parse(reversed);
     } catch (const CLI::ParseError &error) {
-        const bool isHelp = syntax.app().exit(error, out, err) == 0;
+        const bool isHelp = parser.app().exit(error, out, err) == 0;
         return isHelp ? ExitCode::Done : ExitCode::Usage;
     }
 
     Console console{in, out, err,
                     parsedArguments.output == "json" ? OutputFormat::Json : OutputFormat::Table};
     Session session{parsedArguments, console};
-    return syntax.command()(session);
+    return parser.command()(session);
 }
 
 } // namespace bulrush::ctl
--- a/src/bulrushctl/contractcommands.cpp
+++ b/src/bulrushctl/contractcommands.cpp
@@ -2,12 +2,12 @@
 
 #include "contracttext.h"
 #include "daemonaccess.h"
-#include "forcereport.h"
 #include "jsontext.h"
 #include "linediff.h"
 #include "process/hostclock.h"
 #include "process/jsonreader.h"
 #include "process/yamlfile.h"
+#include "rolloutreport.h"
 #include "texttable.h"
 #include "version/contractreader.h"
 
@@ -21,16 +21,16 @@
 
 constexpr Duration pollInterval = 300ms;
 
-std::string nameOf(const OrganisationName &organisation, std::uint64_t version)
+std::string versionLabel(const OrganisationName &organisation, std::uint64_t version)
 {
     if (version == 0)
         return organisation.value() + " (no contract)";
     return organisation.value() + " version " + std::to_string(version);
 }
 
-std::string yours(std::uint64_t basedOn)
+std::string submittedLabel(std::uint64_t baseVersion)
 {
-    return "yours, made from version " + std::to_string(basedOn);
+    return "yours, made from version " + std::to_string(baseVersion);
 }
 
 Json::Value toJson(const StoredContract &contract)
@@ -43,7 +43,7 @@
     return json;
 }
 
-Json::Value toJson(const ForceReport &report)
+Json::Value toJson(const RolloutReport &report)
 {
     Json::Value json{Json::objectValue};
     json["inForce"] = Json::UInt64{report.inForce};
@@ -71,8 +71,8 @@
                                std::optional<std::uint64_t> version)
 {
     const ContractsResult result =
-        version ? m_store.past(organisation, *version) : m_store.current(organisation);
-    const auto contract = single(result);
+        version ? m_store.pastVersion(organisation, *version) : m_store.current(organisation);
+    const auto contract = singleContract(result);
     if (!contract)
         return exitCodeFor(result.error);
     if (contract->version == 0)
@@ -93,13 +93,13 @@
         return ExitCode::Refused;
 
     const ContractsResult result = m_store.current(change->organisation);
-    const auto current = single(result);
+    const auto current = singleContract(result);
     if (!current)
         return exitCodeFor(result.error);
-    if (current->version != change->basedOn)
+    if (current->version != change->baseVersion)
         return reportConflict(*change, *current);
     change->author = options.author;
-    return this->change(*current, *change, options);
+    return this->confirmAndApply(*current, *change, options);
 }
 
 ExitCode ContractCommands::diff(const std::string &path)
@@ -109,15 +109,15 @@
         return ExitCode::Refused;
 
     const ContractsResult result = m_store.current(change->organisation);
-    const auto current = single(result);
+    const auto current = singleContract(result);
     if (!current)
         return exitCodeFor(result.error);
 
-    const std::string difference =
-        lineDiff(current->text, change->text,
-                 {nameOf(current->organisation, current->version), yours(change->basedOn)});
+    const std::string difference = lineDiff(current->text, change->text,
+                                            {versionLabel(current->organisation, current->version),
+                                             submittedLabel(change->baseVersion)});
     m_console.out << (difference.empty() ? "no difference\n" : difference);
-    return current->version == change->basedOn ? ExitCode::Done : ExitCode::Conflict;
+    return current->version == change->baseVersion ? ExitCode::Done : ExitCode::Conflict;
 }
 
 ExitCode ContractCommands::list()
@@ -144,11 +144,11 @@
                                     const ChangeOptions &options)
 {
     const ContractsResult currentResult = m_store.current(organisation);
-    const auto current = single(currentResult);
+    const auto current = singleContract(currentResult);
     if (!current)
         return exitCodeFor(currentResult.error);
-    const ContractsResult pastResult = m_store.past(organisation, version);
-    const auto past = single(pastResult);
+    const ContractsResult pastResult = m_store.pastVersion(organisation, version);
+    const auto past = singleContract(pastResult);
     if (!past)
         return exitCodeFor(pastResult.error);
     if (past->version == 0)
@@ -159,22 +159,24 @@
     if (!text)
         return refuse("version " + std::to_string(version)
                       + " is no valid contract for this bulrushctl; get it, mend it and put it");
-    return change(*current, {organisation, current->version, *text, options.author}, options);
+    return confirmAndApply(*current, {organisation, current->version, *text, options.author},
+                           options);
 }
 
-ExitCode ContractCommands::change(const StoredContract &current, const ContractChange &change,
-                                  const ChangeOptions &options)
+ExitCode ContractCommands::confirmAndApply(const StoredContract &current,
+                                           const ContractChange &change,
+                                           const ChangeOptions &options)
 {
-    const std::string difference =
-        lineDiff(current.text, change.text,
-                 {nameOf(current.organisation, current.version), yours(change.basedOn)});
+    const std::string difference = lineDiff(
+        current.text, change.text,
+        {versionLabel(current.organisation, current.version), submittedLabel(change.baseVersion)});
     if (difference.empty()) {
         m_console.err << "nothing to change: this is "
-                      << nameOf(current.organisation, current.version) << "\n";
+                      << versionLabel(current.organisation, current.version) << "\n";
         return ExitCode::Done;
     }
     m_console.err << difference;
-    const std::string question = "Put this as version " + std::to_string(change.basedOn + 1)
+    const std::string question = "Put this as version " + std::to_string(change.baseVersion + 1)
         + " of the contract of " + change.organisation.value() + "?";
     if (!options.isConfirmed && !confirm(m_console, question))
         return refuse("nothing was changed");
@@ -184,17 +186,17 @@
 ExitCode ContractCommands::report(const ContractChange &change, const ChangeResult &result,
                                   const ChangeOptions &options)
 {
-    switch (result.end) {
-    case ChangeEnd::Accepted:
+    switch (result.outcome) {
+    case ChangeOutcome::Accepted:
         return reportAccepted(change, result.version, options);
-    case ChangeEnd::Conflict:
+    case ChangeOutcome::Conflict:
         return reportConflict(change, result.current);
-    case ChangeEnd::Refused:
+    case ChangeOutcome::Refused:
         return refuse("the platform refused it: " + result.cause);
-    case ChangeEnd::Unreachable:
+    case ChangeOutcome::Unreachable:
         m_console.err << "error: nothing was sent: " << result.cause << "\n";
         return ExitCode::Unreachable;
-    case ChangeEnd::Unknown:
+    case ChangeOutcome::Unknown:
         break;
     }
     m_console.err
@@ -213,46 +215,47 @@
         json["version"] = Json::UInt64{version};
         m_console.out << io::compactText(json) << "\n";
     } else {
-        m_console.out << "accepted: " << nameOf(change.organisation, version) << "\n";
+        m_console.out << "accepted: " << versionLabel(change.organisation, version) << "\n";
     }
-    if (!options.waitFor)
+    if (!options.waitTimeout)
         return ExitCode::Done;
-    return waitUntilInForce(change.organisation, version, *options.waitFor);
+    return waitUntilInForce(change.organisation, version, *options.waitTimeout);
 }
 
 ExitCode ContractCommands::reportConflict(const ContractChange &change,
                                           const StoredContract &current)
 {
-    m_console.err << "error: refused: " << yours(change.basedOn) << ", but the contract is "
-                  << nameOf(change.organisation, current.version);
+    m_console.err << "error: refused: " << submittedLabel(change.baseVersion)
+                  << ", but the contract is " << versionLabel(change.organisation, current.version);
     if (current.version != 0)
         m_console.err << ", changed by " << current.changedBy;
     m_console.err << "\n"
                   << lineDiff(current.text, change.text,
-                              {nameOf(change.organisation, current.version), yours(change.basedOn)})
+                              {versionLabel(change.organisation, current.version),
+                               submittedLabel(change.baseVersion)})
                   << "Nothing was merged. Get the contract again and make your change in it.\n";
     return ExitCode::Conflict;
 }
 
 ExitCode ContractCommands::waitUntilInForce(const OrganisationName &organisation,
-                                            std::uint64_t version, Duration waitFor)
+                                            std::uint64_t version, Duration waitTimeout)
 {
     const Instant start = io::hostNow();
-    std::string shown;
+    std::string lastText;
     while (true) {
-        const ForceReport report = forceReport(m_daemons.status(), organisation, version);
+        const RolloutReport report = rolloutReport(m_daemons.status(), organisation, version);
         const auto waited =
             std::chrono::duration_cast<std::chrono::milliseconds>(io::hostNow() - start);
         const bool isDone = report.hosts > 0 && report.missing.empty();
-        const bool isOver = isDone || waited >= waitFor;
+        const bool isOver = isDone || waited >= waitTimeout;
         const std::string text = toText(report);
         if (m_console.isJson() && isOver)
             m_console.out << io::compactText(toJson(report)) << "\n";
-        if (!m_console.isJson() && (isOver || text != shown))
+        if (!m_console.isJson() && (isOver || text != lastText))
             m_console.out << "after " << waited.count() << " ms: " << text << std::flush;
         if (isOver)
             return isDone ? ExitCode::Done : ExitCode::Unreachable;
-        shown = text;
+        lastText = text;
         std::this_thread::sleep_for(pollInterval);
     }
 }
@@ -269,7 +272,7 @@
     return ExitCode::Refused;
 }
 
-std::optional<StoredContract> ContractCommands::single(const ContractsResult &result)
+std::optional<StoredContract> ContractCommands::singleContract(const ContractsResult &result)
 {
     if (!result.error && result.contracts.size() == 1)
         return result.contracts.front();
--- a/src/bulrushctl/contractcommands.h
+++ b/src/bulrushctl/contractcommands.h
@@ -12,18 +12,18 @@
 
 class DaemonAccess;
 
-/** How a command that changes a contract goes about it. */
+/** Options of the commands that change a contract. */
 struct ChangeOptions
 {
     ChangeAuthor author;
-    /** Does not ask before it writes. */
+    /** Whether to write without asking for confirmation. */
     bool isConfirmed = false;
-    /** Waits until the change is in force everywhere, for so long at most. */
-    std::optional<Duration> waitFor;
+    /** Maximum time to wait until the change is in force at all hosts; nothing if not to wait. */
+    std::optional<Duration> waitTimeout;
 };
 
 /**
- * The commands "bulrushctl contract ...". Each prints its outcome and returns the exit code.
+ * The commands "bulrushctl contract ...". Each prints its result and returns the exit code.
  *
  * Not thread safe.
  */
@@ -32,37 +32,40 @@
 public:
     ContractCommands(ContractStore &store, const DaemonAccess &daemons, Console &console);
 
-    /** Prints the text of the current contract, or of the version \a version. */
+    /** Prints the text of the current contract, or of \a version if one is given. */
     ExitCode get(const OrganisationName &organisation, std::optional<std::uint64_t> version);
 
-    /** Validates the file at \a path, shows what it changes, asks, and puts it. */
+    /** Validates the file at \a path, shows the changes, asks for confirmation, and writes it. */
     ExitCode put(const std::string &path, const ChangeOptions &options);
 
-    /** Validates the file at \a path and shows what putting it would change. */
+    /** Validates the file at \a path and shows the changes that put() would make. */
     ExitCode diff(const std::string &path);
 
     ExitCode list();
     ExitCode history(const OrganisationName &organisation);
 
-    /** Puts the text of an old version as a new version. */
+    /** Writes the text of an old version as a new version. */
     ExitCode rollback(const OrganisationName &organisation, std::uint64_t version,
                       const ChangeOptions &options);
 
 private:
-    /** Shows a change, asks, and makes it. */
-    ExitCode change(const StoredContract &current, const ContractChange &change,
-                    const ChangeOptions &options);
+    /** Shows \a change, asks for confirmation, and writes it. */
+    ExitCode confirmAndApply(const StoredContract &current, const ContractChange &change,
+                             const ChangeOptions &options);
     ExitCode report(const ContractChange &change, const ChangeResult &result,
                     const ChangeOptions &options);
     ExitCode reportAccepted(const ContractChange &change, std::uint64_t version,
                             const ChangeOptions &options);
     ExitCode reportConflict(const ContractChange &change, const StoredContract &current);
     ExitCode waitUntilInForce(const OrganisationName &organisation, std::uint64_t version,
-                              Duration waitFor);
+                              Duration waitTimeout);
     ExitCode fail(const std::error_code &error, const std::string &cause);
     ExitCode refuse(const std::string &reason);
-    /** \returns the one contract of \a result, or nothing after it has printed why not. */
-    std::optional<StoredContract> single(const ContractsResult &result);
+    /**
+     * \returns the only contract of \a result. If there is not exactly one, prints the error and
+     * returns nothing.
+     */
+    std::optional<StoredContract> singleContract(const ContractsResult &result);
     std::optional<ContractChange> changeFromFile(const std::string &path);
     void printTable(const ContractsResult &result);
 
--- a/src/bulrushctl/contractstore.cpp
+++ b/src/bulrushctl/contractstore.cpp
@@ -43,51 +43,52 @@
     return contract;
 }
 
-/** The row's own version counts, whatever its value says. */
-StoredContract decodeCurrent(const TableRow &row)
+/** Uses the version of the row, not the version that its value contains. */
+StoredContract decodeCurrentRow(const TableRow &row)
 {
     return decode(row, row.version);
 }
 
-StoredContract decodePast(const TableRow &row)
+StoredContract decodeHistoryRow(const TableRow &row)
 {
     return decode(row, numberIn(row.value, "version"));
 }
 
-ContractsResult contractsOf(const RowsResult &rows, StoredContract (*decodeRow)(const TableRow &))
+ContractsResult decodeContracts(const RowsResult &rows,
+                                StoredContract (*decodeRow)(const TableRow &))
 {
     ContractsResult result{rows.error, rows.cause, {}};
     std::ranges::transform(rows.rows, std::back_inserter(result.contracts), decodeRow);
     return result;
 }
 
-ChangeResult failed(ChangeEnd end, std::string cause)
+ChangeResult failedChange(ChangeOutcome outcome, std::string cause)
 {
     ChangeResult result;
-    result.end = end;
+    result.outcome = outcome;
     result.cause = std::move(cause);
     return result;
 }
 
-ChangeResult accepted(std::uint64_t version)
+ChangeResult acceptedChange(std::uint64_t version)
 {
     ChangeResult result;
-    result.end = ChangeEnd::Accepted;
+    result.outcome = ChangeOutcome::Accepted;
     result.version = version;
     return result;
 }
 
-ChangeResult lostTo(StoredContract current)
+ChangeResult conflictWith(StoredContract current)
 {
     ChangeResult result;
-    result.end = ChangeEnd::Conflict;
+    result.outcome = ChangeOutcome::Conflict;
     result.current = std::move(current);
     return result;
 }
 
 } // namespace
 
-ContractStore::ContractStore(PlatformTable &table, std::string writer, SettlingPolicy policy)
+ContractStore::ContractStore(PlatformTable &table, std::string writer, RetryPolicy policy)
     : m_table(table)
     , m_writer(std::move(writer))
     , m_policy(std::move(policy))
@@ -95,23 +96,24 @@
 
 ContractsResult ContractStore::current(const OrganisationName &organisation)
 {
-    return contractsOf(m_table.read({contractRow(organisation)}), decodeCurrent);
+    return decodeContracts(m_table.read({contractRow(organisation)}), decodeCurrentRow);
 }
 
-ContractsResult ContractStore::past(const OrganisationName &organisation, std::uint64_t version)
+ContractsResult ContractStore::pastVersion(const OrganisationName &organisation,
+                                           std::uint64_t version)
 {
-    return contractsOf(m_table.read({historyRow(organisation, version)}), decodePast);
+    return decodeContracts(m_table.read({historyRow(organisation, version)}), decodeHistoryRow);
 }
 
 ContractsResult ContractStore::list()
 {
-    return contractsOf(m_table.scan(contractTable, {}), decodeCurrent);
+    return decodeContracts(m_table.scan(contractTable, {}), decodeCurrentRow);
 }
 
 ContractsResult ContractStore::history(const OrganisationName &organisation)
 {
     ContractsResult result =
-        contractsOf(m_table.scan(historyTable, organisation.value() + "/"), decodePast);
+        decodeContracts(m_table.scan(historyTable, organisation.value() + "/"), decodeHistoryRow);
     std::ranges::sort(result.contracts, {}, &StoredContract::version);
     return result;
 }
@@ -120,38 +122,40 @@
 {
     ChangeResult result = applyOnce(change);
     const bool isVersionAhead =
-        result.end == ChangeEnd::Accepted && result.version != change.basedOn + 1;
+        result.outcome == ChangeOutcome::Accepted && result.version != change.baseVersion + 1;
     if (!isVersionAhead)
         return result;
 
-    // The row had been deleted: its version goes on from before, and the text names a wrong one.
-    ContractChange again = change;
-    again.basedOn = result.version;
-    return applyOnce(again);
+    // A row that was deleted and created again continues its old version count, so the written text
+    // contains a wrong version. The text is written again with the right one.
+    ContractChange retry = change;
+    retry.baseVersion = result.version;
+    return applyOnce(retry);
 }
 
 ChangeResult ContractStore::applyOnce(const ContractChange &change)
 {
-    const CommitResult result =
-        commitSettled(m_table, transactionFor(change), m_policy, [&] { return settled(change); });
-    switch (result.end) {
-    case CommitEnd::Committed:
-        return accepted(result.versions.empty() ? change.basedOn + 1 : result.versions.front());
-    case CommitEnd::Conflict:
-        return conflict(change, result);
-    case CommitEnd::Refused:
-        return failed(ChangeEnd::Refused, result.cause);
-    case CommitEnd::NotSent:
-        return failed(ChangeEnd::Unreachable, result.cause);
-    case CommitEnd::Unknown:
+    const CommitResult result = commitWithRetries(m_table, transactionFor(change), m_policy,
+                                                  [&] { return resolveOutcome(change); });
+    switch (result.outcome) {
+    case CommitOutcome::Committed:
+        return acceptedChange(result.versions.empty() ? change.baseVersion + 1
+                                                      : result.versions.front());
+    case CommitOutcome::Conflict:
+        return conflictResult(change, result);
+    case CommitOutcome::Refused:
+        return failedChange(ChangeOutcome::Refused, result.cause);
+    case CommitOutcome::NotSent:
+        return failedChange(ChangeOutcome::Unreachable, result.cause);
+    case CommitOutcome::Unknown:
         break;
     }
-    return failed(ChangeEnd::Unknown, result.cause);
+    return failedChange(ChangeOutcome::Unknown, result.cause);
 }
 
 Transaction ContractStore::transactionFor(const ContractChange &change) const
 {
-    const std::uint64_t version = change.basedOn + 1;
+    const std::uint64_t version = change.baseVersion + 1;
     const std::string text = withVersion(change.text, version).value_or(change.text);
     const Json::Value value = encode(
         {change.organisation, version, text, change.author.changedBy, change.author.requestId});
@@ -159,37 +163,38 @@
     Transaction transaction;
     transaction.requestId = change.author.requestId + "/" + std::to_string(version);
     transaction.writer = m_writer;
-    transaction.conditions = {{contractRow(change.organisation), change.basedOn}};
+    transaction.conditions = {{contractRow(change.organisation), change.baseVersion}};
     transaction.writes = {{contractRow(change.organisation), value},
                           {historyRow(change.organisation, version), value}};
     return transaction;
 }
 
-ChangeResult ContractStore::conflict(const ContractChange &change, const CommitResult &result)
+ChangeResult ContractStore::conflictResult(const ContractChange &change, const CommitResult &result)
 {
     if (!result.conflicts.empty())
-        return lostTo(decodeCurrent(result.conflicts.front()));
+        return conflictWith(decodeCurrentRow(result.conflicts.front()));
 
     const ContractsResult now = current(change.organisation);
-    return lostTo(now.contracts.empty() ? StoredContract{} : now.contracts.front());
+    return conflictWith(now.contracts.empty() ? StoredContract{} : now.contracts.front());
 }
 
-std::optional<CommitResult> ContractStore::settled(const ContractChange &change)
+std::optional<CommitResult> ContractStore::resolveOutcome(const ContractChange &change)
 {
-    const std::uint64_t version = change.basedOn + 1;
+    const std::uint64_t version = change.baseVersion + 1;
     const RowsResult rows =
         m_table.read({contractRow(change.organisation), historyRow(change.organisation, version)});
     if (rows.error || rows.rows.size() != 2)
         return std::nullopt;
 
-    const StoredContract now = decodeCurrent(rows.rows[0]);
-    const StoredContract next = decodePast(rows.rows[1]);
+    const StoredContract now = decodeCurrentRow(rows.rows[0]);
+    const StoredContract next = decodeHistoryRow(rows.rows[1]);
     if (next.version == version && next.requestId == change.author.requestId) {
-        const bool isStillOurs = now.version > version && now.requestId == next.requestId;
-        return CommitResult{CommitEnd::Committed, {isStillOurs ? now.version : version}, {}, {}};
+        const bool isLaterVersionOwn = now.version > version && now.requestId == next.requestId;
+        return CommitResult{
+            CommitOutcome::Committed, {isLaterVersionOwn ? now.version : version}, {}, {}};
     }
-    if (now.version > change.basedOn)
-        return CommitResult{CommitEnd::Conflict, {}, {rows.rows[0]}, {}};
+    if (now.version > change.baseVersion)
+        return CommitResult{CommitOutcome::Conflict, {}, {rows.rows[0]}, {}};
     return std::nullopt;
 }
 
--- a/src/bulrushctl/contractstore.h
+++ b/src/bulrushctl/contractstore.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "settledcommit.h"
+#include "commitwithretries.h"
 #include "version/identifier.h"
 
 #include <cstdint>
@@ -10,18 +10,18 @@
 
 namespace bulrush::ctl {
 
-/** A contract as it is, or was, in the platform's table. */
+/** A current or past version of a contract, as stored in the platform's table. */
 struct StoredContract
 {
     OrganisationName organisation;
-    /** The version of its row; 0 means that there is none. */
+    /** The version of its row; 0 if the contract does not exist. */
     std::uint64_t version = 0;
     std::string text;
     std::string changedBy;
     std::string requestId;
 };
 
-/** Contracts, or why there are none. */
+/** Contracts, or the reason why they could not be read. */
 struct ContractsResult
 {
     std::error_code error;
@@ -29,82 +29,83 @@
     std::vector<StoredContract> contracts;
 };
 
-/** Who changes a contract, and the id that tells this change from all others. */
+/** The author of a change to a contract, and the unique id of the change. */
 struct ChangeAuthor
 {
     std::string changedBy;
     std::string requestId;
 };
 
-/** A contract's new text, to go in place of one version. */
+/** A new text for a contract, which replaces one version. */
 struct ContractChange
 {
     OrganisationName organisation;
-    /** The version that the text was made from, 0 for a new contract. */
-    std::uint64_t basedOn = 0;
+    /** The version that the text was edited from; 0 for a new contract. */
+    std::uint64_t baseVersion = 0;
     /** A valid contract. */
     std::string text;
     ChangeAuthor author;
 };
 
-/** How a change ended. */
-enum class ChangeEnd {
+/** The outcome of a change. */
+enum class ChangeOutcome {
     Accepted,
-    Conflict,    ///< another change went first; this one did not take effect and never will
-    Refused,     ///< the platform refused it
-    Unreachable, ///< it was not sent
-    Unknown,     ///< it may have taken effect, or may still do so
+    Conflict,    ///< another change was first; this one has not taken effect and never will
+    Refused,     ///< the platform refused the change
+    Unreachable, ///< the change was not sent
+    Unknown,     ///< the change may have taken effect, or may still do so
 };
 
 struct ChangeResult
 {
-    ChangeEnd end = ChangeEnd::Unknown;
+    ChangeOutcome outcome = ChangeOutcome::Unknown;
     /** The new version, if accepted. */
     std::uint64_t version = 0;
-    /** What is in force instead, if there was a conflict. */
+    /** The contract that is in force instead, if there was a conflict. */
     StoredContract current;
     std::string cause;
 };
 
 /**
- * Contracts in the platform's table: the current one of each organisation, and all that went
- * before.
+ * Reads and changes contracts in the platform's table, which holds the current contract and the
+ * history of each organisation.
  *
- * A change is a compare-and-set on the row's version, so that sending it again can't run it twice.
- * A lost answer is settled by reading: the history row of the new version says whose it is.
+ * A change is a compare-and-set on the version of the row, so it takes effect at most once even if
+ * it is sent again. After a lost answer, the history row of the new version is read: its request id
+ * shows which change created it.
  *
  * Not thread safe.
  */
 class ContractStore
 {
 public:
-    ContractStore(PlatformTable &table, std::string writer, SettlingPolicy policy);
+    ContractStore(PlatformTable &table, std::string writer, RetryPolicy policy);
 
-    /** \returns the one contract of \a organisation; version 0 if there is none. */
+    /** \returns one entry, the current contract of \a organisation; version 0 if there is none. */
     ContractsResult current(const OrganisationName &organisation);
 
-    /** \returns the contract that was in force as \a version; version 0 if there is none. */
-    ContractsResult past(const OrganisationName &organisation, std::uint64_t version);
+    /** \returns one entry, the contract as of \a version; version 0 if that is not stored. */
+    ContractsResult pastVersion(const OrganisationName &organisation, std::uint64_t version);
 
-    /** \returns the current contract of every organisation, by name. */
+    /** \returns the current contracts of all organisations, ordered by name. */
     ContractsResult list();
 
-    /** \returns all versions of a contract that are kept, oldest first. */
+    /** \returns all stored versions of a contract, oldest first. */
     ContractsResult history(const OrganisationName &organisation);
 
-    /** Makes \a change, and waits until its outcome is known or the policy's attempts are used. */
+    /** Writes \a change, and retries until its outcome is known or the attempts are used up. */
     ChangeResult apply(const ContractChange &change);
 
 private:
     ChangeResult applyOnce(const ContractChange &change);
     Transaction transactionFor(const ContractChange &change) const;
-    ChangeResult conflict(const ContractChange &change, const CommitResult &result);
-    /** \returns the outcome of a change whose answer was lost, or nothing if it is still open. */
-    std::optional<CommitResult> settled(const ContractChange &change);
+    ChangeResult conflictResult(const ContractChange &change, const CommitResult &result);
+    /** \returns the outcome of a change whose answer was lost, or nothing if still undecided. */
+    std::optional<CommitResult> resolveOutcome(const ContractChange &change);
 
     PlatformTable &m_table;
     std::string m_writer;
-    SettlingPolicy m_policy;
+    RetryPolicy m_policy;
 };
 
 } // namespace bulrush::ctl
--- a/src/bulrushctl/daemonaccess.cpp
+++ b/src/bulrushctl/daemonaccess.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr std::size_t mostThreads = 16;
+constexpr std::size_t maxThreads = 16;
 constexpr int statusOk = 200;
 
 } // namespace
@@ -22,17 +22,17 @@
     , m_timeout(timeout)
 { }
 
-std::vector<DaemonAnswer> DaemonAccess::askAll(const std::string &path) const
+std::vector<DaemonAnswer> DaemonAccess::queryAll(const std::string &path) const
 {
     std::vector<DaemonAnswer> answers(m_endpoints.size());
     std::atomic<std::size_t> next{0};
     const auto work = [&] {
         for (std::size_t i = next++; i < m_endpoints.size(); i = next++)
-            answers[i] = ask(m_endpoints[i], path);
+            answers[i] = query(m_endpoints[i], path);
     };
 
     std::vector<std::jthread> threads;
-    for (std::size_t i = 0; i < std::min(mostThreads, m_endpoints.size()); ++i)
+    for (std::size_t i = 0; i < std::min(maxThreads, m_endpoints.size()); ++i)
         threads.emplace_back(work);
     threads.clear();
     return answers;
@@ -41,18 +41,18 @@
 FleetStatus DaemonAccess::status() const
 {
     FleetStatus fleet;
-    for (const DaemonAnswer &answer : askAll("/status")) {
+    for (const DaemonAnswer &answer : queryAll("/status")) {
         auto status = answer.error ? std::nullopt : decodeDaemonStatus(answer.json);
         if (status)
             fleet.daemons.push_back(std::move(*status));
         else
-            fleet.silent.push_back(
+            fleet.unresponsive.push_back(
                 {answer.endpoint, answer.error ? answer.cause : "its answer is no status"});
     }
     return fleet;
 }
 
-DaemonAnswer DaemonAccess::ask(const Endpoint &endpoint, const std::string &path) const
+DaemonAnswer DaemonAccess::query(const Endpoint &endpoint, const std::string &path) const
 {
     const BlockingAnswer answer =
         fetch({"GET", "http://" + toString(endpoint) + path, {}, m_timeout});
--- a/src/bulrushctl/daemonaccess.h
+++ b/src/bulrushctl/daemonaccess.h
@@ -11,52 +11,53 @@
 
 namespace bulrush::ctl {
 
-/** What one daemon answered, or why it did not. */
+/** The answer of one daemon, or the reason why there is none. */
 struct DaemonAnswer
 {
     Endpoint endpoint;
     std::error_code error;
     std::string cause;
-    /** The answer as it came, and the JSON object in it. */
+    /** The body of the answer as received, and the JSON object parsed from it. */
     std::string text;
     Json::Value json;
 };
 
-/** A daemon that was asked and gave no answer. */
-struct SilentDaemon
+/** A daemon that was queried and gave no valid answer. */
+struct UnresponsiveDaemon
 {
     Endpoint endpoint;
     std::string cause;
 };
 
-/** The answers of all daemons that were asked. */
+/** The status of all daemons that were queried. */
 struct FleetStatus
 {
     std::vector<DaemonStatus> daemons;
-    std::vector<SilentDaemon> silent;
+    std::vector<UnresponsiveDaemon> unresponsive;
 };
 
 /**
- * The daemons' ports for operators. All daemons are asked at once, by a bounded number of threads.
+ * Queries the daemons at their ports for operators, all concurrently with a bounded number of
+ * threads.
  *
- * Calls wait for their end. Not thread safe.
+ * Calls block until all daemons have answered or timed out. Not thread safe.
  */
 class DaemonAccess
 {
 public:
-    /** \a timeout is for each call to one daemon. */
+    /** \a timeout applies to each call to one daemon. */
     DaemonAccess(std::vector<Endpoint> endpoints, Duration timeout);
 
     const std::vector<Endpoint> &endpoints() const;
 
-    /** \returns what each daemon answers to GET \a path, in the order of the endpoints. */
-    std::vector<DaemonAnswer> askAll(const std::string &path) const;
+    /** \returns the answer of each daemon to GET \a path, in the order of the endpoints. */
+    std::vector<DaemonAnswer> queryAll(const std::string &path) const;
 
-    /** \returns every daemon's status. */
+    /** Queries the status of all daemons. */
     FleetStatus status() const;
 
 private:
-    DaemonAnswer ask(const Endpoint &endpoint, const std::string &path) const;
+    DaemonAnswer query(const Endpoint &endpoint, const std::string &path) const;
 
     std::vector<Endpoint> m_endpoints;
     Duration m_timeout;
--- a/src/bulrushctl/daemonstatus.cpp
+++ b/src/bulrushctl/daemonstatus.cpp
@@ -17,7 +17,7 @@
     return Id{stringIn(object, name)};
 }
 
-StewardView decodeSteward(const Json::Value &json)
+LeaderView decodeLeader(const Json::Value &json)
 {
     return {nameIn<DomainName>(json, "domain"), nameIn<Incarnation>(json, "holder"),
             numberIn(json, "epoch"), isTrue(json, "isSelf"), isTrue(json, "platformLease")};
@@ -76,7 +76,7 @@
         status.currentAsOfMs = json["currentAsOfMs"].asUInt64();
     decodeNumbers(json["contracts"], status.contracts);
     decodeNumbers(json["counters"], status.counters);
-    decodeList(arrayIn(json, "stewards"), decodeSteward, status.stewards);
+    decodeList(arrayIn(json, "stewards"), decodeLeader, status.leaders);
     decodeList(arrayIn(json, "assignments"), decodeAssignmentView, status.assignments);
     decodeList(arrayIn(json, "servers"), decodeServer, status.servers);
     decodeList(arrayIn(json, "peers"), decodePeer, status.peers);
--- a/src/bulrushctl/daemonstatus.h
+++ b/src/bulrushctl/daemonstatus.h
@@ -13,23 +13,23 @@
 
 namespace bulrush::ctl {
 
-/** What a daemon takes to be the steward of a failure domain. */
-struct StewardView
+/** The leader of a failure domain, according to one daemon. */
+struct LeaderView
 {
     DomainName domain;
-    /** Empty if it knows of none. */
+    /** Empty if the daemon has no leader recorded for the domain. */
     Incarnation holder;
     std::uint64_t epoch = 0;
-    /** Whether the daemon is the holder itself. */
+    /** Whether the reporting daemon is the holder. */
     bool isSelf = false;
     /**
-     * Whether the lease is renewed at the platform, and not by candidates' promises. Only the
-     * holder itself can say.
+     * Whether the lease is renewed at the platform rather than by promises of candidates. Valid
+     * only in the status of the holder.
      */
     bool hasPlatformLease = false;
 };
 
-/** The last assignment of a failure domain that a daemon routes from. */
+/** The latest assignment of a failure domain that a daemon uses for routing. */
 struct AssignmentView
 {
     DomainName domain;
@@ -38,18 +38,19 @@
     std::uint64_t servers = 0;
 };
 
-/** A backend server as a daemon sees it. */
+/** A backend server, according to one daemon. */
 struct ServerView
 {
     ServerName name;
-    Incarnation attendant;
+    /** The daemon that manages the connections of the server. */
+    Incarnation manager;
     std::uint64_t inFlight = 0;
     std::uint64_t slices = 0;
-    /** Whether the daemon takes it to be lost. */
+    /** Whether the daemon considers the server lost. */
     bool isLost = false;
 };
 
-/** Another daemon as a daemon sees it. */
+/** Another daemon, according to one daemon. */
 struct PeerView
 {
     HostName host;
@@ -58,27 +59,27 @@
     std::string state;
 };
 
-/** A daemon's own account, from GET /status on its port for operators. */
+/** The status that a daemon reports at GET /status on its port for operators. */
 struct DaemonStatus
 {
     HostName host;
     DomainName domain;
     Incarnation incarnation;
     bool isLeaving = false;
-    /** Whether it has what it needs to serve; a daemon that doesn't say is taken to be ready. */
+    /** Whether the daemon is ready to serve; true if its status does not contain this. */
     bool isReady = true;
-    /** Age of what it knows; nothing if it can't be sure that it is current. */
+    /** Age of its routing data; nothing if the daemon can't confirm that the data is current. */
     std::optional<std::uint64_t> currentAsOfMs;
-    /** Versions of the contracts that it applies. */
+    /** Versions of the contracts that the daemon applies. */
     std::map<OrganisationName, std::uint64_t> contracts;
-    std::vector<StewardView> stewards;
+    std::vector<LeaderView> leaders;
     std::vector<AssignmentView> assignments;
     std::vector<ServerView> servers;
     std::vector<PeerView> peers;
     std::map<std::string, std::uint64_t> counters;
 };
 
-/** \returns the status in \a json, or nothing if it names no host. Thread safe. */
+/** \returns the status in \a json, or nothing if it contains no host name. Thread safe. */
 std::optional<DaemonStatus> decodeDaemonStatus(const Json::Value &json);
 
 } // namespace bulrush::ctl
--- a/src/bulrushctl/departurereport.h
+++ b/src/bulrushctl/departurereport.h
@@ -7,27 +7,28 @@
 
 namespace bulrush::ctl {
 
-/** How far a host's planned departure is. */
+/** Progress of the planned departure of a host. */
 enum class DepartureStage {
-    NotHeard, ///< its daemon takes new work still
-    Leaving,  ///< its daemon ends what it has
-    Gone,     ///< no daemon answers for the host, and the others take it to be gone
-    Unclear, ///< its daemon did not answer, and others still take it to be there, or none was heard
+    NotStarted, ///< its daemon still accepts new work
+    Leaving,    ///< its daemon completes or hands over its current work
+    Departed,   ///< no daemon answers for the host, and no other daemon lists it as a present peer
+    /** Its daemon does not answer, and other daemons still list it as a peer, or none answers. */
+    Unknown,
 };
 
-/** How far a departure is, and what it waits for. */
+/** Progress of a departure, and the work that it waits for. */
 struct DepartureReport
 {
     HostName host;
-    DepartureStage stage = DepartureStage::Unclear;
-    /** What the daemon has to end or hand over, a line each. */
-    std::vector<std::string> waitsFor;
+    DepartureStage stage = DepartureStage::Unknown;
+    /** What has to happen before the departure is complete, one line for each item. */
+    std::vector<std::string> pendingItems;
 };
 
-/** \returns how far the departure of \a host is, by the daemons' own accounts. Thread safe. */
+/** \returns the progress of the departure of \a host, from the daemons' status. Thread safe. */
 DepartureReport departureReport(const FleetStatus &fleet, const HostName &host);
 
-/** \returns the report in words, a line for the stage and one for each thing that it waits for. */
+/** \returns the report as text: one line for the stage and one for each pending item. */
 std::string toText(const DepartureReport &report);
 
 } // namespace bulrush::ctl
--- a/src/bulrushctl/fleetsummary.cpp
+++ b/src/bulrushctl/fleetsummary.cpp
@@ -10,27 +10,29 @@
 
 namespace {
 
-/** The steward of a domain as the daemon with the highest epoch knows it. */
+/** The state of a failure domain, merged from the status of all daemons. */
 struct DomainView
 {
-    StewardView steward;
+    /** From the status with the highest epoch; the holder's own status takes precedence. */
+    LeaderView leader;
+    /** The latest version. */
     AssignmentView assignment;
     std::size_t hosts = 0;
-    /** Hosts that hold themselves to be steward in the highest epoch. */
+    /** Hosts that report themselves as leader in the highest epoch. */
     std::set<HostName> holders;
 };
 
 using DomainViews = std::map<DomainName, DomainView>;
 
-void takeSteward(DomainView &view, const StewardView &steward, const HostName &host)
+void applyLeader(DomainView &view, const LeaderView &leader, const HostName &host)
 {
-    if (steward.epoch < view.steward.epoch)
+    if (leader.epoch < view.leader.epoch)
         return;
-    if (steward.epoch > view.steward.epoch)
+    if (leader.epoch > view.leader.epoch)
         view.holders.clear();
-    if (steward.epoch > view.steward.epoch || steward.isSelf || view.steward.holder.isEmpty())
-        view.steward = steward;
-    if (steward.isSelf)
+    if (leader.epoch > view.leader.epoch || leader.isSelf || view.leader.holder.isEmpty())
+        view.leader = leader;
+    if (leader.isSelf)
         view.holders.insert(host);
 }
 
@@ -39,12 +41,12 @@
     DomainViews domains;
     for (const DaemonStatus &daemon : fleet.daemons) {
         ++domains[daemon.domain].hosts;
-        for (const StewardView &steward : daemon.stewards)
-            takeSteward(domains[steward.domain], steward, daemon.host);
+        for (const LeaderView &leader : daemon.leaders)
+            applyLeader(domains[leader.domain], leader, daemon.host);
         for (const AssignmentView &assignment : daemon.assignments) {
-            AssignmentView &known = domains[assignment.domain].assignment;
-            if (known.version <= assignment.version)
-                known = assignment;
+            AssignmentView &latest = domains[assignment.domain].assignment;
+            if (latest.version <= assignment.version)
+                latest = assignment;
         }
     }
     return domains;
@@ -68,13 +70,13 @@
     return daemon.isReady ? "serving" : "not ready";
 }
 
-std::string leaseOf(const StewardView &steward)
+std::string leaseOf(const LeaderView &leader)
 {
-    if (steward.holder.isEmpty())
+    if (leader.holder.isEmpty())
         return "-";
-    if (!steward.isSelf)
+    if (!leader.isSelf)
         return "?";
-    return steward.hasPlatformLease ? "platform" : "promises";
+    return leader.hasPlatformLease ? "platform" : "promises";
 }
 
 std::string fenceText(const Fence &fence)
@@ -82,7 +84,7 @@
     return std::to_string(fence.epoch) + "." + std::to_string(fence.sequence);
 }
 
-/** The contract versions in use, to see where hosts differ. */
+/** \returns all versions of each contract that hosts apply; several if the hosts differ. */
 std::map<OrganisationName, std::set<std::uint64_t>> contractVersions(const FleetStatus &fleet)
 {
     std::map<OrganisationName, std::set<std::uint64_t>> versions;
@@ -93,13 +95,13 @@
     return versions;
 }
 
-/** Each server as its attendant knows it, or else as any daemon does. */
+/** \returns each server as its server manager reports it, or else as any other daemon does. */
 std::map<ServerName, ServerView> serversOf(const FleetStatus &fleet)
 {
     std::map<ServerName, ServerView> servers;
     for (const DaemonStatus &daemon : fleet.daemons) {
         for (const ServerView &server : daemon.servers) {
-            if (server.attendant == daemon.incarnation)
+            if (server.manager == daemon.incarnation)
                 servers.insert_or_assign(server.name, server);
             else
                 servers.emplace(server.name, server);
@@ -118,62 +120,63 @@
     return totals;
 }
 
-void addSilent(const FleetStatus &fleet, std::vector<std::string> &needs)
+void addUnresponsive(const FleetStatus &fleet, std::vector<std::string> &issues)
 {
-    for (const SilentDaemon &silent : fleet.silent)
-        needs.push_back("no answer from " + toString(silent.endpoint) + " (" + silent.cause
-                        + "): see whether the platform replaces the host");
+    for (const UnresponsiveDaemon &unresponsive : fleet.unresponsive)
+        issues.push_back("no answer from " + toString(unresponsive.endpoint) + " ("
+                         + unresponsive.cause + "): see whether the platform replaces the host");
 }
 
-void addUnsure(const FleetStatus &fleet, std::vector<std::string> &needs)
+void addUnconfirmed(const FleetStatus &fleet, std::vector<std::string> &issues)
 {
     for (const DaemonStatus &daemon : fleet.daemons) {
         if (!daemon.currentAsOfMs)
-            needs.push_back(daemon.host.value()
-                            + " can't be sure that it is current: see whether it is cut off");
+            issues.push_back(daemon.host.value()
+                             + " can't be sure that it is current: see whether it is cut off");
     }
 }
 
-void addStewards(const DomainViews &domains, std::vector<std::string> &needs)
+void addLeaders(const DomainViews &domains, std::vector<std::string> &issues)
 {
     for (const auto &[domain, view] : domains) {
-        if (view.steward.holder.isEmpty())
-            needs.push_back("no steward known for " + domain.value()
-                            + ": look again in a few seconds; if its last holder and candidates are"
-                              " gone for good, bulrushctl steward release "
-                            + domain.value());
+        if (view.leader.holder.isEmpty())
+            issues.push_back(
+                "no steward known for " + domain.value()
+                + ": look again in a few seconds; if its last holder and candidates are"
+                  " gone for good, bulrushctl steward release "
+                + domain.value());
         if (view.holders.size() < 2)
             continue;
         std::string hosts;
         for (const HostName &host : view.holders)
             hosts += (hosts.empty() ? "" : ", ") + host.value();
-        needs.push_back("more than one host holds itself to be steward of " + domain.value() + ": "
-                        + hosts);
+        issues.push_back("more than one host holds itself to be steward of " + domain.value() + ": "
+                         + hosts);
     }
 }
 
-/** A holder that answers, and doesn't hold itself to be steward, has let its lease lapse. */
-void addLapsed(const FleetStatus &fleet, const DomainViews &domains,
-               std::vector<std::string> &needs)
+/** Reports leases that have lapsed: the holder answers, but does not report itself as leader. */
+void addLapsedLeases(const FleetStatus &fleet, const DomainViews &domains,
+                     std::vector<std::string> &issues)
 {
     for (const auto &[domain, view] : domains) {
-        const Incarnation &holder = view.steward.holder;
+        const Incarnation &holder = view.leader.holder;
         const auto daemon = std::ranges::find(fleet.daemons, holder, &DaemonStatus::incarnation);
         if (!holder.isEmpty() && view.holders.empty() && daemon != fleet.daemons.end())
-            needs.push_back("the steward lease of " + domain.value() + " has lapsed at its holder "
-                            + daemon->host.value()
-                            + ": look again in a few seconds; while the platform is out, its keys"
-                              " are not served");
+            issues.push_back("the steward lease of " + domain.value() + " has lapsed at its holder "
+                             + daemon->host.value()
+                             + ": look again in a few seconds; while the platform is out, its keys"
+                               " are not served");
     }
 }
 
-void addContracts(const FleetStatus &fleet, std::vector<std::string> &needs)
+void addContractDifferences(const FleetStatus &fleet, std::vector<std::string> &issues)
 {
     for (const auto &[organisation, versions] : contractVersions(fleet)) {
         if (versions.size() > 1)
-            needs.push_back("hosts apply versions " + std::to_string(*versions.begin()) + " to "
-                            + std::to_string(*versions.rbegin()) + " of the contract of "
-                            + organisation.value() + ": look again in a few seconds");
+            issues.push_back("hosts apply versions " + std::to_string(*versions.begin()) + " to "
+                             + std::to_string(*versions.rbegin()) + " of the contract of "
+                             + organisation.value() + ": look again in a few seconds");
     }
 }
 
@@ -183,8 +186,8 @@
     for (const DaemonStatus &daemon : fleet.daemons)
         table.addRow({daemon.host.value(), daemon.domain.value(), stateOf(daemon),
                       ageText(daemon.currentAsOfMs), std::to_string(daemon.peers.size())});
-    for (const SilentDaemon &silent : fleet.silent)
-        table.addRow({toString(silent.endpoint), "?", "no answer", "?", "?"});
+    for (const UnresponsiveDaemon &unresponsive : fleet.unresponsive)
+        table.addRow({toString(unresponsive.endpoint), "?", "no answer", "?", "?"});
     return table.text();
 }
 
@@ -192,10 +195,10 @@
 {
     TextTable table{{"DOMAIN", "STEWARD", "EPOCH", "LEASE", "ASSIGNMENT", "SLICES", "SERVERS"}};
     for (const auto &[domain, view] : domainsOf(fleet)) {
-        const StewardView &steward = view.steward;
-        const bool isHeld = !steward.holder.isEmpty();
-        table.addRow({domain.value(), isHeld ? hostOf(fleet, steward.holder) : "none",
-                      std::to_string(steward.epoch), leaseOf(steward),
+        const LeaderView &leader = view.leader;
+        const bool isHeld = !leader.holder.isEmpty();
+        table.addRow({domain.value(), isHeld ? hostOf(fleet, leader.holder) : "none",
+                      std::to_string(leader.epoch), leaseOf(leader),
                       fenceText(view.assignment.version), std::to_string(view.assignment.slices),
                       std::to_string(view.assignment.servers)});
     }
@@ -206,7 +209,7 @@
 {
     TextTable table{{"SERVER", "STATE", "ATTENDANT", "IN FLIGHT", "SLICES"}};
     for (const auto &[name, server] : serversOf(fleet))
-        table.addRow({name.value(), server.isLost ? "lost" : "ok", hostOf(fleet, server.attendant),
+        table.addRow({name.value(), server.isLost ? "lost" : "ok", hostOf(fleet, server.manager),
                       std::to_string(server.inFlight), std::to_string(server.slices)});
     return table.isEmpty() ? std::string{} : "\n" + table.text();
 }
@@ -246,9 +249,9 @@
         Json::Value json{Json::objectValue};
         json["domain"] = domain.value();
         json["hosts"] = Json::UInt64{view.hosts};
-        json["steward"] = view.steward.holder.value();
-        json["epoch"] = Json::UInt64{view.steward.epoch};
-        json["platformLease"] = view.steward.hasPlatformLease;
+        json["steward"] = view.leader.holder.value();
+        json["epoch"] = Json::UInt64{view.leader.epoch};
+        json["platformLease"] = view.leader.hasPlatformLease;
         json["assignment"] = fenceText(view.assignment.version);
         json["slices"] = Json::UInt64{view.assignment.slices};
         json["servers"] = Json::UInt64{view.assignment.servers};
@@ -282,7 +285,7 @@
     for (const auto &[name, server] : serversOf(fleet)) {
         Json::Value json{Json::objectValue};
         json["name"] = name.value();
-        json["attendant"] = server.attendant.value();
+        json["attendant"] = server.manager.value();
         json["lost"] = server.isLost;
         json["inFlight"] = Json::UInt64{server.inFlight};
         json["slices"] = Json::UInt64{server.slices};
@@ -293,26 +296,26 @@
 
 } // namespace
 
-std::vector<std::string> needsOperator(const FleetStatus &fleet)
+std::vector<std::string> operatorIssues(const FleetStatus &fleet)
 {
-    std::vector<std::string> needs;
-    addSilent(fleet, needs);
-    addUnsure(fleet, needs);
+    std::vector<std::string> issues;
+    addUnresponsive(fleet, issues);
+    addUnconfirmed(fleet, issues);
     const DomainViews domains = domainsOf(fleet);
-    addStewards(domains, needs);
-    addLapsed(fleet, domains, needs);
-    addContracts(fleet, needs);
-    return needs;
+    addLeaders(domains, issues);
+    addLapsedLeases(fleet, domains, issues);
+    addContractDifferences(fleet, issues);
+    return issues;
 }
 
 std::string summaryText(const FleetStatus &fleet)
 {
     std::string text = hostsText(fleet) + "\n" + domainsText(fleet) + serversText(fleet)
         + contractsText(fleet) + countersText(fleet) + "\n";
-    const std::vector<std::string> needs = needsOperator(fleet);
-    text += needs.empty() ? "needs an operator's hand: nothing\n" : "needs an operator's hand:\n";
-    for (const std::string &need : needs)
-        text += "  " + need + "\n";
+    const std::vector<std::string> issues = operatorIssues(fleet);
+    text += issues.empty() ? "needs an operator's hand: nothing\n" : "needs an operator's hand:\n";
+    for (const std::string &issue : issues)
+        text += "  " + issue + "\n";
     return text;
 }
 
@@ -326,11 +329,11 @@
     for (const auto &[name, count] : countersOf(fleet))
         json["counters"][name] = Json::UInt64{count};
     json["silent"] = Json::Value{Json::arrayValue};
-    for (const SilentDaemon &silent : fleet.silent)
-        json["silent"].append(toString(silent.endpoint));
+    for (const UnresponsiveDaemon &unresponsive : fleet.unresponsive)
+        json["silent"].append(toString(unresponsive.endpoint));
     json["needsOperator"] = Json::Value{Json::arrayValue};
-    for (const std::string &need : needsOperator(fleet))
-        json["needsOperator"].append(need);
+    for (const std::string &issue : operatorIssues(fleet))
+        json["needsOperator"].append(issue);
     return json;
 }
 
--- a/src/bulrushctl/fleetsummary.h
+++ b/src/bulrushctl/fleetsummary.h
@@ -8,19 +8,19 @@
 namespace bulrush::ctl {
 
 /**
- * \returns what an operator has to look at, a line each; nothing in ordinary times. Losses that the
- * system mends by itself are not in it, unless hosts contradict each other or are silent.
- * Thread safe.
+ * \returns the problems that need an operator, one line each; empty in normal operation. Failures
+ * that the system repairs automatically are not included, unless hosts contradict each other or do
+ * not answer. Thread safe.
  */
-std::vector<std::string> needsOperator(const FleetStatus &fleet);
+std::vector<std::string> operatorIssues(const FleetStatus &fleet);
 
 /**
- * \returns the whole system at a glance: hosts, stewards, assignments, servers, contracts,
- * counters, and what needs an operator's hand. Thread safe.
+ * \returns an overview of the complete system: hosts, domain leaders, assignments, servers,
+ * contracts, counters, and the problems that need an operator. Thread safe.
  */
 std::string summaryText(const FleetStatus &fleet);
 
-/** \returns the same for programs. Thread safe. */
+/** \returns the overview as JSON, for programs. Thread safe. */
 Json::Value summaryJson(const FleetStatus &fleet);
 
 } // namespace bulrush::ctl
--- a/src/bulrushctl/operatorcommands.cpp
+++ b/src/bulrushctl/operatorcommands.cpp
@@ -28,10 +28,10 @@
 
 constexpr Duration pollInterval = 300ms;
 constexpr const char *departureTable = "departure";
-constexpr const char *stewardTable = "steward";
+constexpr const char *leaderTable = "steward";
 constexpr const char *requestIdField = "requestId";
-/** Where a steward row, as io::encodeStewardRow() writes it, has the id of its write. */
-constexpr const char *stewardWriteIdField = "writeId";
+/** The field of a leader row, as written by io::encodeStewardRow(), with the id of its write. */
+constexpr const char *leaderWriteIdField = "writeId";
 
 std::string hostsText(const HostsResult &hosts,
                       const std::map<std::string, std::string> &departures)
@@ -82,7 +82,7 @@
         + std::to_string(assignment.slices.size()) + " slices\n" + table.text();
 }
 
-/** \returns the hosts that answered, and those that they take to be there. */
+/** \returns the hosts that answered, and their peers that are not in state "gone". */
 std::vector<HostName> expectedHosts(const FleetStatus &fleet)
 {
     std::set<HostName> hosts;
@@ -96,7 +96,7 @@
     return {hosts.begin(), hosts.end()};
 }
 
-std::string nowText()
+std::string currentTimeText()
 {
     const std::time_t now = std::chrono::system_clock::to_time_t(std::chrono::system_clock::now());
     return fmt::format("{:%Y-%m-%d %H:%M:%S} UTC", fmt::gmtime(now));
@@ -110,7 +110,7 @@
     case BurnFormat::Csv:
         return io::burnCsv(report);
     case BurnFormat::Html:
-        return io::burnHtml(report, nowText());
+        return io::burnHtml(report, currentTimeText());
     case BurnFormat::Table:
         break;
     }
@@ -120,11 +120,11 @@
 } // namespace
 
 OperatorCommands::OperatorCommands(PlatformTable &table, const DaemonAccess &daemons,
-                                   Console &console, CommandAuthor author)
+                                   Console &console, CommandContext context)
     : m_table(table)
     , m_daemons(daemons)
     , m_console(console)
-    , m_author(std::move(author))
+    , m_context(std::move(context))
 { }
 
 ExitCode OperatorCommands::listHosts()
@@ -151,9 +151,9 @@
         return failure;
 
     const ExitCode planned = planDeparture(host);
-    if (planned != ExitCode::Done || !options.waitFor)
+    if (planned != ExitCode::Done || !options.waitTimeout)
         return planned;
-    return waitUntilGone(host, *options.waitFor);
+    return waitUntilDeparted(host, *options.waitTimeout);
 }
 
 ExitCode OperatorCommands::planDeparture(const HostName &host)
@@ -170,27 +170,27 @@
 
     Json::Value value{Json::objectValue};
     value["host"] = host.value();
-    value["changedBy"] = m_author.changedBy;
-    value[requestIdField] = m_author.requestId;
+    value["changedBy"] = m_context.changedBy;
+    value[requestIdField] = m_context.requestId;
     const CommitResult result =
-        changeRow(m_table, {before, value, requestIdField, m_author.writer}, m_author.policy);
+        changeRow(m_table, {before, value, requestIdField, m_context.writer}, m_context.policy);
     return report(result, "planned: " + host.value() + " leaves");
 }
 
-ExitCode OperatorCommands::waitUntilGone(const HostName &host, Duration waitFor)
+ExitCode OperatorCommands::waitUntilDeparted(const HostName &host, Duration waitTimeout)
 {
-    const Instant end = io::hostNow() + waitFor;
-    std::string shown;
+    const Instant end = io::hostNow() + waitTimeout;
+    std::string lastText;
     while (true) {
         const DepartureReport report = departureReport(m_daemons.status(), host);
         const std::string text = toText(report);
-        if (text != shown)
+        if (text != lastText)
             m_console.out << text << std::flush;
-        if (report.stage == DepartureStage::Gone)
+        if (report.stage == DepartureStage::Departed)
             return ExitCode::Done;
         if (io::hostNow() >= end)
             return ExitCode::Unreachable;
-        shown = text;
+        lastText = text;
         std::this_thread::sleep_for(pollInterval);
     }
 }
@@ -198,7 +198,7 @@
 ExitCode OperatorCommands::showAssignment(const DomainName &domain)
 {
     std::optional<Assignment> latest;
-    for (const DaemonAnswer &answer : m_daemons.askAll("/assignment?domain=" + domain.value())) {
+    for (const DaemonAnswer &answer : m_daemons.queryAll("/assignment?domain=" + domain.value())) {
         auto assignment = answer.error ? std::nullopt : io::decodeAssignment(answer.json);
         if (assignment && (!latest || latest->version < assignment->version))
             latest = std::move(assignment);
@@ -228,7 +228,7 @@
 ExitCode OperatorCommands::reportBurn(BurnFormat format)
 {
     std::vector<BurnSnapshot> snapshots;
-    for (const DaemonAnswer &answer : m_daemons.askAll("/burn")) {
+    for (const DaemonAnswer &answer : m_daemons.queryAll("/burn")) {
         BurnSnapshot snapshot;
         const std::error_code error =
             answer.error ? answer.error : io::decodeBurnSnapshot(answer.text, snapshot);
@@ -248,7 +248,7 @@
     return ExitCode::Done;
 }
 
-ExitCode OperatorCommands::releaseSteward(const DomainName &domain, bool isConfirmedGone)
+ExitCode OperatorCommands::releaseLeadership(const DomainName &domain, bool isConfirmedGone)
 {
     if (!isConfirmedGone)
         return refuse("releasing the stewardship of " + domain.value()
@@ -256,7 +256,7 @@
                         " with candidates that promise, two stewards decide, and keys can have two"
                         " owners.\nSay --confirm-gone if you have made sure. Nothing was changed");
 
-    const RowsResult rows = m_table.read({{stewardTable, domain.value()}});
+    const RowsResult rows = m_table.read({{leaderTable, domain.value()}});
     if (rows.error)
         return fail(rows.error, rows.cause);
     const TableRow &before = rows.rows.front();
@@ -267,11 +267,11 @@
     if (!row)
         return refuse("the steward row of " + domain.value()
                       + " is not of the form that this bulrushctl knows");
-    const StewardRow released =
-        releasedByOperator(*row, Incarnation{m_author.writer}, StewardWriteId{m_author.requestId});
+    const StewardRow released = releasedByOperator(*row, Incarnation{m_context.writer},
+                                                   StewardWriteId{m_context.requestId});
     const CommitResult result = changeRow(
-        m_table, {before, io::encodeStewardRow(released), stewardWriteIdField, m_author.writer},
-        m_author.policy);
+        m_table, {before, io::encodeStewardRow(released), leaderWriteIdField, m_context.writer},
+        m_context.policy);
     return report(result,
                   "released: the stewardship of " + domain.value()
                       + "; a daemon takes it when the lease and promises of its last holder have"
@@ -292,19 +292,19 @@
 
 ExitCode OperatorCommands::report(const CommitResult &result, const std::string &done)
 {
-    switch (result.end) {
-    case CommitEnd::Committed:
+    switch (result.outcome) {
+    case CommitOutcome::Committed:
         m_console.out << done << "\n";
         return ExitCode::Done;
-    case CommitEnd::Conflict:
+    case CommitOutcome::Conflict:
         m_console.err << "error: " << result.cause << "; look again and repeat if need be\n";
         return ExitCode::Conflict;
-    case CommitEnd::Refused:
+    case CommitOutcome::Refused:
         return refuse("the platform refused it: " + result.cause);
-    case CommitEnd::NotSent:
+    case CommitOutcome::NotSent:
         m_console.err << "error: nothing was sent: " << result.cause << "\n";
         return ExitCode::Unreachable;
-    case CommitEnd::Unknown:
+    case CommitOutcome::Unknown:
         break;
     }
     m_console.err << "error: unknown outcome, it may have taken effect or may still do so: "
--- a/src/bulrushctl/operatorcommands.h
+++ b/src/bulrushctl/operatorcommands.h
@@ -1,9 +1,9 @@
 #pragma once
 
+#include "commitwithretries.h"
 #include "console.h"
 #include "exitcode.h"
 #include "process/clock.h"
-#include "settledcommit.h"
 #include "version/identifier.h"
 
 #include <optional>
@@ -13,30 +13,30 @@
 
 class DaemonAccess;
 
-/** Who gives a command, and how patiently it is carried out. */
-struct CommandAuthor
+/** The author and identifiers of the writes of a command, and how they are retried. */
+struct CommandContext
 {
     std::string changedBy;
     std::string requestId;
     std::string writer;
-    SettlingPolicy policy;
+    RetryPolicy policy;
 };
 
-/** The form of the report on service-level burn. */
+/** Output format of the report on service-level burn. */
 enum class BurnFormat { Table, Json, Csv, Html };
 
-/** How a departure is planned. */
+/** Options of the command that plans the departure of a host. */
 struct LeaveOptions
 {
-    /** The host need not be in the platform's list. */
+    /** Whether the host may be missing from the platform's list. */
     bool isUnlistedAllowed = false;
-    /** Shows how far it is until the host is gone, for so long at most. */
-    std::optional<Duration> waitFor;
+    /** Maximum time to show progress until the host has left; nothing if not to wait. */
+    std::optional<Duration> waitTimeout;
 };
 
 /**
- * The commands about hosts, stewards, assignments and the system as a whole. Each prints its
- * outcome and returns the exit code.
+ * The commands about hosts, domain leaders, assignments and the complete system. Each prints its
+ * result and returns the exit code.
  *
  * Not thread safe.
  */
@@ -44,40 +44,41 @@
 {
 public:
     OperatorCommands(PlatformTable &table, const DaemonAccess &daemons, Console &console,
-                     CommandAuthor author);
+                     CommandContext context);
 
-    /** Prints the platform's list of hosts, which lags, with the departures that are planned. */
+    /** Prints the platform's list of hosts, which may be outdated, with the planned departures. */
     ExitCode listHosts();
 
-    /** Plans the departure of \a host, and follows it if the options say so. */
+    /** Plans the departure of \a host, and waits for it if \a options has a time limit for that. */
     ExitCode leave(const HostName &host, const LeaveOptions &options);
 
-    /** Prints who owns which slice of \a domain, as the daemon with the latest version knows it. */
+    /** Prints the slices and owners in the latest assignment of \a domain that a daemon reports. */
     ExitCode showAssignment(const DomainName &domain);
 
     ExitCode status();
 
-    /** Prints the service-level burn of all operations, as counted by the daemons that answer. */
+    /** Prints the service-level burn of all operations, merged from the daemons that answer. */
     ExitCode reportBurn(BurnFormat format);
 
     /**
-     * Releases the stewardship of \a domain. \a isConfirmedGone says that the operator vouches for
-     * the holder and its candidates being gone; without it nothing is done.
+     * Releases the leadership of \a domain. \a isConfirmedGone states that the operator has
+     * verified that the holder and its candidates have stopped for good; if it is false, nothing is
+     * changed.
      */
-    ExitCode releaseSteward(const DomainName &domain, bool isConfirmedGone);
+    ExitCode releaseLeadership(const DomainName &domain, bool isConfirmedGone);
 
 private:
     ExitCode fail(const std::error_code &error, const std::string &cause);
     ExitCode refuse(const std::string &reason);
     ExitCode report(const CommitResult &result, const std::string &done);
     ExitCode planDeparture(const HostName &host);
-    ExitCode waitUntilGone(const HostName &host, Duration waitFor);
+    ExitCode waitUntilDeparted(const HostName &host, Duration waitTimeout);
     bool isListed(const HostName &host, ExitCode &failure);
 
     PlatformTable &m_table;
     const DaemonAccess &m_daemons;
     Console &m_console;
-    CommandAuthor m_author;
+    CommandContext m_context;
 };
 
 } // namespace bulrush::ctl
--- a/src/bulrushctl/platformaccess.cpp
+++ b/src/bulrushctl/platformaccess.cpp
@@ -55,15 +55,15 @@
     return rows;
 }
 
-/** The body of an answer with status 200, or why there is none. */
-struct Answered
+/** The JSON object of an answer with status 200, or the reason why there is none. */
+struct ParsedAnswer
 {
     std::error_code error;
     std::string cause;
     Json::Value json;
 };
 
-Answered answered(const BlockingAnswer &answer)
+ParsedAnswer parseAnswer(const BlockingAnswer &answer)
 {
     if (answer.error)
         return {make_error_code(CtlError::Unreachable), answer.cause, {}};
@@ -79,49 +79,51 @@
     return {{}, {}, std::move(json)};
 }
 
-RowsResult rowsOf(const BlockingAnswer &answer)
+RowsResult decodeRowsResult(const BlockingAnswer &answer)
 {
-    const Answered result = answered(answer);
+    const ParsedAnswer result = parseAnswer(answer);
     if (result.error)
         return {result.error, result.cause, {}};
     return {{}, {}, decodeRows(arrayIn(result.json, "rows"))};
 }
 
-CommitResult committed(const Json::Value &json)
+CommitResult committedResult(const Json::Value &json)
 {
     CommitResult result;
-    result.end = CommitEnd::Committed;
+    result.outcome = CommitOutcome::Committed;
     for (const Json::Value &version : arrayIn(json, "versions"))
         result.versions.push_back(version.isUInt64() ? version.asUInt64() : 0);
     return result;
 }
 
-CommitResult ended(CommitEnd end, std::string cause)
+CommitResult failedCommit(CommitOutcome outcome, std::string cause)
 {
     CommitResult result;
-    result.end = end;
+    result.outcome = outcome;
     result.cause = std::move(cause);
     return result;
 }
 
-CommitResult commitOf(const BlockingAnswer &answer)
+CommitResult decodeCommitResult(const BlockingAnswer &answer)
 {
     if (answer.error == CtlError::Unreachable)
-        return ended(CommitEnd::NotSent, answer.cause);
+        return failedCommit(CommitOutcome::NotSent, answer.cause);
     if (answer.error)
-        return ended(CommitEnd::Unknown, answer.cause);
+        return failedCommit(CommitOutcome::Unknown, answer.cause);
 
     const Json::Value json = io::parsedJson(answer.body);
     if (answer.status == statusBadRequest)
-        return ended(CommitEnd::Refused, stringIn(json, "error"));
+        return failedCommit(CommitOutcome::Refused, stringIn(json, "error"));
     if (!json.isObject())
-        return ended(CommitEnd::Unknown, "the platform answered " + std::to_string(answer.status));
+        return failedCommit(CommitOutcome::Unknown,
+                            "the platform answered " + std::to_string(answer.status));
     if (answer.status == statusOk && json["committed"] == true)
-        return committed(json);
+        return committedResult(json);
     if (answer.status != statusConflict)
-        return ended(CommitEnd::Unknown, "the platform answered " + std::to_string(answer.status));
+        return failedCommit(CommitOutcome::Unknown,
+                            "the platform answered " + std::to_string(answer.status));
 
-    CommitResult result = ended(CommitEnd::Conflict, "a row has changed");
+    CommitResult result = failedCommit(CommitOutcome::Conflict, "a row has changed");
     result.conflicts = decodeRows(arrayIn(json, "conflicts"));
     return result;
 }
@@ -140,7 +142,8 @@
     for (const RowId &id : ids)
         json["keys"].append(encode(id));
 
-    RowsResult result = rowsOf(ask("POST", "/table/read", io::compactText(json)));
+    RowsResult result =
+        decodeRowsResult(callAnyEndpoint("POST", "/table/read", io::compactText(json)));
     if (!result.error && result.rows.size() != ids.size())
         return {make_error_code(CtlError::BadAnswer), "the platform left rows out", {}};
     return result;
@@ -157,11 +160,12 @@
         json["prefix"] = prefix;
         json["after"] = after;
         json["limit"] = pageSize;
-        RowsResult page = rowsOf(ask("POST", "/table/scan", io::compactText(json)));
+        RowsResult page =
+            decodeRowsResult(callAnyEndpoint("POST", "/table/scan", io::compactText(json)));
         if (page.error)
             return page;
 
-        // A page may be shorter than was asked for, so that only an empty one is the last.
+        // A page may be shorter than the limit, so only an empty page marks the end.
         if (page.rows.empty() || page.rows.back().id.key <= after)
             return all;
         all.rows.insert(all.rows.end(), page.rows.begin(), page.rows.end());
@@ -172,10 +176,11 @@
 CommitResult PlatformAccess::transact(const Transaction &transaction)
 {
     const std::string body = encode(transaction);
-    CommitResult result = ended(CommitEnd::NotSent, "no endpoint of the platform is known");
+    CommitResult result =
+        failedCommit(CommitOutcome::NotSent, "no endpoint of the platform is known");
     for (const Endpoint &endpoint : m_endpoints) {
-        result = commitOf(callOne(endpoint, "POST", "/table/transact", body));
-        if (result.end != CommitEnd::NotSent)
+        result = decodeCommitResult(callEndpoint(endpoint, "POST", "/table/transact", body));
+        if (result.outcome != CommitOutcome::NotSent)
             return result;
     }
     return result;
@@ -183,7 +188,7 @@
 
 HostsResult PlatformAccess::hosts()
 {
-    const Answered result = answered(ask("GET", "/hosts", {}));
+    const ParsedAnswer result = parseAnswer(callAnyEndpoint("GET", "/hosts", {}));
     if (result.error)
         return {result.error, result.cause, 0, {}};
 
@@ -196,22 +201,22 @@
     return hosts;
 }
 
-BlockingAnswer PlatformAccess::ask(const std::string &method, const std::string &path,
-                                   const std::string &body)
+BlockingAnswer PlatformAccess::callAnyEndpoint(const std::string &method, const std::string &path,
+                                               const std::string &body)
 {
     BlockingAnswer answer;
     answer.error = make_error_code(CtlError::Unreachable);
     answer.cause = "no endpoint of the platform is known";
     for (const Endpoint &endpoint : m_endpoints) {
-        answer = callOne(endpoint, method, path, body);
+        answer = callEndpoint(endpoint, method, path, body);
         if (!answer.error && answer.status == statusOk)
             return answer;
     }
     return answer;
 }
 
-BlockingAnswer PlatformAccess::callOne(const Endpoint &endpoint, const std::string &method,
-                                       const std::string &path, const std::string &body)
+BlockingAnswer PlatformAccess::callEndpoint(const Endpoint &endpoint, const std::string &method,
+                                            const std::string &path, const std::string &body)
 {
     BlockingAnswer answer = fetch({method, "http://" + toString(endpoint) + path, body, m_timeout});
     if (answer.error)
--- a/src/bulrushctl/platformaccess.h
+++ b/src/bulrushctl/platformaccess.h
@@ -12,13 +12,14 @@
 struct BlockingAnswer;
 
 /**
- * The platform over HTTP, as docs/interfaces/platform.md describes it. Its endpoints are tried in
- * turn; a write goes to the next one only if nothing of it was sent to the one before.
+ * Accesses the platform over HTTP, as described in docs/interfaces/platform.md. The endpoints are
+ * tried in order; a write is sent to the next endpoint only if no part of it was sent to the
+ * previous one.
  */
 class PlatformAccess final : public PlatformTable
 {
 public:
-    /** \a timeout is for each call to one endpoint. */
+    /** \a timeout applies to each call to one endpoint. */
     PlatformAccess(std::vector<Endpoint> endpoints, Duration timeout);
 
     RowsResult read(const std::vector<RowId> &ids) override;
@@ -27,11 +28,14 @@
     HostsResult hosts() override;
 
 private:
-    /** Makes a call that changes nothing; \returns the first answer with status 200, or the last.
+    /**
+     * Sends a read-only request to the endpoints in order. \returns the first answer with status
+     * 200, or else the last answer.
      */
-    BlockingAnswer ask(const std::string &method, const std::string &path, const std::string &body);
-    BlockingAnswer callOne(const Endpoint &endpoint, const std::string &method,
-                           const std::string &path, const std::string &body);
+    BlockingAnswer callAnyEndpoint(const std::string &method, const std::string &path,
+                                   const std::string &body);
+    BlockingAnswer callEndpoint(const Endpoint &endpoint, const std::string &method,
+                                const std::string &path, const std::string &body);
 
     std::vector<Endpoint> m_endpoints;
     Duration m_timeout;
--- a/src/bulrushctl/platformtable.h
+++ b/src/bulrushctl/platformtable.h
@@ -9,7 +9,7 @@
 
 namespace bulrush::ctl {
 
-/** Where a row of the platform's table is. */
+/** Identifies a row in one of the platform's tables. */
 struct RowId
 {
     std::string table;
@@ -18,7 +18,7 @@
     bool operator==(const RowId &) const = default;
 };
 
-/** A row as read; version 0 means that it does not exist. */
+/** A row as read; version 0 if it does not exist. */
 struct TableRow
 {
     RowId id;
@@ -26,21 +26,21 @@
     Json::Value value;
 };
 
-/** A write is done only if the row is still at this version. */
+/** Requires that a row still has this version. */
 struct RowCondition
 {
     RowId id;
     std::uint64_t version = 0;
 };
 
-/** A row's new value. */
+/** The new value of a row. */
 struct RowWrite
 {
     RowId id;
     Json::Value value;
 };
 
-/** Writes that take effect together, if all conditions hold, or not at all. */
+/** Writes that take effect atomically, and only if all conditions hold. */
 struct Transaction
 {
     std::string requestId;
@@ -49,27 +49,27 @@
     std::vector<RowWrite> writes;
 };
 
-/** How a transaction ended, as far as the sender can tell. */
-enum class CommitEnd {
+/** The outcome of a transaction from the point of view of the sender. */
+enum class CommitOutcome {
     Committed,
     Conflict, ///< a condition did not hold; no write took effect
-    Refused,  ///< the platform can't make sense of it; no write took effect
-    NotSent,  ///< nothing reached the platform
+    Refused,  ///< the platform rejects it as malformed; no write took effect
+    NotSent,  ///< nothing was sent to the platform
     Unknown,  ///< no answer: the writes may have taken effect, or may still do so
 };
 
 struct CommitResult
 {
-    CommitEnd end = CommitEnd::Unknown;
-    /** The rows' new versions, in the order of the writes, if committed. */
+    CommitOutcome outcome = CommitOutcome::Unknown;
+    /** The new versions of the rows, in the order of the writes, if committed. */
     std::vector<std::uint64_t> versions;
-    /** The rows whose conditions did not hold, as they are now. */
+    /** The current state of the rows whose conditions did not hold. */
     std::vector<TableRow> conflicts;
-    /** The cause in words, if not committed. */
+    /** Description of the cause, if not committed. */
     std::string cause;
 };
 
-/** Rows, or why there are none. */
+/** Rows, or the reason why they could not be read. */
 struct RowsResult
 {
     std::error_code error;
@@ -77,7 +77,7 @@
     std::vector<TableRow> rows;
 };
 
-/** A host in the platform's list, which lags behind the truth. */
+/** A host in the platform's list, which may be outdated. */
 struct ListedHost
 {
     std::string name;
@@ -87,7 +87,7 @@
     std::string address;
 };
 
-/** The platform's list of hosts, or why there is none. */
+/** The platform's list of hosts, or the reason why it could not be read. */
 struct HostsResult
 {
     std::error_code error;
@@ -97,9 +97,9 @@
 };
 
 /**
- * What the client needs of the platform; a test puts its own in place of the real one.
+ * The platform's operations that bulrushctl uses; an interface, so that tests can replace it.
  *
- * Calls wait for their end. Not thread safe.
+ * Calls block until they complete or time out. Not thread safe.
  */
 class PlatformTable
 {
--- a/src/bulrushctl/rowchange.h
+++ b/src/bulrushctl/rowchange.h
@@ -1,12 +1,12 @@
 #pragma once
 
-#include "settledcommit.h"
+#include "commitwithretries.h"
 
 #include <string>
 
 namespace bulrush::ctl {
 
-/** One row's new value, and what its write is known by. */
+/** The new value of one row, and the identification of the write. */
 struct RowChange
 {
     /** The row as it was read. */
@@ -18,9 +18,9 @@
 };
 
 /**
- * Writes one row by compare-and-set, and settles a lost answer by reading the row: it is ours if it
- * holds the id of our write. \returns Committed, Conflict, Refused, NotSent or Unknown.
+ * Writes one row by compare-and-set. If the answer is lost, reads the row: the write has taken
+ * effect if the row holds its id. The outcome is Committed, Conflict, Refused, NotSent or Unknown.
  */
-CommitResult changeRow(PlatformTable &table, const RowChange &change, const SettlingPolicy &policy);
+CommitResult changeRow(PlatformTable &table, const RowChange &change, const RetryPolicy &policy);
 
 } // namespace bulrush::ctl
--- a/tests/bulrushctl/fakeplatform.cpp
+++ b/tests/bulrushctl/fakeplatform.cpp
@@ -46,7 +46,7 @@
     case Fault::None:
         return commit(transaction);
     case Fault::NotSent:
-        return {ctl::CommitEnd::NotSent, {}, {}, "connection refused"};
+        return {ctl::CommitOutcome::NotSent, {}, {}, "connection refused"};
     case Fault::LostAfterEffect:
         commit(transaction);
         break;
@@ -56,7 +56,7 @@
     case Fault::LostWithoutEffect:
         break;
     }
-    return {ctl::CommitEnd::Unknown, {}, {}, "the answer was lost"};
+    return {ctl::CommitOutcome::Unknown, {}, {}, "the answer was lost"};
 }
 
 ctl::HostsResult FakePlatform::hosts()
@@ -96,12 +96,12 @@
             result.conflicts.push_back(now);
     }
     if (!result.conflicts.empty()) {
-        result.end = ctl::CommitEnd::Conflict;
+        result.outcome = ctl::CommitOutcome::Conflict;
         result.cause = "a row has changed";
         return result;
     }
 
-    result.end = ctl::CommitEnd::Committed;
+    result.outcome = ctl::CommitOutcome::Committed;
     for (const ctl::RowWrite &write : transaction.writes) {
         set(write.id, write.value);
         result.versions.push_back(row(write.id).version);
--- a/tests/bulrushctl/test_contractcommands.cpp
+++ b/tests/bulrushctl/test_contractcommands.cpp
@@ -142,7 +142,7 @@
         ContractStore other{desk.platform, "bulrushctl-other", {}};
         const ChangeResult first =
             other.apply({leuvensport, 1, withRate(1, 3500), {"bo", "request-of-bo"}});
-        BOOST_CHECK(first.end == ChangeEnd::Accepted);
+        BOOST_CHECK(first.outcome == ChangeOutcome::Accepted);
     };
     BOOST_CHECK(desk.put(withRate(1, 2000), "an") == ExitCode::Conflict);
     BOOST_TEST(desk.version() == 2u);
@@ -228,7 +228,7 @@
          }}};
     const ChangeResult result =
         store.apply({leuvensport, 1, withRate(1, 3500), {"an", "request-of-an-2"}});
-    BOOST_CHECK(result.end == ChangeEnd::Accepted);
+    BOOST_CHECK(result.outcome == ChangeOutcome::Accepted);
     BOOST_TEST(result.version == 2u);
     BOOST_TEST(desk.version() == 3u);
 }
--- a/tests/bulrushctl/test_operatorcommands.cpp
+++ b/tests/bulrushctl/test_operatorcommands.cpp
@@ -104,10 +104,10 @@
 {
     Desk desk;
     desk.platform.set(steward, stewardRow());
-    BOOST_CHECK(desk.commands.releaseSteward(DomainName{"antwerp"}, false) == ExitCode::Refused);
+    BOOST_CHECK(desk.commands.releaseLeadership(DomainName{"antwerp"}, false) == ExitCode::Refused);
     BOOST_TEST(desk.platform.row(steward).version == 1u);
 
-    BOOST_CHECK(desk.commands.releaseSteward(DomainName{"antwerp"}, true) == ExitCode::Done);
+    BOOST_CHECK(desk.commands.releaseLeadership(DomainName{"antwerp"}, true) == ExitCode::Done);
     const StewardRow row = stewardRowOf(desk.platform);
     BOOST_TEST(row.isReleased);
     BOOST_CHECK(row.leaseLength == 11200ms);
@@ -124,18 +124,18 @@
     desk.platform.beforeTransact = [&] {
         desk.platform.set(steward, stewardRow());
     };
-    BOOST_CHECK(desk.commands.releaseSteward(DomainName{"antwerp"}, true) == ExitCode::Conflict);
+    BOOST_CHECK(desk.commands.releaseLeadership(DomainName{"antwerp"}, true) == ExitCode::Conflict);
     BOOST_TEST(!stewardRowOf(desk.platform).isReleased);
 }
 
 BOOST_AUTO_TEST_CASE(unknownStewardRowIsLeftAlone)
 {
     Desk desk;
-    BOOST_CHECK(desk.commands.releaseSteward(DomainName{"antwerp"}, true) == ExitCode::Refused);
+    BOOST_CHECK(desk.commands.releaseLeadership(DomainName{"antwerp"}, true) == ExitCode::Refused);
     Json::Value row = stewardRow();
     row.removeMember("promiseLengthNs");
     desk.platform.set(steward, row);
-    BOOST_CHECK(desk.commands.releaseSteward(DomainName{"antwerp"}, true) == ExitCode::Refused);
+    BOOST_CHECK(desk.commands.releaseLeadership(DomainName{"antwerp"}, true) == ExitCode::Refused);
     BOOST_TEST(desk.platform.row(steward).version == 1u);
 }
 
--- a/tests/bulrushctl/test_platformaccess.cpp
+++ b/tests/bulrushctl/test_platformaccess.cpp
@@ -42,18 +42,18 @@
 {
     const CommitResult done =
         commitAfter(answer("200 OK", R"({"committed": true, "versions": [8]})"));
-    BOOST_CHECK(done.end == CommitEnd::Committed);
+    BOOST_CHECK(done.outcome == CommitOutcome::Committed);
     BOOST_TEST(done.versions == std::vector<std::uint64_t>{8});
 
     const CommitResult conflict = commitAfter(answer(
         "409 Conflict",
         R"({"committed": false, "conflicts": [{"table": "contract", "key": "a", "version": 9, "value": 4}]})"));
-    BOOST_CHECK(conflict.end == CommitEnd::Conflict);
+    BOOST_CHECK(conflict.outcome == CommitOutcome::Conflict);
     BOOST_REQUIRE(conflict.conflicts.size() == 1u);
     BOOST_TEST(conflict.conflicts[0].version == 9u);
 
-    BOOST_CHECK(commitAfter(answer("400 Bad Request", R"({"error": "no"})")).end
-                == CommitEnd::Refused);
+    BOOST_CHECK(commitAfter(answer("400 Bad Request", R"({"error": "no"})")).outcome
+                == CommitOutcome::Refused);
 }
 
 BOOST_AUTO_TEST_CASE(answersThatSayNothingLeaveTheOutcomeUnknown)
@@ -62,25 +62,25 @@
          {answer("503 Service Unavailable", ""), answer("500 Oops", "{}"), answer("200 OK", "{}"),
           answer("200 OK", "not json"), std::string{},
           std::string{"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\n{\"committed\": true"}})
-        BOOST_CHECK_MESSAGE(commitAfter(scripted).end == CommitEnd::Unknown, scripted);
+        BOOST_CHECK_MESSAGE(commitAfter(scripted).outcome == CommitOutcome::Unknown, scripted);
 }
 
 BOOST_AUTO_TEST_CASE(nothingIsSentToAClosedEndpointAndTheNextIsTried)
 {
-    BOOST_CHECK((PlatformAccess{{closedEndpoint()}, 5s}.transact(transaction()).end)
-                == CommitEnd::NotSent);
-    BOOST_CHECK((PlatformAccess{{}, 5s}.transact(transaction()).end) == CommitEnd::NotSent);
+    BOOST_CHECK((PlatformAccess{{closedEndpoint()}, 5s}.transact(transaction()).outcome)
+                == CommitOutcome::NotSent);
+    BOOST_CHECK((PlatformAccess{{}, 5s}.transact(transaction()).outcome) == CommitOutcome::NotSent);
 
     ScriptedServer platform{{answer("200 OK", R"({"committed": true, "versions": [8]})")}};
     PlatformAccess access{{closedEndpoint(), platform.endpoint()}, 5s};
-    BOOST_CHECK(access.transact(transaction()).end == CommitEnd::Committed);
+    BOOST_CHECK(access.transact(transaction()).outcome == CommitOutcome::Committed);
 }
 
 BOOST_AUTO_TEST_CASE(unknownOutcomeIsNotTriedAtTheNextEndpoint)
 {
     ScriptedServer first{{answer("503 Service Unavailable", "")}};
     PlatformAccess access{{first.endpoint(), closedEndpoint()}, 5s};
-    BOOST_CHECK(access.transact(transaction()).end == CommitEnd::Unknown);
+    BOOST_CHECK(access.transact(transaction()).outcome == CommitOutcome::Unknown);
 }
 
 BOOST_AUTO_TEST_CASE(transactionIsWrittenAsTheInterfaceSays)
--- a/tests/bulrushctl/test_views.cpp
+++ b/tests/bulrushctl/test_views.cpp
@@ -4,10 +4,10 @@
 
 #include "departurereport.h"
 #include "fleetsummary.h"
-#include "forcereport.h"
 #include "jsontext.h"
 #include "linediff.h"
 #include "process/jsonreader.h"
+#include "rolloutreport.h"
 #include "texttable.h"
 
 #include <boost/test/unit_test.hpp>
@@ -114,7 +114,7 @@
 
 BOOST_AUTO_TEST_CASE(healthyFleetNeedsNothing)
 {
-    BOOST_TEST(needsOperator(healthy()).empty());
+    BOOST_TEST(operatorIssues(healthy()).empty());
     test::checkGolden("bulrushctl/status-healthy.txt", summaryText(healthy()));
 }
 
@@ -122,12 +122,12 @@
 {
     FleetStatus fleet{{antwerp1(), antwerp1()}, {}};
     fleet.daemons[1].host = HostName{"antwerp-2"};
-    const auto needs = needsOperator(fleet);
+    const auto needs = operatorIssues(fleet);
     BOOST_REQUIRE(needs.size() == 1u);
     BOOST_TEST(needs[0].find("antwerp-1, antwerp-2") != std::string::npos);
 
-    fleet.daemons[1].stewards[0].epoch = 5;
-    BOOST_TEST(needsOperator(fleet).empty());
+    fleet.daemons[1].leaders[0].epoch = 5;
+    BOOST_TEST(operatorIssues(fleet).empty());
 }
 
 BOOST_AUTO_TEST_CASE(oddStatusesAreNoStatuses)
@@ -137,18 +137,18 @@
     const DaemonStatus odd = status(R"({"host": "h", "contracts": [], "servers": {}, "peers": [1],
         "stewards": [{"epoch": -1}], "counters": {"x": "y"}, "currentAsOfMs": "now"})");
     BOOST_TEST(!odd.currentAsOfMs.has_value());
-    BOOST_TEST(odd.stewards.front().epoch == 0u);
+    BOOST_TEST(odd.leaders.front().epoch == 0u);
 }
 
 BOOST_AUTO_TEST_CASE(forceReportNamesTheHostsThatAreMissing)
 {
-    const ForceReport report = forceReport(troubled(), OrganisationName{"leuvensport"}, 3);
+    const RolloutReport report = rolloutReport(troubled(), OrganisationName{"leuvensport"}, 3);
     BOOST_TEST(report.inForce == 1u);
     BOOST_TEST(report.hosts == 3u);
     test::checkGolden("bulrushctl/force.txt", toText(report));
-    BOOST_TEST(forceReport(troubled(), OrganisationName{"other"}, 1).inForce == 0u);
+    BOOST_TEST(rolloutReport(troubled(), OrganisationName{"other"}, 1).inForce == 0u);
 
-    const ForceReport done = forceReport(healthy(), OrganisationName{"leuvensport"}, 3);
+    const RolloutReport done = rolloutReport(healthy(), OrganisationName{"leuvensport"}, 3);
     BOOST_TEST(toText(done) == "in force at 1 of 1 hosts\n");
 }
 
@@ -159,7 +159,7 @@
     fleet.daemons[0].isLeaving = true;
     text += toText(departureReport(fleet, HostName{"antwerp-1"}));
     fleet.daemons[0].servers.clear();
-    fleet.daemons[0].stewards.clear();
+    fleet.daemons[0].leaders.clear();
     text += toText(departureReport(fleet, HostName{"antwerp-1"}));
     fleet.daemons.erase(fleet.daemons.begin());
     text += toText(departureReport(fleet, HostName{"antwerp-1"}));
@@ -173,8 +173,8 @@
 BOOST_AUTO_TEST_CASE(lapsedLeaseAndUnreadyDaemonAreShown)
 {
     FleetStatus fleet = healthy();
-    fleet.daemons[0].stewards.pop_back();
-    fleet.daemons[0].stewards[0].isSelf = false;
+    fleet.daemons[0].leaders.pop_back();
+    fleet.daemons[0].leaders[0].isSelf = false;
     fleet.daemons[0].servers[0].isLost = true;
     fleet.daemons[0].isReady = false;
     test::checkGolden("bulrushctl/status-lapsed.txt", summaryText(fleet));
