--- a/tests/bulrushctl/fakeplatform.cpp
+++ b/tests/bulrushctl/fakeplatform.cpp
@@ -8,8 +8,8 @@
 
 ctl::RowsResult FakePlatform::read(const std::vector<ctl::RowId> &ids)
 {
-    applyLate();
-    if (isReadingDown)
+    commitDelayed();
+    if (areReadsFailing)
         return {make_error_code(ctl::CtlError::Unreachable), "reads are down", {}};
     ctl::RowsResult result;
     for (const ctl::RowId &id : ids)
@@ -19,8 +19,8 @@
 
 ctl::RowsResult FakePlatform::scan(const std::string &table, const std::string &prefix)
 {
-    applyLate();
-    if (isReadingDown)
+    commitDelayed();
+    if (areReadsFailing)
         return {make_error_code(ctl::CtlError::Unreachable), "reads are down", {}};
     ctl::RowsResult result;
     for (const auto &[key, stored] : m_tables[table]) {
@@ -32,7 +32,7 @@
 
 ctl::CommitResult FakePlatform::transact(const ctl::Transaction &transaction)
 {
-    applyLate();
+    commitDelayed();
     ++transactions;
     if (auto hook = std::exchange(beforeTransact, nullptr))
         hook();
@@ -47,13 +47,13 @@
         return commit(transaction);
     case Fault::NotSent:
         return {ctl::CommitOutcome::NotSent, {}, {}, "connection refused"};
-    case Fault::LostAfterEffect:
+    case Fault::AnswerLostAfterCommit:
         commit(transaction);
         break;
-    case Fault::LostAndEffectLater:
-        m_late.push_back(transaction);
+    case Fault::AnswerLostCommitDelayed:
+        m_delayed.push_back(transaction);
         break;
-    case Fault::LostWithoutEffect:
+    case Fault::LostBeforeCommit:
         break;
     }
     return {ctl::CommitOutcome::Unknown, {}, {}, "the answer was lost"};
@@ -61,7 +61,7 @@
 
 ctl::HostsResult FakePlatform::hosts()
 {
-    return {{}, {}, 800, listed};
+    return {{}, {}, 800, listedHosts};
 }
 
 void FakePlatform::set(const ctl::RowId &id, const Json::Value &value)
@@ -109,9 +109,9 @@
     return result;
 }
 
-void FakePlatform::applyLate()
+void FakePlatform::commitDelayed()
 {
-    for (const ctl::Transaction &transaction : std::exchange(m_late, {}))
+    for (const ctl::Transaction &transaction : std::exchange(m_delayed, {}))
         commit(transaction);
 }
 
--- a/tests/bulrushctl/fakeplatform.h
+++ b/tests/bulrushctl/fakeplatform.h
@@ -9,29 +9,29 @@
 
 namespace bulrush::test {
 
-/** What befalls one transaction that is sent to the platform. */
+/** A fault that is injected into one transaction. */
 enum class Fault {
     None,
-    NotSent,            ///< nothing reaches the platform
-    LostAfterEffect,    ///< the writes take effect, the answer is lost
-    LostWithoutEffect,  ///< the writes never take effect, the answer is lost
-    LostAndEffectLater, ///< the answer is lost, the writes are tried just before the next call
+    NotSent,                 ///< nothing is sent to the platform
+    AnswerLostAfterCommit,   ///< the writes take effect, the answer is lost
+    LostBeforeCommit,        ///< the writes never take effect, the answer is lost
+    AnswerLostCommitDelayed, ///< answer lost, the commit is attempted just before the next call
 };
 
 /**
- * A table in memory, with the versions and the faults of the platform's.
+ * An in-memory table that versions rows as the platform does, and injects faults.
  */
 class FakePlatform final : public ctl::PlatformTable
 {
 public:
-    /** What befalls the next transactions, in turn; none when used up. */
+    /** Faults for the next transactions, in order; no faults when used up. */
     std::vector<Fault> faults;
-    /** Reads fail as long as this is set. */
-    bool isReadingDown = false;
-    /** Called just before the next transaction is looked at, once. */
+    /** Whether reads and scans fail. */
+    bool areReadsFailing = false;
+    /** Called once, just before the next transaction is evaluated. */
     std::function<void()> beforeTransact;
-    /** Hosts that the list has. */
-    std::vector<ctl::ListedHost> listed;
+    /** The hosts in the platform's list. */
+    std::vector<ctl::ListedHost> listedHosts;
     int transactions = 0;
 
     ctl::RowsResult read(const std::vector<ctl::RowId> &ids) override;
@@ -39,9 +39,9 @@
     ctl::CommitResult transact(const ctl::Transaction &transaction) override;
     ctl::HostsResult hosts() override;
 
-    /** Writes a row as if someone else did. */
+    /** Writes a row unconditionally, as another writer would. */
     void set(const ctl::RowId &id, const Json::Value &value);
-    /** Deletes a row; its version goes on when it is made again. */
+    /** Deletes a row; its version count continues when the row is created again. */
     void remove(const ctl::RowId &id);
     ctl::TableRow row(const ctl::RowId &id) const;
 
@@ -53,10 +53,10 @@
     };
 
     ctl::CommitResult commit(const ctl::Transaction &transaction);
-    void applyLate();
+    void commitDelayed();
 
     std::map<std::string, std::map<std::string, Stored>> m_tables;
-    std::vector<ctl::Transaction> m_late;
+    std::vector<ctl::Transaction> m_delayed;
 };
 
 } // namespace bulrush::test
--- a/tests/bulrushctl/scriptedserver.h
+++ b/tests/bulrushctl/scriptedserver.h
@@ -11,7 +11,10 @@
 
 namespace bulrush::test {
 
-/** Takes one connection after another, reads a request, and answers each with the next text. */
+/**
+ * Accepts connections one at a time, reads one request from each, and replies with the next of the
+ * given answers.
+ */
 class ScriptedServer
 {
 public:
@@ -32,7 +35,7 @@
         return m_endpoint;
     }
 
-    /** Waits until all answers are used up. \returns the requests. */
+    /** Waits until all answers are sent. \returns the received requests. */
     const std::vector<std::string> &requests()
     {
         m_thread.join();
@@ -59,7 +62,7 @@
     std::thread m_thread;
 };
 
-/** \returns a whole answer over HTTP. */
+/** \returns a complete HTTP answer. */
 inline std::string answer(const std::string &status, const std::string &body)
 {
     return "HTTP/1.1 " + status + "\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n"
--- a/tests/bulrushctl/test_contractcommands.cpp
+++ b/tests/bulrushctl/test_contractcommands.cpp
@@ -24,7 +24,7 @@
 namespace {
 
 const OrganisationName leuvensport{"leuvensport"};
-const RowId contractRow{"contract", "leuvensport"};
+const RowId contractRowId{"contract", "leuvensport"};
 
 std::string exampleText()
 {
@@ -32,22 +32,22 @@
                           / "examples/leuvensport/contract.yaml");
 }
 
-std::string replaced(std::string text, const std::string &from, const std::string &to)
+std::string withReplacement(std::string text, const std::string &from, const std::string &to)
 {
     const std::size_t at = text.find(from);
     BOOST_REQUIRE_MESSAGE(at != std::string::npos, from);
     return text.replace(at, from.size(), to);
 }
 
-/** The example with another rate, as one operator would edit it. */
+/** \returns the example contract, based on \a version, with another request rate. */
 std::string withRate(std::uint64_t version, int rate)
 {
-    return replaced(*withVersion(exampleText(), version), "requestsPerSecond: 3000",
-                    "requestsPerSecond: " + std::to_string(rate));
+    return withReplacement(*withVersion(exampleText(), version), "requestsPerSecond: 3000",
+                           "requestsPerSecond: " + std::to_string(rate));
 }
 
-/** A platform, and operators at work on it. */
-struct Desk
+/** A fake platform with the contract commands that operators run against it. */
+struct ContractFixture
 {
     FakePlatform platform;
     std::istringstream in;
@@ -61,7 +61,7 @@
     const std::filesystem::path file = std::filesystem::temp_directory_path()
         / ("bulrush-contract-" + std::to_string(::getpid()) + ".yaml");
 
-    ~Desk()
+    ~ContractFixture()
     {
         std::filesystem::remove(file);
     }
@@ -74,15 +74,15 @@
 
     std::uint64_t version() const
     {
-        return platform.row(contractRow).version;
+        return platform.row(contractRowId).version;
     }
 
-    std::string holder() const
+    std::string changedBy() const
     {
-        return platform.row(contractRow).value["changedBy"].asString();
+        return platform.row(contractRowId).value["changedBy"].asString();
     }
 
-    /** All that was printed, without the temporary file's path. */
+    /** \returns all output, with the path of the temporary file replaced by a fixed name. */
     std::string printed() const
     {
         std::string text = "out:\n" + out.str() + "err:\n" + err.str();
@@ -95,221 +95,223 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(puttingAndEditingAContract)
+BOOST_AUTO_TEST_CASE(contractCanBeCreatedAndChanged)
 {
-    Desk desk;
-    BOOST_CHECK(desk.put(exampleText(), "an") == ExitCode::Done);
-    BOOST_TEST(desk.version() == 1u);
-    BOOST_CHECK(desk.commands.get(leuvensport, {}) == ExitCode::Done);
-    BOOST_TEST(desk.out.str().find("\nversion: 1\n") != std::string::npos);
-
-    desk.out.str({});
-    desk.err.str({});
-    BOOST_CHECK(desk.put(withRate(1, 3500), "bo") == ExitCode::Done);
-    BOOST_CHECK(desk.commands.list() == ExitCode::Done);
-    BOOST_CHECK(desk.commands.history(leuvensport) == ExitCode::Done);
-    test::checkGolden("bulrushctl/contract-put.txt", desk.printed());
+    ContractFixture fixture;
+    BOOST_CHECK(fixture.put(exampleText(), "an") == ExitCode::Done);
+    BOOST_TEST(fixture.version() == 1u);
+    BOOST_CHECK(fixture.commands.get(leuvensport, {}) == ExitCode::Done);
+    BOOST_TEST(fixture.out.str().find("\nversion: 1\n") != std::string::npos);
+
+    fixture.out.str({});
+    fixture.err.str({});
+    BOOST_CHECK(fixture.put(withRate(1, 3500), "bo") == ExitCode::Done);
+    BOOST_CHECK(fixture.commands.list() == ExitCode::Done);
+    BOOST_CHECK(fixture.commands.history(leuvensport) == ExitCode::Done);
+    test::checkGolden("bulrushctl/contract-put.txt", fixture.printed());
 }
 
-BOOST_AUTO_TEST_CASE(puttingTheSameAgainChangesNothing)
+BOOST_AUTO_TEST_CASE(unchangedContractIsNotWritten)
 {
-    Desk desk;
-    desk.put(exampleText(), "an");
-    BOOST_CHECK(desk.put(*withVersion(exampleText(), 1), "bo") == ExitCode::Done);
-    BOOST_TEST(desk.version() == 1u);
+    ContractFixture fixture;
+    fixture.put(exampleText(), "an");
+    BOOST_CHECK(fixture.put(*withVersion(exampleText(), 1), "bo") == ExitCode::Done);
+    BOOST_TEST(fixture.version() == 1u);
 }
 
 BOOST_AUTO_TEST_CASE(staleVersionIsRefusedWithTheDifference)
 {
-    Desk desk;
-    desk.put(exampleText(), "an");
-    desk.put(withRate(1, 3500), "bo");
-    desk.out.str({});
-    desk.err.str({});
-
-    BOOST_CHECK(desk.put(withRate(1, 2000), "an") == ExitCode::Conflict);
-    BOOST_TEST(desk.version() == 2u);
-    test::checkGolden("bulrushctl/contract-stale.txt", desk.printed());
+    ContractFixture fixture;
+    fixture.put(exampleText(), "an");
+    fixture.put(withRate(1, 3500), "bo");
+    fixture.out.str({});
+    fixture.err.str({});
+
+    BOOST_CHECK(fixture.put(withRate(1, 2000), "an") == ExitCode::Conflict);
+    BOOST_TEST(fixture.version() == 2u);
+    test::checkGolden("bulrushctl/contract-stale.txt", fixture.printed());
 }
 
-BOOST_AUTO_TEST_CASE(oneOfTwoOperatorsWinsAndTheOtherIsTold)
+BOOST_AUTO_TEST_CASE(concurrentChangeIsReportedAsConflict)
 {
-    Desk desk;
-    desk.put(exampleText(), "an");
-    desk.err.str({});
-    desk.out.str({});
-    desk.platform.beforeTransact = [&] {
-        ContractStore other{desk.platform, "bulrushctl-other", {}};
+    ContractFixture fixture;
+    fixture.put(exampleText(), "an");
+    fixture.err.str({});
+    fixture.out.str({});
+    fixture.platform.beforeTransact = [&] {
+        ContractStore other{fixture.platform, "bulrushctl-other", {}};
         const ChangeResult first =
             other.apply({leuvensport, 1, withRate(1, 3500), {"bo", "request-of-bo"}});
         BOOST_CHECK(first.outcome == ChangeOutcome::Accepted);
     };
-    BOOST_CHECK(desk.put(withRate(1, 2000), "an") == ExitCode::Conflict);
-    BOOST_TEST(desk.version() == 2u);
-    BOOST_TEST(desk.holder() == "bo");
-    test::checkGolden("bulrushctl/contract-race.txt", desk.printed());
+    BOOST_CHECK(fixture.put(withRate(1, 2000), "an") == ExitCode::Conflict);
+    BOOST_TEST(fixture.version() == 2u);
+    BOOST_TEST(fixture.changedBy() == "bo");
+    test::checkGolden("bulrushctl/contract-race.txt", fixture.printed());
 }
 
 BOOST_AUTO_TEST_CASE(lostAnswerOfAWriteThatTookEffectIsASuccess)
 {
-    Desk desk;
-    desk.platform.faults = {Fault::LostAfterEffect};
-    BOOST_CHECK(desk.put(exampleText(), "an") == ExitCode::Done);
-    BOOST_TEST(desk.version() == 1u);
-    BOOST_TEST(desk.platform.transactions == 1);
+    ContractFixture fixture;
+    fixture.platform.faults = {Fault::AnswerLostAfterCommit};
+    BOOST_CHECK(fixture.put(exampleText(), "an") == ExitCode::Done);
+    BOOST_TEST(fixture.version() == 1u);
+    BOOST_TEST(fixture.platform.transactions == 1);
 }
 
-BOOST_AUTO_TEST_CASE(lostAnswerOfAWriteThatTookNoEffectIsSentAgain)
+BOOST_AUTO_TEST_CASE(writeThatTookNoEffectIsSentAgainAfterALostAnswer)
 {
-    Desk desk;
-    desk.platform.faults = {Fault::LostWithoutEffect};
-    BOOST_CHECK(desk.put(exampleText(), "an") == ExitCode::Done);
-    BOOST_TEST(desk.version() == 1u);
-    BOOST_TEST(desk.platform.transactions == 2);
+    ContractFixture fixture;
+    fixture.platform.faults = {Fault::LostBeforeCommit};
+    BOOST_CHECK(fixture.put(exampleText(), "an") == ExitCode::Done);
+    BOOST_TEST(fixture.version() == 1u);
+    BOOST_TEST(fixture.platform.transactions == 2);
 }
 
-BOOST_AUTO_TEST_CASE(writeThatTakesEffectLateTakesItOnce)
+BOOST_AUTO_TEST_CASE(delayedWriteTakesEffectOnlyOnce)
 {
-    Desk desk;
-    desk.put(exampleText(), "an");
-    desk.platform.faults = {Fault::LostAndEffectLater};
-    BOOST_CHECK(desk.put(withRate(1, 3500), "bo") == ExitCode::Done);
-    BOOST_TEST(desk.version() == 2u);
+    ContractFixture fixture;
+    fixture.put(exampleText(), "an");
+    fixture.platform.faults = {Fault::AnswerLostCommitDelayed};
+    BOOST_CHECK(fixture.put(withRate(1, 3500), "bo") == ExitCode::Done);
+    BOOST_TEST(fixture.version() == 2u);
 }
 
-BOOST_AUTO_TEST_CASE(lostAnswerBehindAnothersChangeIsAConflict)
+BOOST_AUTO_TEST_CASE(lostAnswerFollowedByAnotherChangeIsAConflict)
 {
-    Desk desk;
-    desk.put(exampleText(), "an");
-    desk.platform.faults = {Fault::LostWithoutEffect};
-    desk.platform.beforeTransact = [&] {
-        Json::Value others{Json::objectValue};
-        others["text"] = withRate(2, 9000);
-        others["changedBy"] = "bo";
-        others["requestId"] = "request-of-bo";
-        desk.platform.set(contractRow, others);
+    ContractFixture fixture;
+    fixture.put(exampleText(), "an");
+    fixture.platform.faults = {Fault::LostBeforeCommit};
+    fixture.platform.beforeTransact = [&] {
+        Json::Value otherValue{Json::objectValue};
+        otherValue["text"] = withRate(2, 9000);
+        otherValue["changedBy"] = "bo";
+        otherValue["requestId"] = "request-of-bo";
+        fixture.platform.set(contractRowId, otherValue);
     };
-    BOOST_CHECK(desk.put(withRate(1, 3500), "an") == ExitCode::Conflict);
-    BOOST_TEST(desk.holder() == "bo");
+    BOOST_CHECK(fixture.put(withRate(1, 3500), "an") == ExitCode::Conflict);
+    BOOST_TEST(fixture.changedBy() == "bo");
 }
 
-BOOST_AUTO_TEST_CASE(nextVersionOfAnotherIsNotTakenForOnesOwn)
+BOOST_AUTO_TEST_CASE(sameVersionByAnotherAuthorIsAConflict)
 {
-    Desk desk;
-    desk.put(exampleText(), "an");
-    desk.platform.faults = {Fault::LostWithoutEffect};
-    desk.platform.beforeTransact = [&] {
-        // The other operator's transaction is sent from within ours, and meets no fault.
-        const auto faults = std::exchange(desk.platform.faults, {});
-        ContractStore other{desk.platform, "bulrushctl-other", {}};
+    ContractFixture fixture;
+    fixture.put(exampleText(), "an");
+    fixture.platform.faults = {Fault::LostBeforeCommit};
+    fixture.platform.beforeTransact = [&] {
+        // The other operator's transaction runs within this one, so the fault that is meant for
+        // this one is suspended.
+        const auto faults = std::exchange(fixture.platform.faults, {});
+        ContractStore other{fixture.platform, "bulrushctl-other", {}};
         other.apply({leuvensport, 1, withRate(1, 9000), {"bo", "request-of-bo"}});
-        desk.platform.faults = faults;
+        fixture.platform.faults = faults;
     };
-    BOOST_CHECK(desk.put(withRate(1, 3500), "an") == ExitCode::Conflict);
-    BOOST_TEST(desk.version() == 2u);
-    BOOST_TEST(desk.holder() == "bo");
+    BOOST_CHECK(fixture.put(withRate(1, 3500), "an") == ExitCode::Conflict);
+    BOOST_TEST(fixture.version() == 2u);
+    BOOST_TEST(fixture.changedBy() == "bo");
 }
 
-BOOST_AUTO_TEST_CASE(ownChangeThatWasOvertakenIsStillASuccess)
+BOOST_AUTO_TEST_CASE(ownChangeThatWasSupersededIsStillASuccess)
 {
-    Desk desk;
-    desk.put(exampleText(), "an");
-    // The answer and the first look at the row are lost; meanwhile another edits what was put.
-    desk.platform.faults = {Fault::LostAfterEffect, Fault::None};
-    desk.platform.isReadingDown = true;
+    ContractFixture fixture;
+    fixture.put(exampleText(), "an");
+    // The answer is lost and the first read fails. Before the retry after that, another operator
+    // edits the contract that was written.
+    fixture.platform.faults = {Fault::AnswerLostAfterCommit, Fault::None};
+    fixture.platform.areReadsFailing = true;
     ContractStore store{
-        desk.platform,
+        fixture.platform,
         "bulrushctl-test",
         {3, [&] {
-             if (!std::exchange(desk.platform.isReadingDown, false))
+             if (!std::exchange(fixture.platform.areReadsFailing, false))
                  return;
-             ContractStore other{desk.platform, "bulrushctl-other", {}};
+             ContractStore other{fixture.platform, "bulrushctl-other", {}};
              other.apply({leuvensport, 2, withRate(2, 100), {"bo", "request-of-bo"}});
          }}};
     const ChangeResult result =
         store.apply({leuvensport, 1, withRate(1, 3500), {"an", "request-of-an-2"}});
     BOOST_CHECK(result.outcome == ChangeOutcome::Accepted);
     BOOST_TEST(result.version == 2u);
-    BOOST_TEST(desk.version() == 3u);
+    BOOST_TEST(fixture.version() == 3u);
 }
 
-BOOST_AUTO_TEST_CASE(outcomeThatCantBeSettledIsCalledUnknown)
+BOOST_AUTO_TEST_CASE(unresolvedOutcomeIsReportedAsUnknown)
 {
-    Desk desk;
-    desk.put(exampleText(), "an");
-    desk.out.str({});
-    desk.err.str({});
-    desk.platform.faults = {Fault::LostWithoutEffect, Fault::LostWithoutEffect,
-                            Fault::LostWithoutEffect};
-    BOOST_CHECK(desk.put(withRate(1, 3500), "bo") == ExitCode::Unknown);
-    test::checkGolden("bulrushctl/contract-unknown.txt", desk.printed());
+    ContractFixture fixture;
+    fixture.put(exampleText(), "an");
+    fixture.out.str({});
+    fixture.err.str({});
+    fixture.platform.faults = {Fault::LostBeforeCommit, Fault::LostBeforeCommit,
+                               Fault::LostBeforeCommit};
+    BOOST_CHECK(fixture.put(withRate(1, 3500), "bo") == ExitCode::Unknown);
+    test::checkGolden("bulrushctl/contract-unknown.txt", fixture.printed());
 }
 
 BOOST_AUTO_TEST_CASE(unreachablePlatformChangesNothing)
 {
-    Desk desk;
-    desk.platform.faults = {Fault::NotSent, Fault::NotSent, Fault::NotSent};
-    BOOST_CHECK(desk.put(exampleText(), "an") == ExitCode::Unreachable);
-    BOOST_TEST(desk.version() == 0u);
-    desk.platform.isReadingDown = true;
-    BOOST_CHECK(desk.put(exampleText(), "an") == ExitCode::Unreachable);
+    ContractFixture fixture;
+    fixture.platform.faults = {Fault::NotSent, Fault::NotSent, Fault::NotSent};
+    BOOST_CHECK(fixture.put(exampleText(), "an") == ExitCode::Unreachable);
+    BOOST_TEST(fixture.version() == 0u);
+    fixture.platform.areReadsFailing = true;
+    BOOST_CHECK(fixture.put(exampleText(), "an") == ExitCode::Unreachable);
 }
 
-BOOST_AUTO_TEST_CASE(versionGoesOnWhereTheRowHadBeenDeleted)
+BOOST_AUTO_TEST_CASE(versionContinuesAfterTheRowWasDeleted)
 {
-    Desk desk;
-    desk.put(exampleText(), "an");
-    desk.put(withRate(1, 3500), "bo");
-    desk.platform.remove(contractRow);
+    ContractFixture fixture;
+    fixture.put(exampleText(), "an");
+    fixture.put(withRate(1, 3500), "bo");
+    fixture.platform.remove(contractRowId);
 
-    BOOST_CHECK(desk.put(exampleText(), "cy") == ExitCode::Done);
-    const TableRow row = desk.platform.row(contractRow);
+    BOOST_CHECK(fixture.put(exampleText(), "cy") == ExitCode::Done);
+    const TableRow row = fixture.platform.row(contractRowId);
     BOOST_TEST(row.version > 2u);
     BOOST_TEST(row.value["version"].asUInt64() == row.version);
     const std::string line = "\nversion: " + std::to_string(row.version) + "\n";
     BOOST_TEST(row.value["text"].asString().find(line) != std::string::npos);
 }
 
-BOOST_AUTO_TEST_CASE(nothingIsPutWithoutAYes)
+BOOST_AUTO_TEST_CASE(nothingIsWrittenWithoutConfirmation)
 {
-    Desk desk;
-    desk.in.str("n\n");
-    BOOST_CHECK(desk.put(exampleText(), "an", false) == ExitCode::Refused);
-    BOOST_CHECK(desk.put(exampleText(), "an", false) == ExitCode::Refused);
-    BOOST_TEST(desk.platform.transactions == 0);
-    desk.in.clear();
-    desk.in.str("y\n");
-    BOOST_CHECK(desk.put(exampleText(), "an", false) == ExitCode::Done);
+    ContractFixture fixture;
+    fixture.in.str("n\n");
+    BOOST_CHECK(fixture.put(exampleText(), "an", false) == ExitCode::Refused);
+    BOOST_CHECK(fixture.put(exampleText(), "an", false) == ExitCode::Refused);
+    BOOST_TEST(fixture.platform.transactions == 0);
+    fixture.in.clear();
+    fixture.in.str("y\n");
+    BOOST_CHECK(fixture.put(exampleText(), "an", false) == ExitCode::Done);
 }
 
-BOOST_AUTO_TEST_CASE(wrongContractIsNeverSent)
+BOOST_AUTO_TEST_CASE(invalidContractIsNeverSent)
 {
-    Desk desk;
-    const std::string wrong = replaced(exampleText(), "deadline: 800ms", "deadline: 800");
-    BOOST_CHECK(desk.put(wrong, "an") == ExitCode::Refused);
-    BOOST_TEST(desk.platform.transactions == 0);
-    test::checkGolden("bulrushctl/contract-wrong.txt", desk.printed());
+    ContractFixture fixture;
+    const std::string wrong = withReplacement(exampleText(), "deadline: 800ms", "deadline: 800");
+    BOOST_CHECK(fixture.put(wrong, "an") == ExitCode::Refused);
+    BOOST_TEST(fixture.platform.transactions == 0);
+    test::checkGolden("bulrushctl/contract-wrong.txt", fixture.printed());
 }
 
-BOOST_AUTO_TEST_CASE(rollbackIsANewVersionWithTheOldText)
+BOOST_AUTO_TEST_CASE(rollbackWritesTheOldTextAsANewVersion)
 {
-    Desk desk;
-    desk.put(exampleText(), "an");
-    desk.put(withRate(1, 3500), "bo");
+    ContractFixture fixture;
+    fixture.put(exampleText(), "an");
+    fixture.put(withRate(1, 3500), "bo");
     const ChangeOptions options{{"cy", "request-of-cy"}, true, {}};
-    BOOST_CHECK(desk.commands.rollback(leuvensport, 1, options) == ExitCode::Done);
-    BOOST_TEST(desk.version() == 3u);
-    BOOST_TEST(desk.platform.row(contractRow).value["text"].asString()
+    BOOST_CHECK(fixture.commands.rollback(leuvensport, 1, options) == ExitCode::Done);
+    BOOST_TEST(fixture.version() == 3u);
+    BOOST_TEST(fixture.platform.row(contractRowId).value["text"].asString()
                == *withVersion(exampleText(), 3));
-    BOOST_CHECK(desk.commands.rollback(leuvensport, 7, options) == ExitCode::Refused);
+    BOOST_CHECK(fixture.commands.rollback(leuvensport, 7, options) == ExitCode::Refused);
 }
 
-BOOST_AUTO_TEST_CASE(onlyTheFieldsOwnLineIsChanged)
+BOOST_AUTO_TEST_CASE(onlyTheVersionLineIsChanged)
 {
-    const std::string text = replaced(exampleText(), "version: 0", "version: 0   # as read");
+    const std::string text = withReplacement(exampleText(), "version: 0", "version: 0   # as read");
     const auto changed = withVersion(text, 12);
     BOOST_REQUIRE(changed);
-    BOOST_TEST(*changed == replaced(text, "version: 0   #", "version: 12   #"));
-    BOOST_TEST(!withVersion(replaced(text, "version: 0", "\"version\": 0"), 12).has_value());
+    BOOST_TEST(*changed == withReplacement(text, "version: 0   #", "version: 12   #"));
+    BOOST_TEST(!withVersion(withReplacement(text, "version: 0", "\"version\": 0"), 12).has_value());
     BOOST_TEST(!withVersion("version: 1\n", 2).has_value());
 }
--- a/tests/bulrushctl/test_daemoncommands.cpp
+++ b/tests/bulrushctl/test_daemoncommands.cpp
@@ -37,14 +37,14 @@
                       + server + R"(", "fence": {"epoch": 4, "sequence": 2}}]})");
 }
 
-/** A command's outcome and what it printed for programs or people. */
-struct Outcome
+/** The exit code of a command and what it printed. */
+struct CommandResult
 {
     ExitCode code = ExitCode::Done;
     std::string out;
 };
 
-Outcome runLine(const std::vector<std::string> &arguments)
+CommandResult runLine(const std::vector<std::string> &arguments)
 {
     std::istringstream in;
     std::ostringstream out;
@@ -53,8 +53,8 @@
     return {code, out.str()};
 }
 
-/** Puts a new contract, which makes version 1, and waits for the daemon at \a endpoint. */
-Outcome putAndWait(const Endpoint &endpoint, Duration waitFor)
+/** Writes a new contract, as version 1, and waits until the daemon at \a endpoint applies it. */
+CommandResult putAndWait(const Endpoint &endpoint, Duration waitTimeout)
 {
     FakePlatform platform;
     ContractStore store{platform, "bulrushctl-test", {}};
@@ -64,34 +64,33 @@
     const DaemonAccess daemons{{endpoint}, 5s};
     ContractCommands commands{store, daemons, console};
     const std::string example = BULRUSH_SOURCE_DIR "/examples/leuvensport/contract.yaml";
-    const ExitCode code = commands.put(example, {{"an", "request-1"}, true, waitFor});
+    const ExitCode code = commands.put(example, {{"an", "request-1"}, true, waitTimeout});
     BOOST_TEST(platform.row({"contract", "leuvensport"}).version == 1u);
     return {code, out.str()};
 }
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(waitsUntilTheDaemonHasTheVersion)
+BOOST_AUTO_TEST_CASE(waitsUntilTheDaemonAppliesTheVersion)
 {
     ScriptedServer daemon{{statusAt(0), statusAt(0), statusAt(1)}};
-    const Outcome outcome = putAndWait(daemon.endpoint(), 60s);
-    BOOST_CHECK(outcome.code == ExitCode::Done);
+    const CommandResult result = putAndWait(daemon.endpoint(), 60s);
+    BOOST_CHECK(result.code == ExitCode::Done);
     BOOST_TEST(daemon.requests().size() == 3u);
-    BOOST_TEST(
-        outcome.out.find("in force at 0 of 1 hosts\n  missing: antwerp-1: still at version 0")
-        != std::string::npos);
-    BOOST_TEST(outcome.out.ends_with("in force at 1 of 1 hosts\n"));
+    BOOST_TEST(result.out.find("in force at 0 of 1 hosts\n  missing: antwerp-1: still at version 0")
+               != std::string::npos);
+    BOOST_TEST(result.out.ends_with("in force at 1 of 1 hosts\n"));
 }
 
-BOOST_AUTO_TEST_CASE(saysWhoIsMissingWhenTheTimeIsUp)
+BOOST_AUTO_TEST_CASE(missingHostsAreReportedOnTimeout)
 {
     ScriptedServer daemon{{statusAt(0)}};
-    const Outcome outcome = putAndWait(daemon.endpoint(), Duration{});
-    BOOST_CHECK(outcome.code == ExitCode::Unreachable);
-    BOOST_TEST(outcome.out.find("missing: antwerp-1") != std::string::npos);
+    const CommandResult result = putAndWait(daemon.endpoint(), Duration{});
+    BOOST_CHECK(result.code == ExitCode::Unreachable);
+    BOOST_TEST(result.out.find("missing: antwerp-1") != std::string::npos);
 }
 
-BOOST_AUTO_TEST_CASE(followsADepartureUntilTheHostIsGone)
+BOOST_AUTO_TEST_CASE(reportsADepartureUntilTheHostHasLeft)
 {
     const auto statusOf = [](const std::string &host, const std::string &rest) {
         return answer("200 OK", R"({"host": ")" + host + R"(", )" + rest + "}");
@@ -118,12 +117,12 @@
 {
     ScriptedServer old{{assignmentAt(16, "catalogue-01")}};
     ScriptedServer latest{{assignmentAt(17, "catalogue-02")}};
-    ScriptedServer odd{{answer("200 OK", R"({"domain": "antwerp"})")}};
-    const Outcome outcome =
+    ScriptedServer malformed{{answer("200 OK", R"({"domain": "antwerp"})")}};
+    const CommandResult result =
         runLine({"assignment", "show", "antwerp", "--daemon", toString(latest.endpoint()),
-                 "--daemon", toString(old.endpoint()), "--daemon", toString(odd.endpoint())});
-    BOOST_CHECK(outcome.code == ExitCode::Done);
-    BOOST_TEST(outcome.out
+                 "--daemon", toString(old.endpoint()), "--daemon", toString(malformed.endpoint())});
+    BOOST_CHECK(result.code == ExitCode::Done);
+    BOOST_TEST(result.out
                == "antwerp version 4.17, 1 slices\n"
                   "SERVICE    BEGIN             END               SERVER        FENCE\n"
                   "catalogue  0000000000000000  ffffffffffffffff  catalogue-02  4.2\n");
@@ -131,19 +130,20 @@
         latest.requests().front().starts_with("GET /assignment?domain=antwerp HTTP/1.1\r\n"));
 }
 
-BOOST_AUTO_TEST_CASE(statusComesFromAllDaemonsThatAnswer)
+BOOST_AUTO_TEST_CASE(statusCombinesAllDaemonsThatAnswer)
 {
     ScriptedServer daemon{{statusAt(1)}};
     ScriptedServer broken{{answer("500 Oops", "")}};
-    const Outcome outcome = runLine({"--output", "json", "--daemon", toString(daemon.endpoint()),
-                                     "--daemon", toString(broken.endpoint()), "status"});
-    BOOST_CHECK(outcome.code == ExitCode::Done);
-    BOOST_TEST(outcome.out.find("\"host\" : \"antwerp-1\"") != std::string::npos);
-    BOOST_TEST(outcome.out.find("no answer from " + toString(broken.endpoint()))
+    const CommandResult result =
+        runLine({"--output", "json", "--daemon", toString(daemon.endpoint()), "--daemon",
+                 toString(broken.endpoint()), "status"});
+    BOOST_CHECK(result.code == ExitCode::Done);
+    BOOST_TEST(result.out.find("\"host\" : \"antwerp-1\"") != std::string::npos);
+    BOOST_TEST(result.out.find("no answer from " + toString(broken.endpoint()))
                != std::string::npos);
 }
 
-BOOST_AUTO_TEST_CASE(burnIsMergedFromTheDaemonsThatTellTheirs)
+BOOST_AUTO_TEST_CASE(burnReportMergesAllDaemonsThatAnswer)
 {
     BurnSnapshot snapshot;
     snapshot.host = HostName{"antwerp-1"};
@@ -155,13 +155,13 @@
     series.windows[0] = {90, 10};
     series.latencies = LatencyHistogram{}.counts();
     ScriptedServer daemon{{answer("200 OK", io::encodeBurnSnapshot(snapshot)), statusAt(1)}};
-    ScriptedServer odd{{answer("200 OK", "{}"), statusAt(1)}};
-    const Outcome outcome =
+    ScriptedServer malformed{{answer("200 OK", "{}"), statusAt(1)}};
+    const CommandResult result =
         runLine({"report", "burn", "--format", "csv", "--daemon", toString(daemon.endpoint()),
-                 "--daemon", toString(odd.endpoint())});
-    BOOST_CHECK(outcome.code == ExitCode::Done);
+                 "--daemon", toString(malformed.endpoint())});
+    BOOST_CHECK(result.code == ExitCode::Done);
     const BurnSnapshot one[]{snapshot};
     const HostName expected[]{snapshot.host};
-    BOOST_TEST(outcome.out == io::burnCsv(burnReport(one, expected)));
-    BOOST_TEST(outcome.out.find("leuvensport,read-item") != std::string::npos);
+    BOOST_TEST(result.out == io::burnCsv(burnReport(one, expected)));
+    BOOST_TEST(result.out.find("leuvensport,read-item") != std::string::npos);
 }
--- a/tests/bulrushctl/test_operatorcommands.cpp
+++ b/tests/bulrushctl/test_operatorcommands.cpp
@@ -20,7 +20,7 @@
 
 namespace {
 
-struct Desk
+struct OperatorFixture
 {
     FakePlatform platform;
     std::istringstream in;
@@ -32,17 +32,17 @@
         platform, daemons, console, {"an", "request-1", "bulrushctl-test", {3, [] {
                                                                             }}}};
 
-    Desk()
+    OperatorFixture()
     {
-        platform.listed = {{"antwerp-1", "antwerp", "entry", "live", "127.0.0.11"},
-                           {"ghent-1", "ghent", "entry", "leaving", "127.0.0.21"}};
+        platform.listedHosts = {{"antwerp-1", "antwerp", "entry", "live", "127.0.0.11"},
+                                {"ghent-1", "ghent", "entry", "leaving", "127.0.0.21"}};
     }
 };
 
-const RowId departure{"departure", "antwerp-1"};
-const RowId steward{"steward", "antwerp"};
+const RowId departureRowId{"departure", "antwerp-1"};
+const RowId leaderRowId{"steward", "antwerp"};
 
-Json::Value stewardRow()
+Json::Value leaderRowJson()
 {
     StewardRow row;
     row.holder = Incarnation{"antwerp-1/7"};
@@ -55,9 +55,9 @@
     return io::encodeStewardRow(row);
 }
 
-StewardRow stewardRowOf(const FakePlatform &platform)
+StewardRow leaderRowOf(const FakePlatform &platform)
 {
-    const auto row = io::decodeStewardRow(platform.row(steward).value);
+    const auto row = io::decodeStewardRow(platform.row(leaderRowId).value);
     BOOST_REQUIRE(row);
     return *row;
 }
@@ -76,39 +76,40 @@
 
 BOOST_AUTO_TEST_CASE(departureIsPlannedOnce)
 {
-    Desk desk;
-    BOOST_CHECK(desk.commands.leave(HostName{"antwerp-1"}, {}) == ExitCode::Done);
-    BOOST_CHECK(desk.commands.leave(HostName{"antwerp-1"}, {}) == ExitCode::Done);
-    BOOST_CHECK(desk.commands.leave(HostName{"antwerp-9"}, {}) == ExitCode::Refused);
-    BOOST_TEST(desk.platform.row(departure).version == 1u);
-    BOOST_CHECK(desk.commands.listHosts() == ExitCode::Done);
+    OperatorFixture fixture;
+    BOOST_CHECK(fixture.commands.leave(HostName{"antwerp-1"}, {}) == ExitCode::Done);
+    BOOST_CHECK(fixture.commands.leave(HostName{"antwerp-1"}, {}) == ExitCode::Done);
+    BOOST_CHECK(fixture.commands.leave(HostName{"antwerp-9"}, {}) == ExitCode::Refused);
+    BOOST_TEST(fixture.platform.row(departureRowId).version == 1u);
+    BOOST_CHECK(fixture.commands.listHosts() == ExitCode::Done);
     test::checkGolden("bulrushctl/host-leave.txt",
-                      "out:\n" + desk.out.str() + "err:\n" + desk.err.str());
+                      "out:\n" + fixture.out.str() + "err:\n" + fixture.err.str());
 }
 
-BOOST_AUTO_TEST_CASE(lostAnswersOfADepartureAreSettled)
+BOOST_AUTO_TEST_CASE(lostAnswersOfADepartureAreResolved)
 {
     for (const Fault fault :
-         {Fault::LostAfterEffect, Fault::LostWithoutEffect, Fault::LostAndEffectLater}) {
-        Desk desk;
-        desk.platform.faults = {fault};
-        BOOST_CHECK(desk.commands.leave(HostName{"antwerp-1"}, {}) == ExitCode::Done);
-        BOOST_TEST(desk.platform.row(departure).version == 1u);
+         {Fault::AnswerLostAfterCommit, Fault::LostBeforeCommit, Fault::AnswerLostCommitDelayed}) {
+        OperatorFixture fixture;
+        fixture.platform.faults = {fault};
+        BOOST_CHECK(fixture.commands.leave(HostName{"antwerp-1"}, {}) == ExitCode::Done);
+        BOOST_TEST(fixture.platform.row(departureRowId).version == 1u);
     }
-    Desk desk;
-    desk.platform.faults.assign(3, Fault::LostWithoutEffect);
-    BOOST_CHECK(desk.commands.leave(HostName{"antwerp-1"}, {}) == ExitCode::Unknown);
+    OperatorFixture fixture;
+    fixture.platform.faults.assign(3, Fault::LostBeforeCommit);
+    BOOST_CHECK(fixture.commands.leave(HostName{"antwerp-1"}, {}) == ExitCode::Unknown);
 }
 
-BOOST_AUTO_TEST_CASE(stewardshipIsReleasedOnlyWithAWord)
+BOOST_AUTO_TEST_CASE(leadershipIsReleasedOnlyWithConfirmation)
 {
-    Desk desk;
-    desk.platform.set(steward, stewardRow());
-    BOOST_CHECK(desk.commands.releaseLeadership(DomainName{"antwerp"}, false) == ExitCode::Refused);
-    BOOST_TEST(desk.platform.row(steward).version == 1u);
-
-    BOOST_CHECK(desk.commands.releaseLeadership(DomainName{"antwerp"}, true) == ExitCode::Done);
-    const StewardRow row = stewardRowOf(desk.platform);
+    OperatorFixture fixture;
+    fixture.platform.set(leaderRowId, leaderRowJson());
+    BOOST_CHECK(fixture.commands.releaseLeadership(DomainName{"antwerp"}, false)
+                == ExitCode::Refused);
+    BOOST_TEST(fixture.platform.row(leaderRowId).version == 1u);
+
+    BOOST_CHECK(fixture.commands.releaseLeadership(DomainName{"antwerp"}, true) == ExitCode::Done);
+    const StewardRow row = leaderRowOf(fixture.platform);
     BOOST_TEST(row.isReleased);
     BOOST_CHECK(row.leaseLength == 11200ms);
     BOOST_TEST(row.candidates.empty());
@@ -117,26 +118,29 @@
     BOOST_TEST(row.epoch == 4u);
 }
 
-BOOST_AUTO_TEST_CASE(stewardThatRenewsMeanwhileIsNotReleased)
+BOOST_AUTO_TEST_CASE(leadershipRenewedMeanwhileIsNotReleased)
 {
-    Desk desk;
-    desk.platform.set(steward, stewardRow());
-    desk.platform.beforeTransact = [&] {
-        desk.platform.set(steward, stewardRow());
+    OperatorFixture fixture;
+    fixture.platform.set(leaderRowId, leaderRowJson());
+    fixture.platform.beforeTransact = [&] {
+        fixture.platform.set(leaderRowId, leaderRowJson());
     };
-    BOOST_CHECK(desk.commands.releaseLeadership(DomainName{"antwerp"}, true) == ExitCode::Conflict);
-    BOOST_TEST(!stewardRowOf(desk.platform).isReleased);
+    BOOST_CHECK(fixture.commands.releaseLeadership(DomainName{"antwerp"}, true)
+                == ExitCode::Conflict);
+    BOOST_TEST(!leaderRowOf(fixture.platform).isReleased);
 }
 
-BOOST_AUTO_TEST_CASE(unknownStewardRowIsLeftAlone)
+BOOST_AUTO_TEST_CASE(missingOrInvalidLeaderRowIsNotChanged)
 {
-    Desk desk;
-    BOOST_CHECK(desk.commands.releaseLeadership(DomainName{"antwerp"}, true) == ExitCode::Refused);
-    Json::Value row = stewardRow();
+    OperatorFixture fixture;
+    BOOST_CHECK(fixture.commands.releaseLeadership(DomainName{"antwerp"}, true)
+                == ExitCode::Refused);
+    Json::Value row = leaderRowJson();
     row.removeMember("promiseLengthNs");
-    desk.platform.set(steward, row);
-    BOOST_CHECK(desk.commands.releaseLeadership(DomainName{"antwerp"}, true) == ExitCode::Refused);
-    BOOST_TEST(desk.platform.row(steward).version == 1u);
+    fixture.platform.set(leaderRowId, row);
+    BOOST_CHECK(fixture.commands.releaseLeadership(DomainName{"antwerp"}, true)
+                == ExitCode::Refused);
+    BOOST_TEST(fixture.platform.row(leaderRowId).version == 1u);
 }
 
 BOOST_AUTO_TEST_CASE(helpDocumentsTheExitCodes)
@@ -146,7 +150,7 @@
     test::checkGolden("bulrushctl/help.txt", printed);
 }
 
-BOOST_AUTO_TEST_CASE(wrongCommandLinesAreUsageErrors)
+BOOST_AUTO_TEST_CASE(invalidCommandLinesAreUsageErrors)
 {
     const std::vector<std::vector<std::string>> lines{
         {},
@@ -167,7 +171,7 @@
     test::checkGolden("bulrushctl/usage.txt", all);
 }
 
-BOOST_AUTO_TEST_CASE(nobodyToAskIsUnreachable)
+BOOST_AUTO_TEST_CASE(commandsWithoutEndpointsAreUnreachable)
 {
     std::string printed;
     BOOST_CHECK(runLine({"status"}, printed) == ExitCode::Unreachable);
--- a/tests/bulrushctl/test_platformaccess.cpp
+++ b/tests/bulrushctl/test_platformaccess.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-/** An address that nothing listens at. */
+/** \returns an address at which no process listens. */
 Endpoint closedEndpoint()
 {
     asio::io_context loop;
@@ -38,7 +38,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(endsOfATransactionAreToldApart)
+BOOST_AUTO_TEST_CASE(transactionOutcomesAreDistinguished)
 {
     const CommitResult done =
         commitAfter(answer("200 OK", R"({"committed": true, "versions": [8]})"));
@@ -56,7 +56,7 @@
                 == CommitOutcome::Refused);
 }
 
-BOOST_AUTO_TEST_CASE(answersThatSayNothingLeaveTheOutcomeUnknown)
+BOOST_AUTO_TEST_CASE(inconclusiveAnswersLeaveTheOutcomeUnknown)
 {
     for (const std::string &scripted :
          {answer("503 Service Unavailable", ""), answer("500 Oops", "{}"), answer("200 OK", "{}"),
@@ -65,7 +65,7 @@
         BOOST_CHECK_MESSAGE(commitAfter(scripted).outcome == CommitOutcome::Unknown, scripted);
 }
 
-BOOST_AUTO_TEST_CASE(nothingIsSentToAClosedEndpointAndTheNextIsTried)
+BOOST_AUTO_TEST_CASE(closedEndpointIsReportedAsNotSentAndTheNextIsTried)
 {
     BOOST_CHECK((PlatformAccess{{closedEndpoint()}, 5s}.transact(transaction()).outcome)
                 == CommitOutcome::NotSent);
@@ -76,14 +76,14 @@
     BOOST_CHECK(access.transact(transaction()).outcome == CommitOutcome::Committed);
 }
 
-BOOST_AUTO_TEST_CASE(unknownOutcomeIsNotTriedAtTheNextEndpoint)
+BOOST_AUTO_TEST_CASE(unknownOutcomeIsNotSentToTheNextEndpoint)
 {
     ScriptedServer first{{answer("503 Service Unavailable", "")}};
     PlatformAccess access{{first.endpoint(), closedEndpoint()}, 5s};
     BOOST_CHECK(access.transact(transaction()).outcome == CommitOutcome::Unknown);
 }
 
-BOOST_AUTO_TEST_CASE(transactionIsWrittenAsTheInterfaceSays)
+BOOST_AUTO_TEST_CASE(transactionMatchesTheDocumentedInterface)
 {
     ScriptedServer platform{{answer("200 OK", R"({"committed": true, "versions": [8]})")}};
     PlatformAccess{{platform.endpoint()}, 5s}.transact(transaction());
@@ -96,7 +96,7 @@
     BOOST_CHECK(json == expected);
 }
 
-BOOST_AUTO_TEST_CASE(scanGoesOnUntilAnEmptyPage)
+BOOST_AUTO_TEST_CASE(scanContinuesUntilAnEmptyPage)
 {
     const auto page = [](const std::string &key) {
         return answer("200 OK",
@@ -109,7 +109,7 @@
     BOOST_TEST(result.rows.size() == 2u);
 }
 
-BOOST_AUTO_TEST_CASE(readsGoToTheNextEndpointAndMustBeWhole)
+BOOST_AUTO_TEST_CASE(readsTryTheNextEndpointAndMustBeComplete)
 {
     ScriptedServer down{{answer("503 Service Unavailable", "")}};
     ScriptedServer up{
@@ -120,7 +120,7 @@
     BOOST_TEST(!rows.error);
     BOOST_TEST(rows.rows.front().version == 0u);
 
-    ScriptedServer lacking{{answer("200 OK", R"({"rows": []})")}};
-    const RowsResult none = PlatformAccess{{lacking.endpoint()}, 5s}.read({{"contract", "a"}});
+    ScriptedServer incomplete{{answer("200 OK", R"({"rows": []})")}};
+    const RowsResult none = PlatformAccess{{incomplete.endpoint()}, 5s}.read({{"contract", "a"}});
     BOOST_CHECK_EQUAL(none.error, make_error_code(CtlError::BadAnswer));
 }
--- a/tests/bulrushctl/test_platformprocess.cpp
+++ b/tests/bulrushctl/test_platformprocess.cpp
@@ -13,8 +13,8 @@
 
 namespace {
 
-/** The platform's stand-in as a process, and the client's commands upon it. */
-struct Bench
+/** Runs the platform stand-in as a process, and bulrushctl commands against it. */
+struct PlatformFixture
 {
     ChildProcess platform{BULRUSH_BINARY_DIR "/platform-standin",
                           {"--listen", "antwerp=127.0.0.1:0"}};
@@ -47,9 +47,9 @@
 
 } // namespace
 
-BOOST_FIXTURE_TEST_SUITE(platformProcess, Bench)
+BOOST_FIXTURE_TEST_SUITE(platformProcess, PlatformFixture)
 
-BOOST_AUTO_TEST_CASE(contractsAreKeptWithTheirHistory)
+BOOST_AUTO_TEST_CASE(contractsAreStoredWithTheirHistory)
 {
     BOOST_CHECK(put("leuvensport") == ExitCode::Done);
     BOOST_CHECK(put("hinokuni") == ExitCode::Done);
@@ -65,7 +65,7 @@
     BOOST_CHECK(run({"contract", "get", "nobody"}) == ExitCode::Refused);
 }
 
-BOOST_AUTO_TEST_CASE(lostAnswerIsSettled)
+BOOST_AUTO_TEST_CASE(lostAnswerIsResolved)
 {
     setFaults(R"({"listener": "antwerp", "loseAnswers": 1})");
     BOOST_CHECK(put("leuvensport") == ExitCode::Done);
--- a/tests/bulrushctl/test_views.cpp
+++ b/tests/bulrushctl/test_views.cpp
@@ -58,13 +58,13 @@
         "counters": {"requests": 50}})");
 }
 
-FleetStatus troubled()
+FleetStatus fleetWithIssues()
 {
     return {{antwerp1(), ghent1()}, {{{"127.0.0.31", 8082}, "Couldn't connect to server"}}};
 }
 
-/** A fleet of one daemon with nothing wrong. */
-FleetStatus healthy()
+/** \returns a fleet of one daemon without issues. */
+FleetStatus healthyFleet()
 {
     DaemonStatus daemon = antwerp1();
     daemon.peers.clear();
@@ -73,7 +73,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(diffShowsChangesWithTheirSurroundings)
+BOOST_AUTO_TEST_CASE(diffShowsChangesWithContext)
 {
     const std::string before = "a\nb\nc\nd\ne\nf\ng\nh\ni\nj\nk\nl\n";
     const std::string after = "a\nB\nc\nd\ne\nf\ng\nh\ni\nk\nl\nm\n";
@@ -106,53 +106,56 @@
     BOOST_TEST(table.text() == "A          LONG\nwide cell\né          x\n");
 }
 
-BOOST_AUTO_TEST_CASE(summaryNamesWhatNeedsAnOperator)
+BOOST_AUTO_TEST_CASE(summaryListsIssuesForTheOperator)
 {
-    test::checkGolden("bulrushctl/status-troubled.txt", summaryText(troubled()));
-    test::checkGolden("bulrushctl/status-troubled.json", indentedText(summaryJson(troubled())));
+    test::checkGolden("bulrushctl/status-troubled.txt", summaryText(fleetWithIssues()));
+    test::checkGolden("bulrushctl/status-troubled.json",
+                      indentedText(summaryJson(fleetWithIssues())));
 }
 
-BOOST_AUTO_TEST_CASE(healthyFleetNeedsNothing)
+BOOST_AUTO_TEST_CASE(healthyFleetHasNoIssues)
 {
-    BOOST_TEST(operatorIssues(healthy()).empty());
-    test::checkGolden("bulrushctl/status-healthy.txt", summaryText(healthy()));
+    BOOST_TEST(operatorIssues(healthyFleet()).empty());
+    test::checkGolden("bulrushctl/status-healthy.txt", summaryText(healthyFleet()));
 }
 
-BOOST_AUTO_TEST_CASE(twoStewardsOfOneEpochNeedAnOperator)
+BOOST_AUTO_TEST_CASE(twoLeadersInOneEpochAreReported)
 {
     FleetStatus fleet{{antwerp1(), antwerp1()}, {}};
     fleet.daemons[1].host = HostName{"antwerp-2"};
-    const auto needs = operatorIssues(fleet);
-    BOOST_REQUIRE(needs.size() == 1u);
-    BOOST_TEST(needs[0].find("antwerp-1, antwerp-2") != std::string::npos);
+    const auto issues = operatorIssues(fleet);
+    BOOST_REQUIRE(issues.size() == 1u);
+    BOOST_TEST(issues[0].find("antwerp-1, antwerp-2") != std::string::npos);
 
     fleet.daemons[1].leaders[0].epoch = 5;
     BOOST_TEST(operatorIssues(fleet).empty());
 }
 
-BOOST_AUTO_TEST_CASE(oddStatusesAreNoStatuses)
+BOOST_AUTO_TEST_CASE(malformedStatusIsRejectedOrUsesDefaults)
 {
     for (const char *text : {"null", "[]", "{}", "3", R"({"host": 3})"})
         BOOST_TEST(!decodeDaemonStatus(io::parsedJson(text)).has_value(), text);
-    const DaemonStatus odd = status(R"({"host": "h", "contracts": [], "servers": {}, "peers": [1],
+    const DaemonStatus malformed =
+        status(R"({"host": "h", "contracts": [], "servers": {}, "peers": [1],
         "stewards": [{"epoch": -1}], "counters": {"x": "y"}, "currentAsOfMs": "now"})");
-    BOOST_TEST(!odd.currentAsOfMs.has_value());
-    BOOST_TEST(odd.leaders.front().epoch == 0u);
+    BOOST_TEST(!malformed.currentAsOfMs.has_value());
+    BOOST_TEST(malformed.leaders.front().epoch == 0u);
 }
 
-BOOST_AUTO_TEST_CASE(forceReportNamesTheHostsThatAreMissing)
+BOOST_AUTO_TEST_CASE(rolloutReportListsMissingHosts)
 {
-    const RolloutReport report = rolloutReport(troubled(), OrganisationName{"leuvensport"}, 3);
+    const RolloutReport report =
+        rolloutReport(fleetWithIssues(), OrganisationName{"leuvensport"}, 3);
     BOOST_TEST(report.inForce == 1u);
     BOOST_TEST(report.hosts == 3u);
     test::checkGolden("bulrushctl/force.txt", toText(report));
-    BOOST_TEST(rolloutReport(troubled(), OrganisationName{"other"}, 1).inForce == 0u);
+    BOOST_TEST(rolloutReport(fleetWithIssues(), OrganisationName{"other"}, 1).inForce == 0u);
 
-    const RolloutReport done = rolloutReport(healthy(), OrganisationName{"leuvensport"}, 3);
+    const RolloutReport done = rolloutReport(healthyFleet(), OrganisationName{"leuvensport"}, 3);
     BOOST_TEST(toText(done) == "in force at 1 of 1 hosts\n");
 }
 
-BOOST_AUTO_TEST_CASE(departureShowsWhatItWaitsFor)
+BOOST_AUTO_TEST_CASE(departureReportListsPendingItems)
 {
     FleetStatus fleet{{antwerp1(), ghent1()}, {}};
     std::string text = toText(departureReport(fleet, HostName{"antwerp-1"}));
@@ -170,9 +173,9 @@
     test::checkGolden("bulrushctl/departure.txt", text);
 }
 
-BOOST_AUTO_TEST_CASE(lapsedLeaseAndUnreadyDaemonAreShown)
+BOOST_AUTO_TEST_CASE(lapsedLeaseAndUnreadyDaemonAreReported)
 {
-    FleetStatus fleet = healthy();
+    FleetStatus fleet = healthyFleet();
     fleet.daemons[0].leaders.pop_back();
     fleet.daemons[0].leaders[0].isSelf = false;
     fleet.daemons[0].servers[0].isLost = true;
