--- a/src/bulrushctl/commandline.cpp
+++ b/src/bulrushctl/commandline.cpp
@@ -374,7 +374,8 @@
         ->required()
         ->type_name("NAME")
         ->check([](const std::string &text) {
-            return io::isName(text) ? std::string{} : "allowed: " + std::string{io::allowedName};
+            return io::isValidName(text) ? std::string{}
+                                         : "allowed: " + std::string{io::validNameDescription};
         });
 }
 
--- a/src/bulrushctl/contractcommands.cpp
+++ b/src/bulrushctl/contractcommands.cpp
@@ -213,7 +213,7 @@
         Json::Value json{Json::objectValue};
         json["organisation"] = change.organisation.value();
         json["version"] = Json::UInt64{version};
-        m_console.out << io::compactText(json) << "\n";
+        m_console.out << io::toCompactJson(json) << "\n";
     } else {
         m_console.out << "accepted: " << versionLabel(change.organisation, version) << "\n";
     }
@@ -250,7 +250,7 @@
         const bool isOver = isDone || waited >= waitTimeout;
         const std::string text = toText(report);
         if (m_console.isJson() && isOver)
-            m_console.out << io::compactText(toJson(report)) << "\n";
+            m_console.out << io::toCompactJson(toJson(report)) << "\n";
         if (!m_console.isJson() && (isOver || text != lastText))
             m_console.out << "after " << waited.count() << " ms: " << text << std::flush;
         if (isOver)
@@ -287,7 +287,7 @@
         m_console.err << path << ": " << file.error.message() << "\n";
         return std::nullopt;
     }
-    const io::ContractReading reading = io::readContract(file.text, path);
+    const io::ContractResult reading = io::readContract(file.text, path);
     for (const io::ConfigProblem &problem : reading.problems)
         m_console.err << toString(problem) << "\n";
     if (reading.error)
--- a/src/bulrushctl/contracttext.cpp
+++ b/src/bulrushctl/contracttext.cpp
@@ -63,8 +63,8 @@
 
     // The line may belong to a multi-line text value, so both texts are parsed to verify that only
     // the version differs.
-    const io::ContractReading before = io::readContract(text, "before");
-    io::ContractReading after = io::readContract(changed, "after");
+    const io::ContractResult before = io::readContract(text, "before");
+    io::ContractResult after = io::readContract(changed, "after");
     if (before.error || after.error || after.contract.version != version)
         return std::nullopt;
     after.contract.version = before.contract.version;
--- a/src/bulrushctl/daemonaccess.cpp
+++ b/src/bulrushctl/daemonaccess.cpp
@@ -65,7 +65,7 @@
                 {},
                 {}};
 
-    Json::Value json = io::parsedJson(answer.body);
+    Json::Value json = io::parseJson(answer.body);
     if (!json.isObject())
         return {
             endpoint, make_error_code(CtlError::BadAnswer), "its answer is no JSON object", {}, {}};
--- a/src/bulrushctl/daemonstatus.cpp
+++ b/src/bulrushctl/daemonstatus.cpp
@@ -30,7 +30,7 @@
             numberIn(json, "servers")};
 }
 
-ServerView decodeServer(const Json::Value &json)
+ServerView decodeServerRecord(const Json::Value &json)
 {
     return {nameIn<ServerName>(json, "name"), nameIn<Incarnation>(json, "attendant"),
             numberIn(json, "inFlight"), numberIn(json, "slices"), isTrue(json, "lost")};
@@ -78,7 +78,7 @@
     decodeNumbers(json["counters"], status.counters);
     decodeList(arrayIn(json, "stewards"), decodeLeader, status.leaders);
     decodeList(arrayIn(json, "assignments"), decodeAssignmentView, status.assignments);
-    decodeList(arrayIn(json, "servers"), decodeServer, status.servers);
+    decodeList(arrayIn(json, "servers"), decodeServerRecord, status.servers);
     decodeList(arrayIn(json, "peers"), decodePeer, status.peers);
     return status;
 }
--- a/src/bulrushctl/operatorcommands.cpp
+++ b/src/bulrushctl/operatorcommands.cpp
@@ -75,8 +75,8 @@
 {
     TextTable table{{"SERVICE", "BEGIN", "END", "SERVER", "FENCE"}};
     for (const SliceOwner &slice : assignment.slices)
-        table.addRow({slice.service.value(), io::hexOfHash(slice.range.begin),
-                      io::hexOfHash(slice.range.end), slice.server.value(),
+        table.addRow({slice.service.value(), io::hashToHex(slice.range.begin),
+                      io::hashToHex(slice.range.end), slice.server.value(),
                       fenceText(slice.fence)});
     return assignment.domain.value() + " version " + fenceText(assignment.version) + ", "
         + std::to_string(assignment.slices.size()) + " slices\n" + table.text();
--- a/src/bulrushctl/platformaccess.cpp
+++ b/src/bulrushctl/platformaccess.cpp
@@ -40,7 +40,7 @@
         entry["value"] = write.value;
         json["writes"].append(std::move(entry));
     }
-    return io::compactText(json);
+    return io::toCompactJson(json);
 }
 
 std::vector<TableRow> decodeRows(const Json::Value &array)
@@ -72,7 +72,7 @@
                 "the platform answered " + std::to_string(answer.status),
                 {}};
 
-    Json::Value json = io::parsedJson(answer.body);
+    Json::Value json = io::parseJson(answer.body);
     if (!json.isObject())
         return {
             make_error_code(CtlError::BadAnswer), "the platform's answer is no JSON object", {}};
@@ -111,7 +111,7 @@
     if (answer.error)
         return failedCommit(CommitOutcome::Unknown, answer.cause);
 
-    const Json::Value json = io::parsedJson(answer.body);
+    const Json::Value json = io::parseJson(answer.body);
     if (answer.status == statusBadRequest)
         return failedCommit(CommitOutcome::Refused, stringIn(json, "error"));
     if (!json.isObject())
@@ -143,7 +143,7 @@
         json["keys"].append(encode(id));
 
     RowsResult result =
-        decodeRowsResult(callAnyEndpoint("POST", "/table/read", io::compactText(json)));
+        decodeRowsResult(callAnyEndpoint("POST", "/table/read", io::toCompactJson(json)));
     if (!result.error && result.rows.size() != ids.size())
         return {make_error_code(CtlError::BadAnswer), "the platform left rows out", {}};
     return result;
@@ -161,7 +161,7 @@
         json["after"] = after;
         json["limit"] = pageSize;
         RowsResult page =
-            decodeRowsResult(callAnyEndpoint("POST", "/table/scan", io::compactText(json)));
+            decodeRowsResult(callAnyEndpoint("POST", "/table/scan", io::toCompactJson(json)));
         if (page.error)
             return page;
 
--- a/tests/bulrushctl/test_platformaccess.cpp
+++ b/tests/bulrushctl/test_platformaccess.cpp
@@ -89,8 +89,8 @@
     PlatformAccess{{platform.endpoint()}, 5s}.transact(transaction());
     const std::string request = platform.requests().front();
     BOOST_TEST(request.starts_with("POST /table/transact HTTP/1.1\r\n"));
-    const Json::Value json = io::parsedJson(request.substr(request.find("\r\n\r\n") + 4));
-    const Json::Value expected = io::parsedJson(R"({"requestId": "request-1", "writer": "writer-1",
+    const Json::Value json = io::parseJson(request.substr(request.find("\r\n\r\n") + 4));
+    const Json::Value expected = io::parseJson(R"({"requestId": "request-1", "writer": "writer-1",
         "conditions": [{"table": "contract", "key": "a", "version": 7}],
         "writes": [{"table": "contract", "key": "a", "value": 3}]})");
     BOOST_CHECK(json == expected);
--- a/tests/bulrushctl/test_views.cpp
+++ b/tests/bulrushctl/test_views.cpp
@@ -19,7 +19,7 @@
 
 DaemonStatus status(const std::string &text)
 {
-    const auto decoded = decodeDaemonStatus(io::parsedJson(text));
+    const auto decoded = decodeDaemonStatus(io::parseJson(text));
     BOOST_REQUIRE(decoded);
     return *decoded;
 }
@@ -134,7 +134,7 @@
 BOOST_AUTO_TEST_CASE(malformedStatusIsRejectedOrUsesDefaults)
 {
     for (const char *text : {"null", "[]", "{}", "3", R"({"host": 3})"})
-        BOOST_TEST(!decodeDaemonStatus(io::parsedJson(text)).has_value(), text);
+        BOOST_TEST(!decodeDaemonStatus(io::parseJson(text)).has_value(), text);
     const DaemonStatus malformed =
         status(R"({"host": "h", "contracts": [], "servers": {}, "peers": [1],
         "stewards": [{"epoch": -1}], "counters": {"x": "y"}, "currentAsOfMs": "now"})");
