--- a/tests/bulrushctl/fakeplatform.cpp
+++ b/tests/bulrushctl/fakeplatform.cpp
@@ -8,8 +8,8 @@
 
 ctl::RowsResult FakePlatform::read(const std::vector<ctl::RowId> &ids)
 {
-    applyLate();
-    if (isReadingDown)
+    commitDelayed();
+    if (areReadsFailing)
         return {make_error_code(ctl::CtlError::Unreachable), "reads are down", {}};
     ctl::RowsResult result;
     for (const ctl::RowId &id : ids)
@@ -19,8 +19,8 @@
 
 ctl::RowsResult FakePlatform::scan(const std::string &table, const std::string &prefix)
 {
-    applyLate();
-    if (isReadingDown)
+    commitDelayed();
+    if (areReadsFailing)
         return {make_error_code(ctl::CtlError::Unreachable), "reads are down", {}};
     ctl::RowsResult result;
     for (const auto &[key, stored] : m_tables[table]) {
@@ -32,7 +32,7 @@
 
 ctl::CommitResult FakePlatform::transact(const ctl::Transaction &transaction)
 {
-    applyLate();
+    commitDelayed();
     ++transactions;
     if (auto hook = std::exchange(beforeTransact, nullptr))
         hook();
@@ -46,22 +46,22 @@
     case Fault::None:
         return commit(transaction);
     case Fault::NotSent:
-        return {ctl::CommitEnd::NotSent, {}, {}, "connection refused"};
-    case Fault::LostAfterEffect:
+        return {ctl::CommitOutcome::NotSent, {}, {}, "connection refused"};
+    case Fault::AnswerLostAfterCommit:
         commit(transaction);
         break;
-    case Fault::LostAndEffectLater:
-        m_late.push_back(transaction);
+    case Fault::AnswerLostCommitDelayed:
+        m_delayed.push_back(transaction);
         break;
-    case Fault::LostWithoutEffect:
+    case Fault::LostBeforeCommit:
         break;
     }
-    return {ctl::CommitEnd::Unknown, {}, {}, "the answer was lost"};
+    return {ctl::CommitOutcome::Unknown, {}, {}, "the answer was lost"};
 }
 
 ctl::HostsResult FakePlatform::hosts()
 {
-    return {{}, {}, 800, listed};
+    return {{}, {}, 800, listedHosts};
 }
 
 void FakePlatform::set(const ctl::RowId &id, const Json::Value &value)
@@ -96,12 +96,12 @@
             result.conflicts.push_back(now);
     }
     if (!result.conflicts.empty()) {
-        result.end = ctl::CommitEnd::Conflict;
+        result.outcome = ctl::CommitOutcome::Conflict;
         result.cause = "a row has changed";
         return result;
     }
 
-    result.end = ctl::CommitEnd::Committed;
+    result.outcome = ctl::CommitOutcome::Committed;
     for (const ctl::RowWrite &write : transaction.writes) {
         set(write.id, write.value);
         result.versions.push_back(row(write.id).version);
@@ -109,9 +109,9 @@
     return result;
 }
 
-void FakePlatform::applyLate()
+void FakePlatform::commitDelayed()
 {
-    for (const ctl::Transaction &transaction : std::exchange(m_late, {}))
+    for (const ctl::Transaction &transaction : std::exchange(m_delayed, {}))
         commit(transaction);
 }
 
--- a/tests/bulrushctl/test_platformaccess.cpp
+++ b/tests/bulrushctl/test_platformaccess.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-/** An address that nothing listens at. */
+/** \returns an address at which no process listens. */
 Endpoint closedEndpoint()
 {
     asio::io_context loop;
@@ -38,52 +38,52 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(endsOfATransactionAreToldApart)
+BOOST_AUTO_TEST_CASE(transactionOutcomesAreDistinguished)
 {
     const CommitResult done =
         commitAfter(answer("200 OK", R"({"committed": true, "versions": [8]})"));
-    BOOST_CHECK(done.end == CommitEnd::Committed);
+    BOOST_CHECK(done.outcome == CommitOutcome::Committed);
     BOOST_TEST(done.versions == std::vector<std::uint64_t>{8});
 
     const CommitResult conflict = commitAfter(answer(
         "409 Conflict",
         R"({"committed": false, "conflicts": [{"table": "contract", "key": "a", "version": 9, "value": 4}]})"));
-    BOOST_CHECK(conflict.end == CommitEnd::Conflict);
+    BOOST_CHECK(conflict.outcome == CommitOutcome::Conflict);
     BOOST_REQUIRE(conflict.conflicts.size() == 1u);
     BOOST_TEST(conflict.conflicts[0].version == 9u);
 
-    BOOST_CHECK(commitAfter(answer("400 Bad Request", R"({"error": "no"})")).end
-                == CommitEnd::Refused);
+    BOOST_CHECK(commitAfter(answer("400 Bad Request", R"({"error": "no"})")).outcome
+                == CommitOutcome::Refused);
 }
 
-BOOST_AUTO_TEST_CASE(answersThatSayNothingLeaveTheOutcomeUnknown)
+BOOST_AUTO_TEST_CASE(inconclusiveAnswersLeaveTheOutcomeUnknown)
 {
     for (const std::string &scripted :
          {answer("503 Service Unavailable", ""), answer("500 Oops", "{}"), answer("200 OK", "{}"),
           answer("200 OK", "not json"), std::string{},
           std::string{"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\n{\"committed\": true"}})
-        BOOST_CHECK_MESSAGE(commitAfter(scripted).end == CommitEnd::Unknown, scripted);
+        BOOST_CHECK_MESSAGE(commitAfter(scripted).outcome == CommitOutcome::Unknown, scripted);
 }
 
-BOOST_AUTO_TEST_CASE(nothingIsSentToAClosedEndpointAndTheNextIsTried)
+BOOST_AUTO_TEST_CASE(closedEndpointIsReportedAsNotSentAndTheNextIsTried)
 {
-    BOOST_CHECK((PlatformAccess{{closedEndpoint()}, 5s}.transact(transaction()).end)
-                == CommitEnd::NotSent);
-    BOOST_CHECK((PlatformAccess{{}, 5s}.transact(transaction()).end) == CommitEnd::NotSent);
+    BOOST_CHECK((PlatformAccess{{closedEndpoint()}, 5s}.transact(transaction()).outcome)
+                == CommitOutcome::NotSent);
+    BOOST_CHECK((PlatformAccess{{}, 5s}.transact(transaction()).outcome) == CommitOutcome::NotSent);
 
     ScriptedServer platform{{answer("200 OK", R"({"committed": true, "versions": [8]})")}};
     PlatformAccess access{{closedEndpoint(), platform.endpoint()}, 5s};
-    BOOST_CHECK(access.transact(transaction()).end == CommitEnd::Committed);
+    BOOST_CHECK(access.transact(transaction()).outcome == CommitOutcome::Committed);
 }
 
-BOOST_AUTO_TEST_CASE(unknownOutcomeIsNotTriedAtTheNextEndpoint)
+BOOST_AUTO_TEST_CASE(unknownOutcomeIsNotSentToTheNextEndpoint)
 {
     ScriptedServer first{{answer("503 Service Unavailable", "")}};
     PlatformAccess access{{first.endpoint(), closedEndpoint()}, 5s};
-    BOOST_CHECK(access.transact(transaction()).end == CommitEnd::Unknown);
+    BOOST_CHECK(access.transact(transaction()).outcome == CommitOutcome::Unknown);
 }
 
-BOOST_AUTO_TEST_CASE(transactionIsWrittenAsTheInterfaceSays)
+BOOST_AUTO_TEST_CASE(transactionMatchesTheDocumentedInterface)
 {
     ScriptedServer platform{{answer("200 OK", R"({"committed": true, "versions": [8]})")}};
     PlatformAccess{{platform.endpoint()}, 5s}.transact(transaction());
@@ -96,7 +96,7 @@
     BOOST_CHECK(json == expected);
 }
 
-BOOST_AUTO_TEST_CASE(scanGoesOnUntilAnEmptyPage)
+BOOST_AUTO_TEST_CASE(scanContinuesUntilAnEmptyPage)
 {
     const auto page = [](const std::string &key) {
         return answer("200 OK",
@@ -109,7 +109,7 @@
     BOOST_TEST(result.rows.size() == 2u);
 }
 
-BOOST_AUTO_TEST_CASE(readsGoToTheNextEndpointAndMustBeWhole)
+BOOST_AUTO_TEST_CASE(readsTryTheNextEndpointAndMustBeComplete)
 {
     ScriptedServer down{{answer("503 Service Unavailable", "")}};
     ScriptedServer up{
@@ -120,7 +120,7 @@
     BOOST_TEST(!rows.error);
     BOOST_TEST(rows.rows.front().version == 0u);
 
-    ScriptedServer lacking{{answer("200 OK", R"({"rows": []})")}};
-    const RowsResult none = PlatformAccess{{lacking.endpoint()}, 5s}.read({{"contract", "a"}});
+    ScriptedServer incomplete{{answer("200 OK", R"({"rows": []})")}};
+    const RowsResult none = PlatformAccess{{incomplete.endpoint()}, 5s}.read({{"contract", "a"}});
     BOOST_CHECK_EQUAL(none.error, make_error_code(CtlError::BadAnswer));
 }
