--- a/tests/standinprocess/childprocess.h
+++ b/tests/standinprocess/childprocess.h
@@ -13,28 +13,27 @@
 namespace bulrush::test {
 
 /**
- * One of the project's own programs, run as a process of its own. The process is killed with the
- * object. Not thread safe.
+ * Runs one of the project's own programs as a child process, which is killed when the object is
+ * destroyed. Not thread safe.
  */
 class ChildProcess
 {
 public:
-    /** How a process ended. */
     struct Exit
     {
-        /** The exit code, if it ended by itself. */
+        /** The exit code, if the process exited by itself. */
         std::optional<int> code;
-        /** The signal that ended it, if one did. */
+        /** The signal that terminated the process, if one did. */
         std::optional<int> signal;
     };
 
     /**
-     * Starts \a program, a path, and waits until it prints the line "ready". On the way, lines
-     * "listening [NAME] IP:PORT" are noted. Throws std::runtime_error if the process can't be
-     * started, or ends or stays silent for \a limit before it is ready.
+     * Starts the program at the path \a program and waits until it prints the line "ready". Until
+     * then, lines "listening [NAME] IP:PORT" are recorded as addresses. Throws std::runtime_error
+     * if the process can't be started, exits, or does not print the line within \a timeout.
      */
     ChildProcess(const std::string &program, const std::vector<std::string> &arguments,
-                 std::chrono::seconds limit = std::chrono::seconds{20});
+                 std::chrono::seconds timeout = std::chrono::seconds{20});
     ~ChildProcess();
 
     ChildProcess(const ChildProcess &) = delete;
@@ -43,48 +42,48 @@
     pid_t pid() const;
 
     /**
-     * \returns `IP:PORT` of the listener \a name; a listener without a name has the empty one.
-     * Throws std::out_of_range if the process printed none.
+     * \returns `IP:PORT` of the listener \a name, which is empty for a listener without a name.
+     * Throws std::out_of_range if the process printed no such listener.
      */
     const std::string &address(const std::string &name = "") const;
 
-    /** Freezes the process, as if its host had paused it, and returns once it stands still. */
+    /** Suspends the process, as if its host had paused it, and waits until it is suspended. */
     void stop();
 
-    /** Lets a frozen process go on. */
+    /** Resumes a suspended process. */
     void resume();
 
-    /** Kills the process and waits for its end. */
+    /** Kills the process and waits for its exit. */
     Exit kill();
 
     /**
-     * Asks the process to end and waits. Kills it if that takes longer than \a limit, which then
-     * shows in the result.
+     * Sends SIGTERM and waits for the process to exit. Kills it if that takes longer than
+     * \a timeout; the result then contains SIGKILL.
      */
-    Exit terminate(std::chrono::seconds limit = std::chrono::seconds{20});
+    Exit terminate(std::chrono::seconds timeout = std::chrono::seconds{20});
 
-    /** \returns whether the process has not ended yet. */
+    /** \returns whether the process has not exited yet. */
     bool isRunning();
 
 private:
     void spawn(const std::string &program, const std::vector<std::string> &arguments);
-    void awaitReady(std::chrono::seconds limit);
-    void noteLine(std::string_view line);
-    bool readMore(std::chrono::steady_clock::time_point limit);
+    void waitUntilReady(std::chrono::seconds timeout);
+    void handleLine(std::string_view line);
+    bool readOutput(std::chrono::steady_clock::time_point deadline);
     void drainOutput() const;
-    Exit waitForEnd();
-    void note(int status);
+    Exit waitForExit();
+    void recordExit(int status);
 
-    /** Of the program, without its folder. */
+    /** File name of the program, without its folder. */
     std::string m_name;
     pid_t m_pid = -1;
-    int m_output = -1;
-    std::string m_unread;
+    int m_outputPipe = -1;
+    std::string m_unprocessedOutput;
     bool m_isReady = false;
     std::map<std::string, std::string> m_addresses;
     std::optional<Exit> m_exit;
-    /** Reads on, so that a process that prints is never blocked by a full pipe. */
-    std::thread m_drain;
+    /** Reads the output continuously, so that the process never blocks on a full pipe. */
+    std::thread m_outputReader;
 };
 
 inline pid_t ChildProcess::pid() const
--- a/tests/standinprocess/rawconnection.cpp
+++ b/tests/standinprocess/rawconnection.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-sockaddr_in parsed(const std::string &address)
+sockaddr_in parsedAddress(const std::string &address)
 {
     const std::size_t colon = address.rfind(':');
     if (colon == std::string::npos)
@@ -28,7 +28,7 @@
     return result;
 }
 
-std::string received(int socket, int flags)
+std::string receivedBytes(int socket, int flags)
 {
     std::string bytes;
     std::array<char, 4096> buffer{};
@@ -45,7 +45,7 @@
 RawConnection::RawConnection(const std::string &address)
     : m_socket(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0))
 {
-    const sockaddr_in target = parsed(address);
+    const sockaddr_in target = parsedAddress(address);
     if (::connect(m_socket, reinterpret_cast<const sockaddr *>(&target), sizeof target) != 0) {
         close();
         throw std::runtime_error("can't connect to " + address);
@@ -70,12 +70,12 @@
 
 std::string RawConnection::receivedSoFar()
 {
-    return received(m_socket, MSG_DONTWAIT);
+    return receivedBytes(m_socket, MSG_DONTWAIT);
 }
 
 std::string RawConnection::receiveToEnd()
 {
-    return received(m_socket, 0);
+    return receivedBytes(m_socket, 0);
 }
 
 void RawConnection::close()
--- a/tests/standinprocess/rawconnection.h
+++ b/tests/standinprocess/rawconnection.h
@@ -6,8 +6,8 @@
 namespace bulrush::test {
 
 /**
- * A bare TCP connection, for what an HTTP client would not do: to send by halves, to send wrongly,
- * or to close at a chosen moment. Not thread safe.
+ * A plain TCP connection, for tests of what HTTP clients don't do: sending incomplete or malformed
+ * requests, or closing the connection at a chosen moment. Not thread safe.
  */
 class RawConnection
 {
@@ -19,16 +19,16 @@
     RawConnection(const RawConnection &) = delete;
     RawConnection &operator=(const RawConnection &) = delete;
 
-    /** Sends all of \a bytes. \returns false if the other side has closed. */
+    /** Sends all of \a bytes. \returns false if sending fails, as after the peer has closed. */
     bool send(std::string_view bytes);
 
-    /** \returns what has come so far and was not returned before, without waiting. */
+    /** \returns the bytes that have arrived and were not returned before, without waiting. */
     std::string receivedSoFar();
 
-    /** Waits for the other side to close. \returns all that came until then. */
+    /** Waits for the peer to close the connection. \returns all bytes that arrived until then. */
     std::string receiveToEnd();
 
-    /** Closes the connection; a second call does nothing. */
+    /** Closes the connection; further calls have no effect. */
     void close();
 
 private:
--- a/tests/standinprocess/synchttp.cpp
+++ b/tests/standinprocess/synchttp.cpp
@@ -36,7 +36,8 @@
 
 HeaderList headerListOf(const SyncHttpRequest &request)
 {
-    // Without this, libcurl holds back a large body until the server asks for it.
+    // Without this, libcurl sends "Expect: 100-continue" and delays large bodies until the server
+    // agrees.
     curl_slist *list = curl_slist_append(nullptr, "Expect:");
     for (const SyncHttpHeader &header : request.headers)
         list = curl_slist_append(list, (header.name + ": " + header.value).c_str());
@@ -47,10 +48,10 @@
 
 std::optional<std::string> SyncHttpResult::header(std::string_view name) const
 {
-    const std::string wanted{name};
-    for (const SyncHttpHeader &each : headers) {
-        if (strcasecmp(each.name.c_str(), wanted.c_str()) == 0)
-            return each.value;
+    const std::string wantedName{name};
+    for (const SyncHttpHeader &field : headers) {
+        if (strcasecmp(field.name.c_str(), wantedName.c_str()) == 0)
+            return field.value;
     }
     return std::nullopt;
 }
@@ -90,7 +91,7 @@
     curl_easy_setopt(m_easy, CURLOPT_TIMEOUT_MS, static_cast<long>(request.timeout.count()));
     curl_easy_setopt(m_easy, CURLOPT_NOSIGNAL, 1L);
     curl_easy_setopt(m_easy, CURLOPT_PROXY, "");
-    // On a kept connection libcurl sends a request again if it finds the connection closed.
+    // If a reused connection turns out to be closed, libcurl sends the request a second time.
     curl_easy_setopt(m_easy, CURLOPT_FRESH_CONNECT, 1L);
     curl_easy_setopt(m_easy, CURLOPT_FORBID_REUSE, 1L);
     curl_easy_setopt(m_easy, CURLOPT_WRITEFUNCTION, &appendBody);
--- a/tests/standinprocess/synchttp.h
+++ b/tests/standinprocess/synchttp.h
@@ -10,14 +10,12 @@
 
 namespace bulrush::test {
 
-/** One header field. */
 struct SyncHttpHeader
 {
     std::string name;
     std::string value;
 };
 
-/** What a blocking call sends. */
 struct SyncHttpRequest
 {
     std::string method = "GET";
@@ -28,25 +26,25 @@
     std::chrono::milliseconds timeout{20'000};
 };
 
-/** What came of a blocking call. */
+/** The outcome of a blocking call. */
 struct SyncHttpResult
 {
-    /** CURLE_OK (0) if, and only if, the answer is whole. */
+    /** CURLE_OK (0) if and only if the complete answer was received. */
     int curlCode = 0;
     int status = 0;
     std::vector<SyncHttpHeader> headers;
     std::string body;
 
-    /** \returns the first header field of that name, whatever its case. */
+    /** \returns the value of the first header field \a name; the case of names is ignored. */
     std::optional<std::string> header(std::string_view name) const;
 
-    /** \returns the body as JSON, or null if it is none. */
+    /** \returns the body parsed as JSON, or null if it is malformed. */
     Json::Value json() const;
 };
 
 /**
- * Blocking HTTP/1.1 calls by libcurl, each on a connection of its own, so that no request is sent
- * twice. Not thread safe; each thread has its own.
+ * Makes blocking HTTP/1.1 calls with libcurl. Each call uses a new connection, so that libcurl
+ * never sends a request twice. Not thread safe: each thread needs its own object.
  */
 class SyncHttp
 {
