--- a/tests/standins_test/test_backendstandin.cpp
+++ b/tests/standins_test/test_backendstandin.cpp
@@ -20,19 +20,19 @@
 
 using Arguments = std::vector<std::string>;
 
-constexpr const char *farDeadline = "9000000000000000";
+constexpr const char *farFutureDeadline = "9000000000000000";
 
-Arguments withParent(Arguments arguments)
+Arguments withEndWithParent(Arguments arguments)
 {
     arguments.emplace_back("--end-with-parent");
     return arguments;
 }
 
-/** A backend server and the calls that the tests make. */
+/** A backend stand-in process and the requests that the tests send to it. */
 struct Backend
 {
     explicit Backend(const Arguments &arguments = {})
-        : process(BULRUSH_BINARY_DIR "/backend-standin", withParent(arguments))
+        : process(BULRUSH_BINARY_DIR "/backend-standin", withEndWithParent(arguments))
     { }
 
     std::string url(const std::string &path) const
@@ -55,9 +55,9 @@
         return http.get(url("/_control/load")).json();
     }
 
-    /** Does work for the key "k". */
+    /** Requests work for the key "k" and waits for the answer. */
     SyncHttpResult work(const std::string &path = "/item", const std::string &fence = "1.1",
-                        const std::string &deadline = farDeadline)
+                        const std::string &deadline = farFutureDeadline)
     {
         return workAt(url(path), fence, deadline);
     }
@@ -76,14 +76,14 @@
                                 "body"});
     }
 
-    /** Starts work without waiting for its answer. */
-    std::future<SyncHttpResult> workAside(const std::string &path)
+    /** Requests work without waiting for the answer. */
+    std::future<SyncHttpResult> startWork(const std::string &path)
     {
         return std::async(std::launch::async, [url = url(path)] { return SyncHttp{}.get(url); });
     }
 
-    /** Waits until the true load shows \a running and \a queued. */
-    void awaitLoad(int running, int queued)
+    /** Waits until the reported load shows \a running and \a queued. */
+    void waitForLoad(int running, int queued)
     {
         Json::Value now = load();
         while (now["running"].asInt() != running || now["queued"].asInt() != queued) {
@@ -96,8 +96,8 @@
     SyncHttp http;
 };
 
-std::string order(const std::string &fence, const std::string &begin = "0000000000000000",
-                  const std::string &end = "ffffffffffffffff")
+std::string grantOrder(const std::string &fence, const std::string &begin = "0000000000000000",
+                       const std::string &end = "ffffffffffffffff")
 {
     const std::size_t dot = fence.find('.');
     return R"({"service":"catalogue","sender":"s","begin":")" + begin + R"(","end":")" + end
@@ -105,7 +105,7 @@
         + fence.substr(dot + 1) + "}}";
 }
 
-std::string reasonOf(const SyncHttpResult &result)
+std::string refusalSummary(const SyncHttpResult &result)
 {
     return std::to_string(result.status) + " " + result.header("X-Bulrush-Ran").value_or("") + " "
         + result.header("X-Bulrush-Reason").value_or("");
@@ -134,7 +134,7 @@
     BOOST_TEST(entry["endHostUs"].asInt64() >= entry["startHostUs"].asInt64());
 }
 
-BOOST_AUTO_TEST_CASE(accepts_large_bodies_whole)
+BOOST_AUTO_TEST_CASE(accepts_large_bodies)
 {
     Backend backend;
     std::string body(std::size_t{80} * 1024 * 1024, 'a');
@@ -145,32 +145,32 @@
     BOOST_TEST(second.json()["xxh3"].asString() != first.json()["xxh3"].asString());
 }
 
-BOOST_AUTO_TEST_CASE(compares_fences_when_it_checks)
+BOOST_AUTO_TEST_CASE(compares_fences_if_enabled)
 {
     Backend backend{{"--checks-fence", "true"}};
-    BOOST_TEST(reasonOf(backend.work()) == "503 no not-owner");
-    BOOST_TEST(backend.control("grant", order("1.2")).status == 200);
-    BOOST_TEST(reasonOf(backend.work("/", "1.1")) == "503 no fence");
-    BOOST_TEST(reasonOf(backend.work("/", "1.3")) == "503 no not-owner");
+    BOOST_TEST(refusalSummary(backend.work()) == "503 no not-owner");
+    BOOST_TEST(backend.control("grant", grantOrder("1.2")).status == 200);
+    BOOST_TEST(refusalSummary(backend.work("/", "1.1")) == "503 no fence");
+    BOOST_TEST(refusalSummary(backend.work("/", "1.3")) == "503 no not-owner");
     BOOST_TEST(backend.work("/", "1.2").status == 200);
 
-    const SyncHttpResult late = backend.control("grant", order("1.1"));
+    const SyncHttpResult late = backend.control("grant", grantOrder("1.1"));
     BOOST_TEST(late.status == 409);
     BOOST_TEST(late.json()["highest"]["sequence"].asInt() == 2);
-    BOOST_TEST(backend.control("revoke", order("1.1")).status == 200);
+    BOOST_TEST(backend.control("revoke", grantOrder("1.1")).status == 200);
     BOOST_TEST(backend.work("/", "1.2").status == 200);
-    BOOST_TEST(backend.control("revoke", order("1.2")).status == 200);
-    BOOST_TEST(reasonOf(backend.work("/", "1.2")) == "503 no fence");
-    BOOST_TEST(backend.control("grant", order("1.2")).status == 409);
+    BOOST_TEST(backend.control("revoke", grantOrder("1.2")).status == 200);
+    BOOST_TEST(refusalSummary(backend.work("/", "1.2")) == "503 no fence");
+    BOOST_TEST(backend.control("grant", grantOrder("1.2")).status == 409);
     BOOST_TEST(backend.observed()["observed"].size() == 2U);
 }
 
 BOOST_AUTO_TEST_CASE(splits_ranges)
 {
     Backend backend{{"--checks-fence", "true"}};
-    backend.control("grant", order("1.1"));
-    backend.control("grant", order("1.2", "4000000000000000", "7fffffffffffffff"));
-    backend.control("revoke", order("1.1"));
+    backend.control("grant", grantOrder("1.1"));
+    backend.control("grant", grantOrder("1.2", "4000000000000000", "7fffffffffffffff"));
+    backend.control("revoke", grantOrder("1.1"));
     const Json::Value grants = backend.http.get(backend.url("/_control/grants")).json()["grants"];
     BOOST_REQUIRE(grants.size() == 1U);
     BOOST_TEST(grants[0]["begin"].asString() == "4000000000000000");
@@ -178,84 +178,85 @@
     BOOST_TEST(grants[0]["fence"]["sequence"].asInt() == 2);
 }
 
-BOOST_AUTO_TEST_CASE(runs_what_it_gets_when_it_does_not_check)
+BOOST_AUTO_TEST_CASE(accepts_lower_fences_if_checks_are_disabled)
 {
     Backend backend;
-    backend.control("grant", order("2.1"));
-    BOOST_TEST(backend.control("grant", order("1.1")).status == 200);
+    backend.control("grant", grantOrder("2.1"));
+    BOOST_TEST(backend.control("grant", grantOrder("1.1")).status == 200);
     BOOST_TEST(backend.work("/", "0.1").status == 200);
 }
 
-BOOST_AUTO_TEST_CASE(drops_work_after_its_deadline_in_its_own_clock)
+BOOST_AUTO_TEST_CASE(refuses_work_after_its_deadline_by_its_own_clock)
 {
     Backend backend{{"--clock-offset-ms", "-5000000000"}};
     const std::int64_t clock = backend.load()["clockMs"].asInt64();
     BOOST_TEST(clock < 0);
-    BOOST_TEST(reasonOf(backend.work("/", "1.1", std::to_string(clock))) == "503 no deadline");
+    BOOST_TEST(refusalSummary(backend.work("/", "1.1", std::to_string(clock)))
+               == "503 no deadline");
     BOOST_TEST(backend.work("/", "1.1", std::to_string(clock + 60'000)).status == 200);
     BOOST_TEST(backend.work("/", "1.1", "soon").status == 400);
 }
 
-BOOST_AUTO_TEST_CASE(queues_sheds_and_counts_running)
+BOOST_AUTO_TEST_CASE(queues_and_sheds_work_and_counts_running_work)
 {
     Backend backend{{"--slots", "1", "--queue", "1", "--checks-fence", "true"}};
-    backend.control("grant", order("1.1"));
+    backend.control("grant", grantOrder("1.1"));
     auto running = std::async(std::launch::async, [&backend] {
-        return Backend::workAt(backend.url("/?hold=true"), "1.1", farDeadline);
+        return Backend::workAt(backend.url("/?hold=true"), "1.1", farFutureDeadline);
     });
-    backend.awaitLoad(1, 0);
-    auto queued = backend.workAside("/");
-    backend.awaitLoad(1, 1);
-    BOOST_TEST(reasonOf(backend.work()) == "503 no shed");
-    BOOST_TEST(backend.control("revoke", order("1.1")).json()["running"].asInt() == 1);
+    backend.waitForLoad(1, 0);
+    auto queued = backend.startWork("/");
+    backend.waitForLoad(1, 1);
+    BOOST_TEST(refusalSummary(backend.work()) == "503 no shed");
+    BOOST_TEST(backend.control("revoke", grantOrder("1.1")).json()["running"].asInt() == 1);
     backend.control("release", "");
     BOOST_TEST(running.get().status == 200);
     BOOST_TEST(queued.get().status == 200);
 }
 
-BOOST_AUTO_TEST_CASE(cancels_queued_work_of_a_closed_connection)
+BOOST_AUTO_TEST_CASE(cancels_queued_work_when_its_connection_closes)
 {
     Backend backend{{"--slots", "1"}};
-    auto running = backend.workAside("/?hold=true");
-    backend.awaitLoad(1, 0);
+    auto running = backend.startWork("/?hold=true");
+    backend.waitForLoad(1, 0);
     RawConnection caller{backend.process.address()};
     caller.send("GET / HTTP/1.1\r\nHost: b\r\n\r\n");
-    backend.awaitLoad(1, 1);
+    backend.waitForLoad(1, 1);
     caller.close();
-    backend.awaitLoad(1, 0);
+    backend.waitForLoad(1, 0);
     backend.control("release", "");
     BOOST_TEST(running.get().status == 200);
     BOOST_TEST(backend.observed()["cancelled"].asInt() == 1);
     BOOST_TEST(backend.observed()["done"].asInt() == 1);
 }
 
-BOOST_AUTO_TEST_CASE(drains)
+BOOST_AUTO_TEST_CASE(refuses_new_work_while_draining)
 {
     Backend backend;
-    auto running = backend.workAside("/?hold=true");
-    backend.awaitLoad(1, 0);
+    auto running = backend.startWork("/?hold=true");
+    backend.waitForLoad(1, 0);
     BOOST_TEST(backend.control("drain", "").status == 200);
-    BOOST_TEST(reasonOf(backend.work()) == "503 no draining");
+    BOOST_TEST(refusalSummary(backend.work()) == "503 no draining");
     BOOST_TEST(backend.load()["draining"].asBool());
     backend.control("release", "");
     BOOST_TEST(running.get().status == 200);
 }
 
-BOOST_AUTO_TEST_CASE(reports_late_and_lies)
+BOOST_AUTO_TEST_CASE(reports_load_with_lag_and_factor)
 {
     Backend late{{"--report-lag-ms", "3600000"}};
     late.control("drain", "");
     BOOST_TEST(!late.load()["draining"].asBool());
     BOOST_TEST(late.load()["ageMs"].asInt() == 3600000);
 
-    Backend liar{{"--report-lie", "3"}};
-    auto running = liar.workAside("/?hold=true");
-    liar.awaitLoad(3, 0);
-    liar.control("release", "");
+    Backend scaled{{"--report-lie", "3"}};
+    auto running = scaled.startWork("/?hold=true");
+    scaled.waitForLoad(3, 0);
+    scaled.control("release", "");
     BOOST_TEST(running.get().status == 200);
 }
 
-BOOST_AUTO_TEST_CASE(starts_cold)
+BOOST_AUTO_TEST_CASE(runs_slower_or_refuses_work_while_cold)
 {
     Backend backend{{"--cold-ms", "3600000", "--cold-factor", "50"}};
     BOOST_TEST(backend.load()["cold"].asBool());
@@ -263,8 +264,8 @@
     const Json::Value entry = backend.observed()["observed"][0];
     BOOST_TEST(entry["endHostUs"].asInt64() - entry["startHostUs"].asInt64() >= 50'000);
 
-    Backend strict{{"--cold-ms", "3600000", "--cold-refuses", "true"}};
-    BOOST_TEST(reasonOf(strict.work()) == "503 no cold");
+    Backend refusing{{"--cold-ms", "3600000", "--cold-refuses", "true"}};
+    BOOST_TEST(refusalSummary(refusing.work()) == "503 no cold");
 }
 
 BOOST_AUTO_TEST_CASE(refuses_connections_beyond_the_limit)
@@ -276,14 +277,14 @@
     BOOST_TEST(held.send("GET /_control/load HTTP/1.1\r\nHost: b\r\nConnection: close\r\n\r\n"));
     BOOST_TEST(held.receiveToEnd().starts_with("HTTP/1.1 200"));
 
-    // The server may learn of the close after the next caller has come.
+    // Until the server has detected that `held` is closed, it refuses further connections.
     Json::Value log;
     while (log.isNull())
         log = backend.observed();
     BOOST_TEST(log["connectionsRefused"].asInt() >= 1);
 }
 
-BOOST_AUTO_TEST_CASE(answers_wrongly_when_told)
+BOOST_AUTO_TEST_CASE(injects_answer_faults)
 {
     Backend backend;
     const auto behave = [&backend](const std::string &answer) {
@@ -314,21 +315,21 @@
     BOOST_TEST(backend.observed()["done"].asInt() == 8);
 }
 
-BOOST_AUTO_TEST_CASE(freezes_and_drops_what_came_too_late)
+BOOST_AUTO_TEST_CASE(refuses_work_that_expired_while_suspended)
 {
     Backend backend;
     const std::int64_t clock = backend.load()["clockMs"].asInt64();
     backend.process.stop();
-    auto frozen = std::async(std::launch::async, [&backend, clock] {
+    auto expired = std::async(std::launch::async, [&backend, clock] {
         return SyncHttp{}.send(
             {"GET", backend.url("/"), {{"X-Bulrush-Deadline", std::to_string(clock + 100)}}, {}});
     });
-    BOOST_TEST((frozen.wait_for(std::chrono::milliseconds{150}) == std::future_status::timeout));
+    BOOST_TEST((expired.wait_for(std::chrono::milliseconds{150}) == std::future_status::timeout));
     backend.process.resume();
-    BOOST_TEST(reasonOf(frozen.get()) == "503 no deadline");
+    BOOST_TEST(refusalSummary(expired.get()) == "503 no deadline");
 }
 
-BOOST_AUTO_TEST_CASE(ends_on_a_signal)
+BOOST_AUTO_TEST_CASE(terminates_on_a_signal)
 {
     Backend backend;
     BOOST_TEST(backend.process.terminate().code.value_or(-1) == 0);
@@ -338,7 +339,7 @@
     BOOST_CHECK_THROW(Backend({"--listen", "nonsense"}), std::runtime_error);
 }
 
-BOOST_AUTO_TEST_CASE(ends_with_the_thread_that_started_it)
+BOOST_AUTO_TEST_CASE(terminates_with_the_thread_that_started_it)
 {
     std::optional<Backend> backend;
     std::thread{[&backend] {
--- a/tests/standins_test/test_platformstandin.cpp
+++ b/tests/standins_test/test_platformstandin.cpp
@@ -33,7 +33,7 @@
         return http.post(url(path, listener), body);
     }
 
-    /** Writes \a value to the row `t/KEY` if it stands at \a version. */
+    /** Writes \a value to the row `t/KEY` if its version is \a version. */
     SyncHttpResult write(const std::string &key, int version, const std::string &value)
     {
         const std::string row = R"({"table":"t","key":")" + key + R"(",)";
@@ -57,7 +57,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(platform, Platform)
 
-BOOST_AUTO_TEST_CASE(compares_and_sets_and_never_goes_back)
+BOOST_AUTO_TEST_CASE(checks_versions_and_never_decreases_them)
 {
     BOOST_TEST(write("k", 0, R"({"a":1})").json()["versions"][0].asInt() == 1);
     const SyncHttpResult stale = write("k", 0, R"({"a":2})");
@@ -83,7 +83,7 @@
     BOOST_TEST(row("one")["value"].asInt() == 1);
 }
 
-BOOST_AUTO_TEST_CASE(refuses_what_it_does_not_understand)
+BOOST_AUTO_TEST_CASE(rejects_malformed_requests)
 {
     BOOST_TEST(post("/table/transact", "{").status == 400);
     BOOST_TEST(post("/table/transact", R"({"requestId":"r","writer":"w"})").status == 400);
@@ -105,7 +105,7 @@
     BOOST_TEST(rest["rows"][0]["key"].asString() == "a/3");
 }
 
-BOOST_AUTO_TEST_CASE(keeps_objects_unchanged)
+BOOST_AUTO_TEST_CASE(does_not_overwrite_objects)
 {
     BOOST_TEST(http.send({"PUT", url("/objects/x/1"), {}, "first"}).status == 201);
     BOOST_TEST(http.send({"PUT", url("/objects/x/1"), {}, "second"}).status == 409);
@@ -113,23 +113,24 @@
     BOOST_TEST(http.get(url("/objects/x/2")).status == 404);
 }
 
-BOOST_AUTO_TEST_CASE(serves_hosts_with_the_lag)
+BOOST_AUTO_TEST_CASE(serves_hosts_with_lag)
 {
     const std::string change = R"({"hosts":[{"name":"h1","state":"live"}]})";
     BOOST_TEST(post("/_hosts", change).status == 200);
     BOOST_TEST(http.get(url("/hosts")).json()["hosts"].size() == 0U);
     BOOST_TEST(http.get(url("/hosts")).json()["ageMs"].asInt() == 3600000);
 
-    ChildProcess prompt{BULRUSH_BINARY_DIR "/platform-standin",
-                        {"--end-with-parent", "--listen", "a=127.0.0.1:0"}};
-    http.post(prompt.address("a") + "/_hosts", change);
-    http.post(prompt.address("a") + "/_hosts", R"({"hosts":[{"name":"h1","state":"leaving"}]})");
-    const Json::Value hosts = http.get(prompt.address("a") + "/hosts").json()["hosts"];
+    ChildProcess withoutLag{BULRUSH_BINARY_DIR "/platform-standin",
+                            {"--end-with-parent", "--listen", "a=127.0.0.1:0"}};
+    http.post(withoutLag.address("a") + "/_hosts", change);
+    http.post(withoutLag.address("a") + "/_hosts",
+              R"({"hosts":[{"name":"h1","state":"leaving"}]})");
+    const Json::Value hosts = http.get(withoutLag.address("a") + "/hosts").json()["hosts"];
     BOOST_REQUIRE(hosts.size() == 1U);
     BOOST_TEST(hosts[0]["state"].asString() == "leaving");
 }
 
-BOOST_AUTO_TEST_CASE(is_down_on_one_listener)
+BOOST_AUTO_TEST_CASE(takes_down_one_listener)
 {
     post("/_faults", R"({"listener":"antwerp","mode":"down"})");
     const SyncHttpResult result = write("k", 0, "1");
@@ -148,7 +149,7 @@
     BOOST_TEST(write("k", 1, "2").status == 200);
 }
 
-BOOST_AUTO_TEST_CASE(is_slow_after_the_effect)
+BOOST_AUTO_TEST_CASE(delays_answers_after_the_effect)
 {
     post("/_faults", R"({"listener":"antwerp","mode":"slow","slowMs":3600000})");
     const std::string body = R"({"requestId":"r","writer":"w","conditions":[],
@@ -166,7 +167,7 @@
     BOOST_TEST((std::chrono::steady_clock::now() - before >= std::chrono::milliseconds{30}));
 }
 
-BOOST_AUTO_TEST_CASE(refuses_unknown_faults)
+BOOST_AUTO_TEST_CASE(rejects_unknown_faults)
 {
     BOOST_TEST(post("/_faults", R"({"listener":"nowhere","mode":"down"})").status == 404);
     BOOST_TEST(post("/_faults", R"({"listener":"*","mode":"odd"})").status == 400);
