--- a/tests/standins/backend/backendserver.cpp
+++ b/tests/standins/backend/backendserver.cpp
@@ -27,7 +27,7 @@
 
 Answer jsonAnswer(int status, const Json::Value &body)
 {
-    return Answer{status, {{"Content-Type", "application/json"}}, printed(body)};
+    return Answer{status, {{"Content-Type", "application/json"}}, toJsonText(body)};
 }
 
 Answer errorAnswer(int status, const std::string &error)
@@ -53,7 +53,7 @@
 
 std::optional<GrantOrder> orderFrom(std::string_view text)
 {
-    const auto body = parsedObject(text);
+    const auto body = parsedJsonObject(text);
     if (!body || !(*body)["service"].isString() || !(*body)["sender"].isString())
         return std::nullopt;
 
@@ -107,7 +107,7 @@
     , m_previousAnswer{200, {{"X-Bulrush-Request", "nobody"}, {"X-Bulrush-Ran", "yes"}}, "{}"}
     , m_listener(
           loop, m_settings.listener, [this](const RequestHandle &request) { serve(request); },
-          [this](ConnectionGate::ConnectionId connection) { cancelQueued(connection); })
+          [this](ConnectionLimiter::ConnectionId connection) { cancelQueued(connection); })
 {
     recordLoad();
 }
@@ -216,7 +216,7 @@
 
 Answer BackendServer::behave(std::string_view body)
 {
-    const auto message = parsedObject(body);
+    const auto message = parsedJsonObject(body);
     const auto misbehaviour = message ? misbehaviourFrom(*message) : std::nullopt;
     if (!misbehaviour)
         return errorAnswer(400, "answer is whole, cut, silent, reset, crossed or late with lateMs");
@@ -247,8 +247,8 @@
     answer["refused"] = Json::objectValue;
     for (const auto &[refusal, count] : m_counters.refused)
         answer["refused"][std::string{nameOf(refusal)}] = Json::UInt64{count};
-    answer["connections"] = Json::UInt64{m_listener.gate().openCount()};
-    answer["connectionsRefused"] = Json::UInt64{m_listener.gate().refusedCount()};
+    answer["connections"] = Json::UInt64{m_listener.connectionLimiter().openCount()};
+    answer["connectionsRefused"] = Json::UInt64{m_listener.connectionLimiter().refusedCount()};
     answer["clockMs"] = Json::Int64{clockMs()};
     answer["hostUs"] = Json::Int64{hostMicroseconds()};
     return jsonAnswer(200, answer);
@@ -320,7 +320,7 @@
     Observation observation;
     observation.service = work->service;
     observation.key = work->key;
-    observation.fence = work->fence ? printed(*work->fence) : "";
+    observation.fence = work->fence ? toText(*work->fence) : "";
     observation.requestId = work->requestId;
     observation.idempotencyKey = work->idempotencyKey;
     observation.startMs = clockMs();
@@ -362,7 +362,7 @@
     const Answer previous = std::exchange(m_previousAnswer, whole);
     const Overloaded send{
         [&](const Whole &) { Listener::send(request, whole); },
-        [&](const Cut &) { m_listener.sendCut(request, whole); },
+        [&](const Cut &) { m_listener.sendTruncated(request, whole); },
         [&](const Silent &) {},
         [&](const Reset &) { m_listener.resetConnection(request); },
         [&](const Crossed &) { Listener::send(request, previous); },
@@ -381,7 +381,7 @@
     });
 }
 
-void BackendServer::cancelQueued(ConnectionGate::ConnectionId connection)
+void BackendServer::cancelQueued(ConnectionLimiter::ConnectionId connection)
 {
     m_counters.cancelled += m_queued.remove_if(
         [connection](const Work &work) { return work.request->connection_id() == connection; });
--- a/tests/standins/backend/backendserver.h
+++ b/tests/standins/backend/backendserver.h
@@ -79,7 +79,7 @@
     void finish(WorkList::iterator work);
     void answer(const RequestHandle &request, const Answer &whole);
     void sendLater(const RequestHandle &request, Answer answer, std::chrono::milliseconds delay);
-    void cancelQueued(ConnectionGate::ConnectionId connection);
+    void cancelQueued(ConnectionLimiter::ConnectionId connection);
     std::uint64_t countUnder(const WorkList &list, const GrantOrder &order) const;
 
     std::chrono::milliseconds serviceTimeOf(const Work &work) const;
--- a/tests/standins/backend/main.cpp
+++ b/tests/standins/backend/main.cpp
@@ -76,7 +76,7 @@
     addOptions(app, options);
     CLI11_PARSE(app, argc, argv);
     if (options.endsWithParent)
-        endWithParent();
+        terminateWithParent();
 
     try {
         run(options);
--- a/tests/standins/backend/work.cpp
+++ b/tests/standins/backend/work.cpp
@@ -107,7 +107,7 @@
     return work;
 }
 
-std::string printed(Fence fence)
+std::string toText(Fence fence)
 {
     return std::to_string(fence.epoch) + "." + std::to_string(fence.sequence);
 }
@@ -133,7 +133,7 @@
                   {{"Content-Type", "application/json"},
                    {"X-Bulrush-Request", work.requestId},
                    {"X-Bulrush-Ran", "yes"}},
-                  printed(content)};
+                  toJsonText(content)};
 }
 
 } // namespace bulrush::standins
--- a/tests/standins/backend/work.h
+++ b/tests/standins/backend/work.h
@@ -43,7 +43,7 @@
 std::variant<Work, BadWork> workFrom(const RequestHandle &request);
 
 /** \returns \a fence as `EPOCH.SEQUENCE`. Thread safe. */
-std::string printed(Fence fence);
+std::string toText(Fence fence);
 
 /**
  * \returns the answer to \a work that was done: it names the server and the request, and echoes
--- a/tests/standins/http/connectiongate.h
+++ b/tests/standins/http/connectionlimiter.h
@@ -10,29 +10,30 @@
 namespace bulrush::standins {
 
 /**
- * Counts the open connections of a listener, refuses those beyond a limit by closing them, and
- * tells when one has closed. Not thread safe: lives on the loop's thread.
+ * Counts the open connections of a listener, closes new ones beyond a limit, and reports when an
+ * accepted one has closed. Not thread safe: to be used on the event loop's thread only.
  */
-class ConnectionGate
+class ConnectionLimiter
 {
 public:
     using ConnectionId = restinio::connection_id_t;
     using ClosedHandler = std::function<void(ConnectionId)>;
 
     /**
-     * \a closedHandler is called once for each connection that was let in and has closed.
+     * \a connectionClosedHandler is called once for each accepted connection, when it has closed.
      */
-    ConnectionGate(std::size_t limit, ClosedHandler closedHandler);
+    ConnectionLimiter(std::size_t limit, ClosedHandler connectionClosedHandler);
 
     /**
-     * Tells that a connection was closed by other means than RESTinio's.
+     * Removes a connection from the count and reports it as closed. To be called for connections
+     * that are closed by other means than RESTinio's.
      */
-    void forget(ConnectionId id);
+    void handleClosed(ConnectionId id);
 
     std::size_t openCount() const;
     std::size_t refusedCount() const;
 
-    // The two calls that RESTinio makes, under the names that it expects.
+    // Callbacks from RESTinio, which prescribes their names.
     restinio::ip_blocker::inspection_result_t
     inspect(const restinio::ip_blocker::incoming_info_t &info) noexcept;
     // NOLINTNEXTLINE(readability-identifier-naming)
@@ -40,17 +41,17 @@
 
 private:
     std::size_t m_limit;
-    ClosedHandler m_closedHandler;
+    ClosedHandler m_connectionClosedHandler;
     std::unordered_set<ConnectionId> m_open;
     std::size_t m_refusedCount = 0;
 };
 
-inline std::size_t ConnectionGate::openCount() const
+inline std::size_t ConnectionLimiter::openCount() const
 {
     return m_open.size();
 }
 
-inline std::size_t ConnectionGate::refusedCount() const
+inline std::size_t ConnectionLimiter::refusedCount() const
 {
     return m_refusedCount;
 }
--- a/tests/standins/http/json.cpp
+++ b/tests/standins/http/json.cpp
@@ -8,7 +8,7 @@
 
 namespace bulrush::standins {
 
-std::optional<Json::Value> parsedObject(std::string_view text)
+std::optional<Json::Value> parsedJsonObject(std::string_view text)
 {
     Json::CharReaderBuilder builder;
     builder["collectComments"] = false;
@@ -21,7 +21,7 @@
         if (!reader->parse(text.data(), text.data() + text.size(), &value, nullptr))
             return std::nullopt;
     } catch (const std::exception &) {
-        // jsoncpp throws on values that are nested too deep.
+        // JsonCpp throws if values are nested too deeply.
         return std::nullopt;
     }
 
@@ -31,7 +31,7 @@
     return value;
 }
 
-std::string printed(const Json::Value &value)
+std::string toJsonText(const Json::Value &value)
 {
     Json::StreamWriterBuilder builder;
     builder["indentation"] = "";
--- a/tests/standins/http/json.h
+++ b/tests/standins/http/json.h
@@ -9,13 +9,13 @@
 namespace bulrush::standins {
 
 /**
- * \returns the JSON object in \a text, or nothing if it is not one. Thread safe.
+ * \returns the JSON object in \a text, or nothing if \a text is not a JSON object. Thread safe.
  */
-std::optional<Json::Value> parsedObject(std::string_view text);
+std::optional<Json::Value> parsedJsonObject(std::string_view text);
 
 /**
- * \returns \a value on one line. Thread safe.
+ * \returns \a value as JSON text on one line. Thread safe.
  */
-std::string printed(const Json::Value &value);
+std::string toJsonText(const Json::Value &value);
 
 } // namespace bulrush::standins
--- a/tests/standins/http/listener.cpp
+++ b/tests/standins/http/listener.cpp
@@ -14,11 +14,11 @@
 
 namespace {
 
-/** Long enough that no test meets it: silence must be the test's own choice. */
+/** Longer than any test waits, so that RESTinio never closes a connection that stays unanswered. */
 constexpr std::chrono::minutes transferTimeLimit{10};
 
-/** One more than the request in work, so that RESTinio reads on and sees the caller close. */
-constexpr std::size_t pipelinedRequests = 2;
+/** One more than the request in progress, so that RESTinio detects when the caller closes. */
+constexpr std::size_t maxPipelinedRequests = 2;
 
 constexpr std::size_t readBufferSize = std::size_t{64} * 1024;
 
@@ -44,7 +44,7 @@
     }
 }
 
-/** \returns the bytes of the head of \a answer, with \a firstFields before its own fields. */
+/** \returns the status line and header of \a answer, with \a firstFields before its own fields. */
 std::string rawHead(const Answer &answer, const std::vector<HeaderField> &firstFields)
 {
     std::string head = "HTTP/1.1 " + std::to_string(answer.status) + " ";
@@ -57,12 +57,12 @@
     return head + "\r\n";
 }
 
-std::string rawFramedHead(const Answer &answer)
+std::string rawHeadWithLength(const Answer &answer)
 {
     return rawHead(answer, {{"Content-Length", std::to_string(answer.body.size())}});
 }
 
-void writeWhole(asio::ip::tcp::socket &socket, const std::string &bytes)
+void writeAll(asio::ip::tcp::socket &socket, const std::string &bytes)
 {
     asio::error_code ignored;
     socket.non_blocking(false, ignored);
@@ -97,9 +97,10 @@
 }
 
 Listener::Listener(asio::io_context &loop, const ListenerSettings &settings, RequestHandler handler,
-                   ConnectionGate::ClosedHandler closedHandler)
+                   ConnectionLimiter::ClosedHandler connectionClosedHandler)
     : m_loop(loop)
-    , m_gate(std::make_shared<ConnectionGate>(settings.connectionLimit, std::move(closedHandler)))
+    , m_connectionLimiter(std::make_shared<ConnectionLimiter>(settings.connectionLimit,
+                                                              std::move(connectionClosedHandler)))
     , m_server(std::make_unique<Server>(restinio::external_io_context(loop),
                                         serverSettings(settings, std::move(handler))))
 {
@@ -112,9 +113,9 @@
     restinio::server_settings_t<Traits> result;
     result.address(settings.ip)
         .port(settings.port)
-        .ip_blocker(m_gate)
-        .connection_state_listener(m_gate)
-        .max_pipelined_requests(pipelinedRequests)
+        .ip_blocker(m_connectionLimiter)
+        .connection_state_listener(m_connectionLimiter)
+        .max_pipelined_requests(maxPipelinedRequests)
         .buffer_size(readBufferSize)
         .read_next_http_message_timelimit(transferTimeLimit)
         .write_http_response_timelimit(transferTimeLimit)
@@ -145,35 +146,35 @@
     response.done();
 }
 
-void Listener::closeUnanswered(const RequestHandle &request)
+void Listener::closeWithoutAnswer(const RequestHandle &request)
 {
-    withSocket(request, [](asio::ip::tcp::socket &) {});
+    detachSocket(request, [](asio::ip::tcp::socket &) {});
 }
 
 void Listener::resetConnection(const RequestHandle &request)
 {
-    withSocket(request, [](asio::ip::tcp::socket &socket) {
+    detachSocket(request, [](asio::ip::tcp::socket &socket) {
         asio::error_code ignored;
         socket.set_option(asio::socket_base::linger{true, 0}, ignored);
     });
 }
 
-void Listener::sendCut(const RequestHandle &request, const Answer &answer)
+void Listener::sendTruncated(const RequestHandle &request, const Answer &answer)
 {
-    withSocket(request, [answer](asio::ip::tcp::socket &socket) {
-        writeWhole(socket, rawFramedHead(answer) + answer.body.substr(0, answer.body.size() / 2));
+    detachSocket(request, [answer](asio::ip::tcp::socket &socket) {
+        writeAll(socket, rawHeadWithLength(answer) + answer.body.substr(0, answer.body.size() / 2));
     });
 }
 
-void Listener::sendUnframed(const RequestHandle &request, const Answer &answer)
+void Listener::sendWithoutLength(const RequestHandle &request, const Answer &answer)
 {
-    withSocket(request, [answer](asio::ip::tcp::socket &socket) {
-        writeWhole(socket, rawHead(answer, {{"Connection", "close"}}) + answer.body);
+    detachSocket(request, [answer](asio::ip::tcp::socket &socket) {
+        writeAll(socket, rawHead(answer, {{"Connection", "close"}}) + answer.body);
     });
 }
 
-void Listener::sendTwice(const RequestHandle &request, const Answer &answer,
-                         std::chrono::milliseconds delay)
+void Listener::sendDuplicate(const RequestHandle &request, const Answer &answer,
+                             std::chrono::milliseconds delay)
 {
     using Builder = restinio::response_builder_t<restinio::user_controlled_output_t>;
     auto response = std::make_shared<Builder>(
@@ -186,17 +187,21 @@
     response->append_body(answer.body);
     response->flush();
     auto timer = std::make_shared<asio::steady_timer>(m_loop, delay);
-    timer->async_wait(
-        [timer, response, again = rawFramedHead(answer) + answer.body](const asio::error_code &) {
-            response->append_body(again);
-            response->done();
-        });
+    timer->async_wait([timer, response, duplicate = rawHeadWithLength(answer) + answer.body](
+                          const asio::error_code &) {
+        response->append_body(duplicate);
+        response->done();
+    });
 }
 
-void Listener::withSocket(const RequestHandle &request,
-                          std::function<void(asio::ip::tcp::socket &)> action)
+/**
+ * Takes the socket of the connection of \a request away from RESTinio, passes it to \a action and
+ * closes it. Happens later on the loop; does nothing if the connection is already closed.
+ */
+void Listener::detachSocket(const RequestHandle &request,
+                            std::function<void(asio::ip::tcp::socket &)> action)
 {
-    // Not from within RESTinio's own call, which goes on with the connection afterwards.
+    // Posted, because RESTinio still uses the connection after its call of the request handler.
     asio::post(m_loop, [this, request, action = std::move(action)] {
         const auto connection = std::move(restinio::impl::access_req_connection(*request));
         if (!connection)
@@ -208,7 +213,7 @@
 
         asio::error_code ignored;
         internals.m_socket.close(ignored);
-        m_gate->forget(request->connection_id());
+        m_connectionLimiter->handleClosed(request->connection_id());
     });
 }
 
--- a/tests/standins/http/listener.h
+++ b/tests/standins/http/listener.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "http/connectiongate.h"
+#include "http/connectionlimiter.h"
 
 #include <restinio/http_server.hpp>
 #include <restinio/traits.hpp>
@@ -16,17 +16,15 @@
 
 namespace bulrush::standins {
 
-/** A request as RESTinio hands it over, body whole. */
+/** A request from RESTinio with its complete body. */
 using RequestHandle = restinio::request_handle_t;
 
-/** One header field of an answer. */
 struct HeaderField
 {
     std::string name;
     std::string value;
 };
 
-/** An answer, before it is sent. */
 struct Answer
 {
     int status = 200;
@@ -34,7 +32,7 @@
     std::string body;
 };
 
-/** What a listener is told at its start. */
+/** Start parameters of a listener. */
 struct ListenerSettings
 {
     std::string ip = "127.0.0.1";
@@ -45,14 +43,15 @@
 };
 
 /**
- * \returns \a text taken as `IP:PORT`, or as a default with port 0 if it is empty.
- * Throws std::invalid_argument if it is neither.
+ * \returns settings with the address from \a text, which is `IP:PORT`, or with the default address
+ * and port 0 if \a text is empty. Throws std::invalid_argument if \a text is malformed.
  */
 ListenerSettings parsedEndpoint(std::string_view text);
 
 /**
- * One listening address, served by RESTinio on the loop's thread, with the ways to answer wrongly
- * that an HTTP library doesn't offer. Not thread safe: all calls on the loop's thread.
+ * Serves one listening address with RESTinio on the event loop's thread, and provides faulty
+ * answers that HTTP libraries don't support. Not thread safe: to be called on the event loop's
+ * thread only.
  */
 class Listener
 {
@@ -60,51 +59,51 @@
     using RequestHandler = std::function<void(RequestHandle)>;
 
     /**
-     * Opens the address at once. Throws what RESTinio throws if it can't be opened.
-     * \a closedHandler is told of each connection that ends.
+     * Opens the address immediately. Throws what RESTinio throws if it can't be opened.
+     * \a connectionClosedHandler is called for each accepted connection, when it has closed.
      */
     Listener(asio::io_context &loop, const ListenerSettings &settings, RequestHandler handler,
-             ConnectionGate::ClosedHandler closedHandler);
+             ConnectionLimiter::ClosedHandler connectionClosedHandler);
 
-    /** \returns the address as `IP:PORT`, with the port that the system chose. */
+    /** \returns the address as `IP:PORT`, with the port that the listener actually uses. */
     const std::string &address() const;
 
-    const ConnectionGate &gate() const;
+    const ConnectionLimiter &connectionLimiter() const;
 
-    /** Sends \a answer whole. */
+    /** Sends \a answer completely. */
     static void send(const RequestHandle &request, const Answer &answer);
 
-    /** Closes the request's connection without an answer. */
-    void closeUnanswered(const RequestHandle &request);
+    /** Closes the connection of \a request without an answer. */
+    void closeWithoutAnswer(const RequestHandle &request);
 
-    /** Ends the request's connection with a TCP reset. */
+    /** Closes the connection of \a request with a TCP reset. */
     void resetConnection(const RequestHandle &request);
 
-    /** Announces the whole body of \a answer, sends half of it and closes the connection. */
-    void sendCut(const RequestHandle &request, const Answer &answer);
+    /** Announces the full length of the body, but sends only half of it; closes the connection. */
+    void sendTruncated(const RequestHandle &request, const Answer &answer);
 
-    /** Sends \a answer without the length of its body, which the connection's end tells. */
-    void sendUnframed(const RequestHandle &request, const Answer &answer);
+    /** Sends \a answer without a content length; the end of the connection ends the body. */
+    void sendWithoutLength(const RequestHandle &request, const Answer &answer);
 
-    /** Sends \a answer whole, and the same bytes once more after \a delay; keeps the connection. */
-    void sendTwice(const RequestHandle &request, const Answer &answer,
-                   std::chrono::milliseconds delay);
+    /** Sends \a answer, and the same bytes again after \a delay; keeps the connection open. */
+    void sendDuplicate(const RequestHandle &request, const Answer &answer,
+                       std::chrono::milliseconds delay);
 
 private:
     struct Traits : restinio::default_single_thread_traits_t
     {
-        using ip_blocker_t = ConnectionGate;
-        using connection_state_listener_t = ConnectionGate;
+        using ip_blocker_t = ConnectionLimiter;
+        using connection_state_listener_t = ConnectionLimiter;
     };
     using Server = restinio::http_server_t<Traits>;
 
     restinio::server_settings_t<Traits> serverSettings(const ListenerSettings &settings,
                                                        RequestHandler handler);
-    void withSocket(const RequestHandle &request,
-                    std::function<void(asio::ip::tcp::socket &)> action);
+    void detachSocket(const RequestHandle &request,
+                      std::function<void(asio::ip::tcp::socket &)> action);
 
     asio::io_context &m_loop;
-    std::shared_ptr<ConnectionGate> m_gate;
+    std::shared_ptr<ConnectionLimiter> m_connectionLimiter;
     std::string m_address;
     std::unique_ptr<Server> m_server;
 };
@@ -114,9 +113,9 @@
     return m_address;
 }
 
-inline const ConnectionGate &Listener::gate() const
+inline const ConnectionLimiter &Listener::connectionLimiter() const
 {
-    return *m_gate;
+    return *m_connectionLimiter;
 }
 
 } // namespace bulrush::standins
--- a/tests/standins/http/program.cpp
+++ b/tests/standins/http/program.cpp
@@ -8,7 +8,7 @@
 
 namespace bulrush::standins {
 
-void endWithParent()
+void terminateWithParent()
 {
     ::prctl(PR_SET_PDEATHSIG, SIGTERM);
 }
--- a/tests/standins/http/program.h
+++ b/tests/standins/http/program.h
@@ -4,12 +4,12 @@
 
 namespace bulrush::standins {
 
-/** Asks the system to end this process when the thread that started it ends. */
-void endWithParent();
+/** Asks the kernel to send SIGTERM to this process when the thread that started it ends. */
+void terminateWithParent();
 
 /**
- * Prints the line "ready", then runs \a loop until SIGTERM or SIGINT, which are caught before the
- * line is printed.
+ * Prints the line "ready" and runs \a loop until SIGTERM or SIGINT arrives. Both signals are
+ * already handled when the line is printed.
  */
 void runUntilSignal(asio::io_context &loop);
 
--- a/tests/standins/keyed/keyedserver.cpp
+++ b/tests/standins/keyed/keyedserver.cpp
@@ -74,7 +74,7 @@
     , m_leases(keyPlaces, m_settings.clockPpm)
     , m_listener(std::make_unique<Listener>(
           loop, m_settings.listener, [this](const RequestHandle &request) { serve(request); },
-          [](ConnectionGate::ConnectionId) {}))
+          [](ConnectionLimiter::ConnectionId) {}))
 { }
 
 KeyedServer::~KeyedServer() = default;
@@ -111,7 +111,7 @@
 
 void KeyedServer::grant(const RequestHandle &request)
 {
-    const auto json = parsedObject(request->body());
+    const auto json = parsedJsonObject(request->body());
     constexpr double longestHoldS = 10.0;
     if (!json || !((*json)["holdS"].asDouble() <= longestHoldS)) {
         Listener::send(request, {400, {}, {}});
@@ -134,7 +134,7 @@
 
 void KeyedServer::release(const RequestHandle &request)
 {
-    const auto json = parsedObject(request->body());
+    const auto json = parsedJsonObject(request->body());
     if (!json) {
         Listener::send(request, {400, {}, {}});
         return;
@@ -253,16 +253,16 @@
     }
     switch (*spoil) {
     case AnswerSpoil::Lose:
-        m_listener->closeUnanswered(work.request);
+        m_listener->closeWithoutAnswer(work.request);
         break;
     case AnswerSpoil::Cut:
-        m_listener->sendCut(work.request, answer);
+        m_listener->sendTruncated(work.request, answer);
         break;
     case AnswerSpoil::Unframed:
-        m_listener->sendUnframed(work.request, answer);
+        m_listener->sendWithoutLength(work.request, answer);
         break;
     case AnswerSpoil::Twice:
-        m_listener->sendTwice(work.request, answer, secondAnswerDelay);
+        m_listener->sendDuplicate(work.request, answer, secondAnswerDelay);
         break;
     }
 }
@@ -286,9 +286,9 @@
 
 void KeyedServer::control(const RequestHandle &request)
 {
-    if (const auto json = parsedObject(request->body()))
+    if (const auto json = parsedJsonObject(request->body()))
         setWrongs(*json);
-    Listener::send(request, {200, {{"Content-Type", "application/json"}}, printed(record())});
+    Listener::send(request, {200, {{"Content-Type", "application/json"}}, toJsonText(record())});
 }
 
 void KeyedServer::setWrongs(const Json::Value &json)
--- a/tests/standins/keyed/main.cpp
+++ b/tests/standins/keyed/main.cpp
@@ -28,7 +28,7 @@
     app.add_flag("--hang-when-full", settings.hangsWhenFull, "don't answer what can't be queued");
     app.add_option("--crash-on", settings.crashOn, "work on paths with this text ends the process");
     CLI11_PARSE(app, argc, argv);
-    endWithParent();
+    terminateWithParent();
     settings.serviceTime = std::chrono::milliseconds{serviceMs};
     try {
         const ListenerSettings listener = parsedEndpoint(endpoint);
--- a/tests/standins/platform/main.cpp
+++ b/tests/standins/platform/main.cpp
@@ -75,7 +75,7 @@
     app.add_flag("--end-with-parent", options.endsWithParent, "end when the parent has");
     CLI11_PARSE(app, argc, argv);
     if (options.endsWithParent)
-        endWithParent();
+        terminateWithParent();
 
     try {
         run(options);
--- a/tests/standins/platform/platformserver.cpp
+++ b/tests/standins/platform/platformserver.cpp
@@ -16,7 +16,7 @@
 
 Answer jsonAnswer(int status, const Json::Value &body)
 {
-    return Answer{status, {{"Content-Type", "application/json"}}, printed(body)};
+    return Answer{status, {{"Content-Type", "application/json"}}, toJsonText(body)};
 }
 
 Answer errorAnswer(int status, const std::string &error)
@@ -47,7 +47,7 @@
     entrance->listener = std::make_unique<Listener>(
         m_loop, settings,
         [this, place = entrance.get()](const RequestHandle &request) { serve(*place, request); },
-        [](ConnectionGate::ConnectionId) {});
+        [](ConnectionLimiter::ConnectionId) {});
     m_entrances.push_back(std::move(entrance));
     return m_entrances.back()->listener->address();
 }
@@ -59,7 +59,7 @@
         return;
     }
     if (std::holds_alternative<Down>(entrance.faults.mode)) {
-        entrance.listener->closeUnanswered(request);
+        entrance.listener->closeWithoutAnswer(request);
         return;
     }
 
@@ -68,7 +68,7 @@
     const Reply reply = replyTo(entrance, request);
     if (reply.hasCommitted && entrance.faults.answersToLose > 0) {
         --entrance.faults.answersToLose;
-        entrance.listener->closeUnanswered(request);
+        entrance.listener->closeWithoutAnswer(request);
         return;
     }
 
@@ -131,7 +131,7 @@
 
 Answer PlatformServer::changeFaults(std::string_view body)
 {
-    const auto change = parsedObject(body);
+    const auto change = parsedJsonObject(body);
     if (!change || !(*change)["listener"].isString())
         return notJson();
 
@@ -176,7 +176,7 @@
 
 Answer PlatformServer::changeHosts(std::string_view body)
 {
-    const auto change = parsedObject(body);
+    const auto change = parsedJsonObject(body);
     if (!change)
         return notJson();
     if (!m_hosts.change((*change)["hosts"], std::chrono::steady_clock::now()))
@@ -187,7 +187,7 @@
 
 PlatformServer::Reply PlatformServer::transact(std::string_view body)
 {
-    const auto message = parsedObject(body);
+    const auto message = parsedJsonObject(body);
     if (!message)
         return {notJson()};
 
@@ -204,7 +204,7 @@
 
 Answer PlatformServer::read(std::string_view body) const
 {
-    const auto message = parsedObject(body);
+    const auto message = parsedJsonObject(body);
     if (!message)
         return notJson();
 
@@ -222,7 +222,7 @@
 
 Answer PlatformServer::scan(std::string_view body) const
 {
-    const auto message = parsedObject(body);
+    const auto message = parsedJsonObject(body);
     if (!message)
         return notJson();
 
--- a/tests/standins/store/main.cpp
+++ b/tests/standins/store/main.cpp
@@ -34,7 +34,7 @@
     app.add_option("--listen", listeners, "NAME=IP:PORT; port 0 lets the system choose")
         ->required();
     CLI11_PARSE(app, argc, argv);
-    endWithParent();
+    terminateWithParent();
     try {
         asio::io_context loop{1};
         StoreServer server{loop};
--- a/tests/standins/store/storeserver.cpp
+++ b/tests/standins/store/storeserver.cpp
@@ -17,7 +17,7 @@
 
 Answer jsonAnswer(int status, const Json::Value &body)
 {
-    return Answer{status, {{"Content-Type", "application/json"}}, printed(body)};
+    return Answer{status, {{"Content-Type", "application/json"}}, toJsonText(body)};
 }
 
 Json::Value jsonOf(const HeldRow &row)
@@ -99,7 +99,7 @@
     entrance->listener = std::make_unique<Listener>(
         m_loop, settings,
         [this, place = entrance.get()](const RequestHandle &request) { serve(*place, request); },
-        [](ConnectionGate::ConnectionId) {});
+        [](ConnectionLimiter::ConnectionId) {});
     m_entrances.push_back(std::move(entrance));
     return m_entrances.back()->listener->address();
 }
@@ -149,7 +149,7 @@
 
 void StoreServer::transact(Entrance &entrance, const RequestHandle &request)
 {
-    const auto json = parsedObject(request->body());
+    const auto json = parsedJsonObject(request->body());
     if (!json) {
         Listener::send(request, {400, {}, {}});
         return;
@@ -167,13 +167,13 @@
         --entrance.writesToDelay;
         auto timer = std::make_shared<asio::steady_timer>(m_loop, entrance.delay);
         timer->async_wait([timer, apply](const asio::error_code &) { apply(); });
-        entrance.listener->closeUnanswered(request);
+        entrance.listener->closeWithoutAnswer(request);
         return;
     }
     const Answer answer = apply();
     if (entrance.answersToLose > 0) {
         --entrance.answersToLose;
-        entrance.listener->closeUnanswered(request);
+        entrance.listener->closeWithoutAnswer(request);
         return;
     }
     Listener::send(request, answer);
@@ -265,14 +265,15 @@
 
 Answer StoreServer::control(std::string_view body)
 {
-    const auto json = parsedObject(body);
+    const auto json = parsedJsonObject(body);
     if (!json)
         return {400, {}, {}};
     std::vector<HeldRow> rows;
     for (const Json::Value &entry : (*json)["put"])
-        rows.push_back({entry["table"].asString(), entry["key"].asString(),
-                        entry.isMember("text") ? entry["text"].asString() : printed(entry["value"]),
-                        0, false});
+        rows.push_back(
+            {entry["table"].asString(), entry["key"].asString(),
+             entry.isMember("text") ? entry["text"].asString() : toJsonText(entry["value"]), 0,
+             false});
     for (const Json::Value &entry : (*json)["remove"])
         rows.push_back({entry["table"].asString(), entry["key"].asString(), {}, 0, true});
     if (!rows.empty()) {
