--- a/tests/standins/store/main.cpp
+++ b/tests/standins/store/main.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-void open(StoreServer &server, const std::string &text)
+void openListener(StoreServer &server, const std::string &text)
 {
     const std::size_t equals = text.find('=');
     if (equals == std::string::npos)
@@ -39,7 +39,7 @@
         asio::io_context loop{1};
         StoreServer server{loop};
         for (const std::string &listener : listeners)
-            open(server, listener);
+            openListener(server, listener);
         runUntilSignal(loop);
     } catch (const std::exception &error) {
         std::cerr << "store-standin: " << error.what() << '\n';
--- a/tests/standins/store/rowhistory.h
+++ b/tests/standins/store/rowhistory.h
@@ -9,8 +9,8 @@
 
 namespace bulrush::standins {
 
-/** A row, or that there is none any more. */
-struct HeldRow
+/** A row with its version, or the tombstone of a removed row. */
+struct VersionedRow
 {
     std::string table;
     std::string key;
@@ -19,7 +19,7 @@
     bool isRemoved = false;
 };
 
-/** What a row must be before a transaction; version 0: there is none. */
+/** The version that a row must have for a transaction to be applied; 0: the row must not exist. */
 struct RowCondition
 {
     std::string table;
@@ -27,33 +27,36 @@
     std::uint64_t version = 0;
 };
 
-/** Rows in tables with one counter of versions, and the changes since the history was dropped. */
+/**
+ * The rows of all tables, with one version counter, and the log of changes since the history was
+ * last dropped.
+ */
 class RowHistory
 {
 public:
-    /** \returns the rows in \a conditions that are otherwise; empty if all hold. */
-    std::vector<HeldRow> mismatches(const std::vector<RowCondition> &conditions) const;
+    /** \returns the current rows whose version differs from \a conditions; empty if all hold. */
+    std::vector<VersionedRow> conflictingRows(const std::vector<RowCondition> &conditions) const;
 
-    /** Writes, and removes, rows as one transaction. \returns its version. */
-    std::uint64_t apply(const std::vector<HeldRow> &rows);
+    /** Writes and removes \a rows in one transaction. \returns the version of the transaction. */
+    std::uint64_t apply(const std::vector<VersionedRow> &rows);
 
-    /** \returns the rows of \a table from the key \a from on, by key. */
-    std::vector<HeldRow> rows(std::string_view table, std::string_view from) const;
+    /** \returns the rows of \a table whose key is \a from or greater, sorted by key. */
+    std::vector<VersionedRow> rows(std::string_view table, std::string_view from) const;
 
-    /** \returns the changes of \a table after \a version, or nothing if they are not known. */
-    std::optional<std::vector<HeldRow>> changes(std::string_view table,
-                                                std::uint64_t version) const;
+    /** \returns the changes of \a table after \a version, or nothing if their log was dropped. */
+    std::optional<std::vector<VersionedRow>> changes(std::string_view table,
+                                                     std::uint64_t version) const;
 
-    /** Forgets all changes so far; the rows stay. */
+    /** Discards the log of changes; the rows stay. */
     void dropHistory();
 
     std::uint64_t version() const;
 
 private:
-    std::map<std::pair<std::string, std::string>, HeldRow> m_rows;
-    std::vector<HeldRow> m_changes;
+    std::map<std::pair<std::string, std::string>, VersionedRow> m_rows;
+    std::vector<VersionedRow> m_changes;
     std::uint64_t m_version = 0;
-    std::uint64_t m_droppedUpTo = 0;
+    std::uint64_t m_historyStartVersion = 0;
 };
 
 } // namespace bulrush::standins
--- a/tests/standins/store/storeserver.cpp
+++ b/tests/standins/store/storeserver.cpp
@@ -13,14 +13,14 @@
 
 namespace {
 
-constexpr std::size_t pageRows = 500;
+constexpr std::size_t maxRowsPerPage = 500;
 
 Answer jsonAnswer(int status, const Json::Value &body)
 {
     return Answer{status, {{"Content-Type", "application/json"}}, toJsonText(body)};
 }
 
-Json::Value jsonOf(const HeldRow &row)
+Json::Value toJson(const VersionedRow &row)
 {
     Json::Value json;
     json["table"] = row.table;
@@ -34,11 +34,11 @@
     return json;
 }
 
-Json::Value jsonOf(const std::vector<HeldRow> &rows, std::uint64_t version)
+Json::Value toJson(const std::vector<VersionedRow> &rows, std::uint64_t version)
 {
     Json::Value list{Json::arrayValue};
-    for (const HeldRow &row : rows)
-        list.append(jsonOf(row));
+    for (const VersionedRow &row : rows)
+        list.append(toJson(row));
     Json::Value json;
     json["rows"] = std::move(list);
     json["rowVersion"] = Json::UInt64{version};
@@ -47,7 +47,7 @@
     return json;
 }
 
-std::vector<RowCondition> conditionsOf(const Json::Value &json)
+std::vector<RowCondition> parsedConditions(const Json::Value &json)
 {
     std::vector<RowCondition> conditions;
     for (const Json::Value &entry : json["expected"])
@@ -56,9 +56,9 @@
     return conditions;
 }
 
-std::vector<HeldRow> changesOf(const Json::Value &json)
+std::vector<VersionedRow> parsedChanges(const Json::Value &json)
 {
-    std::vector<HeldRow> rows;
+    std::vector<VersionedRow> rows;
     for (const Json::Value &entry : json["writes"]) {
         const auto value = platform::fromBase64(entry["value"].asString());
         rows.push_back(
@@ -69,17 +69,18 @@
     return rows;
 }
 
-StoreMode modeOf(const std::string &name)
+StoreMode parsedMode(const std::string &name)
 {
     static const std::map<std::string, StoreMode> modes = {
-        {"busy", StoreMode::Busy},     {"many", StoreMode::Many}, {"reset", StoreMode::Reset},
-        {"silent", StoreMode::Silent}, {"deaf", StoreMode::Deaf},
+        {"busy", StoreMode::Unavailable}, {"many", StoreMode::TooManyRequests},
+        {"reset", StoreMode::Reset},      {"silent", StoreMode::NoAnswer},
+        {"deaf", StoreMode::NoChanges},
     };
     const auto found = modes.find(name);
     return found == modes.end() ? StoreMode::Normal : found->second;
 }
 
-std::string argument(const restinio::query_string_params_t &query, std::string_view name)
+std::string queryParameter(const restinio::query_string_params_t &query, std::string_view name)
 {
     return query.has(name) ? std::string{query[name]} : std::string{};
 }
@@ -94,60 +95,61 @@
 
 std::string StoreServer::listen(const std::string &name, const ListenerSettings &settings)
 {
-    auto entrance = std::make_unique<Entrance>();
-    entrance->name = name;
-    entrance->listener = std::make_unique<Listener>(
+    auto state = std::make_unique<ListenerState>();
+    state->name = name;
+    state->listener = std::make_unique<Listener>(
         m_loop, settings,
-        [this, place = entrance.get()](const RequestHandle &request) { serve(*place, request); },
+        [this, entry = state.get()](const RequestHandle &request) { serve(*entry, request); },
         [](ConnectionLimiter::ConnectionId) {});
-    m_entrances.push_back(std::move(entrance));
-    return m_entrances.back()->listener->address();
+    m_listenerStates.push_back(std::move(state));
+    return m_listenerStates.back()->listener->address();
 }
 
-void StoreServer::serve(Entrance &entrance, const RequestHandle &request)
+void StoreServer::serve(ListenerState &state, const RequestHandle &request)
 {
     const std::string path{request->header().path()};
     if (path == "/_control") {
-        Listener::send(request, control(request->body()));
+        Listener::send(request, handleControl(request->body()));
         return;
     }
-    ++entrance.calls;
-    if (turnAway(entrance, request))
+    ++state.requestCount;
+    if (handleFaultMode(state, request))
         return;
     if (path == "/api/rows-tx")
-        transact(entrance, request);
+        transact(state, request);
     else if (path == "/api/rows-get")
-        get(entrance, request);
+        get(state, request);
     else if (path == "/api/rows-feed")
-        follow(entrance, request);
+        followChanges(state, request);
     else
         Listener::send(request, {404, {}, {}});
 }
 
-bool StoreServer::turnAway(Entrance &entrance, const RequestHandle &request)
+bool StoreServer::handleFaultMode(ListenerState &state, const RequestHandle &request)
 {
-    switch (entrance.mode) {
+    switch (state.mode) {
     case StoreMode::Normal:
-    case StoreMode::Deaf:
+    case StoreMode::NoChanges:
         return false;
-    case StoreMode::Busy:
+    case StoreMode::Unavailable:
         Listener::send(request, {503, {}, {}});
         return true;
-    case StoreMode::Many:
+    case StoreMode::TooManyRequests:
         Listener::send(request, {429, {}, {}});
         return true;
     case StoreMode::Reset:
-        entrance.listener->resetConnection(request);
+        state.listener->resetConnection(request);
         return true;
-    case StoreMode::Silent:
-        // Kept, so that the connection stays open without an answer.
-        m_waiting.push_back(std::make_shared<Waiting>(Waiting{&entrance, request, {}, 0, nullptr}));
+    case StoreMode::NoAnswer:
+        // Keeping the request keeps its connection open without an answer.
+        m_pendingRequests.push_back(
+            std::make_shared<PendingRequest>(PendingRequest{&state, request, {}, 0, nullptr}));
         return true;
     }
     return false;
 }
 
-void StoreServer::transact(Entrance &entrance, const RequestHandle &request)
+void StoreServer::transact(ListenerState &state, const RequestHandle &request)
 {
     const auto json = parsedJsonObject(request->body());
     if (!json) {
@@ -155,120 +157,126 @@
         return;
     }
     const auto apply = [this, json = *json] {
-        const std::vector<HeldRow> wrong = m_rows.mismatches(conditionsOf(json));
-        if (!wrong.empty())
-            return jsonAnswer(412, jsonOf(wrong, m_rows.version()));
+        const std::vector<VersionedRow> conflicts = m_rows.conflictingRows(parsedConditions(json));
+        if (!conflicts.empty())
+            return jsonAnswer(412, toJson(conflicts, m_rows.version()));
         Json::Value done;
-        done["rowVersion"] = Json::UInt64{m_rows.apply(changesOf(json))};
-        answerWaiting();
+        done["rowVersion"] = Json::UInt64{m_rows.apply(parsedChanges(json))};
+        answerPendingFeeds();
         return jsonAnswer(200, done);
     };
-    if (entrance.writesToDelay > 0) {
-        --entrance.writesToDelay;
-        auto timer = std::make_shared<asio::steady_timer>(m_loop, entrance.delay);
+    if (state.writesToDelay > 0) {
+        --state.writesToDelay;
+        auto timer = std::make_shared<asio::steady_timer>(m_loop, state.delay);
         timer->async_wait([timer, apply](const asio::error_code &) { apply(); });
-        entrance.listener->closeWithoutAnswer(request);
+        state.listener->closeWithoutAnswer(request);
         return;
     }
     const Answer answer = apply();
-    if (entrance.answersToLose > 0) {
-        --entrance.answersToLose;
-        entrance.listener->closeWithoutAnswer(request);
+    if (state.answersToLose > 0) {
+        --state.answersToLose;
+        state.listener->closeWithoutAnswer(request);
         return;
     }
     Listener::send(request, answer);
 }
 
-void StoreServer::get(const Entrance &entrance, const RequestHandle &request)
+void StoreServer::get(const ListenerState &state, const RequestHandle &request)
 {
     const auto query = restinio::parse_query(request->header().query());
-    std::vector<HeldRow> rows = m_rows.rows(argument(query, "table"), argument(query, "from"));
-    const bool isTruncated = rows.size() > pageRows;
+    std::vector<VersionedRow> rows =
+        m_rows.rows(queryParameter(query, "table"), queryParameter(query, "from"));
+    const bool isTruncated = rows.size() > maxRowsPerPage;
     if (isTruncated)
-        rows.resize(pageRows);
-    Json::Value json = jsonOf(rows, m_rows.version());
+        rows.resize(maxRowsPerPage);
+    Json::Value json = toJson(rows, m_rows.version());
     json["truncated"] = isTruncated;
-    if (entrance.readsToDelay != argument(query, "table")) {
+    if (state.readTableToDelay != queryParameter(query, "table")) {
         Listener::send(request, jsonAnswer(200, json));
         return;
     }
-    auto timer = std::make_shared<asio::steady_timer>(m_loop, entrance.delay);
+    auto timer = std::make_shared<asio::steady_timer>(m_loop, state.delay);
     timer->async_wait([timer, request, json](const asio::error_code &) {
         Listener::send(request, jsonAnswer(200, json));
     });
 }
 
-void StoreServer::follow(Entrance &entrance, const RequestHandle &request)
+void StoreServer::followChanges(ListenerState &state, const RequestHandle &request)
 {
     const auto query = restinio::parse_query(request->header().query());
-    const auto waiting = std::make_shared<Waiting>();
-    waiting->entrance = &entrance;
-    waiting->request = request;
-    waiting->table = argument(query, "table");
-    waiting->after = std::stoull(argument(query, "after"));
-    const auto changes = m_rows.changes(waiting->table, waiting->after);
-    if (!changes || (!changes->empty() && entrance.mode != StoreMode::Deaf)) {
-        answerFeed(*waiting);
+    const auto pending = std::make_shared<PendingRequest>();
+    pending->state = &state;
+    pending->request = request;
+    pending->table = queryParameter(query, "table");
+    pending->afterVersion = std::stoull(queryParameter(query, "after"));
+    const auto changes = m_rows.changes(pending->table, pending->afterVersion);
+    if (!changes || (!changes->empty() && state.mode != StoreMode::NoChanges)) {
+        answerFeed(*pending);
         return;
     }
-    const std::chrono::milliseconds wait{std::stoll(argument(query, "waitMs"))};
-    waiting->timer = std::make_unique<asio::steady_timer>(m_loop, wait);
-    m_waiting.push_back(waiting);
-    // It may have been answered when the timer runs out, or in the moment after that.
-    waiting->timer->async_wait(
-        [this, weak = std::weak_ptr{waiting}](const asio::error_code &error) {
-            const std::shared_ptr<Waiting> held = weak.lock();
-            if (error || !held || held->entrance->mode == StoreMode::Silent)
-                return; // in silence it stays without an answer, as its connection stays open
-            answerFeed(*held);
-            m_waiting.remove(held);
+    const std::chrono::milliseconds wait{std::stoll(queryParameter(query, "waitMs"))};
+    pending->timer = std::make_unique<asio::steady_timer>(m_loop, wait);
+    m_pendingRequests.push_back(pending);
+    // The request may be answered before the timer expires, or between expiry and this handler.
+    pending->timer->async_wait(
+        [this, weak = std::weak_ptr{pending}](const asio::error_code &error) {
+            const std::shared_ptr<PendingRequest> feed = weak.lock();
+            if (error || !feed || feed->state->mode == StoreMode::NoAnswer)
+                return; // NoAnswer: the request stays unanswered and its connection open
+            answerFeed(*feed);
+            m_pendingRequests.remove(feed);
         });
 }
 
-void StoreServer::answerWaiting()
+void StoreServer::answerPendingFeeds()
 {
-    for (auto place = m_waiting.begin(); place != m_waiting.end();) {
-        const auto next = std::next(place);
-        Waiting &waiting = **place;
-        const bool isFeed = waiting.timer && waiting.entrance->mode == StoreMode::Normal;
-        const auto changes = isFeed ? m_rows.changes(waiting.table, waiting.after) : std::nullopt;
-        if (changes && !changes->empty() && !isLost(waiting)) {
-            answerFeed(waiting);
-            m_waiting.erase(place);
+    for (auto entry = m_pendingRequests.begin(); entry != m_pendingRequests.end();) {
+        const auto next = std::next(entry);
+        PendingRequest &pending = **entry;
+        const bool isFeed = pending.timer && pending.state->mode == StoreMode::Normal;
+        const auto changes =
+            isFeed ? m_rows.changes(pending.table, pending.afterVersion) : std::nullopt;
+        if (changes && !changes->empty() && !loseFeedAnswer(pending)) {
+            answerFeed(pending);
+            m_pendingRequests.erase(entry);
         }
-        place = next;
+        entry = next;
     }
 }
 
-/** \returns whether the answer to \a waiting is lost; its connection then says nothing further. */
-bool StoreServer::isLost(Waiting &waiting)
+/**
+ * Drops the answer to \a pending if its table is set to lose the next one; the connection then
+ * stays open without an answer. \returns whether the answer was dropped.
+ */
+bool StoreServer::loseFeedAnswer(PendingRequest &pending)
 {
-    if (waiting.entrance->feedToLose != waiting.table)
+    if (pending.state->feedTableToLose != pending.table)
         return false;
-    waiting.entrance->feedToLose.clear();
-    waiting.timer.reset();
+    pending.state->feedTableToLose.clear();
+    pending.timer.reset();
     return true;
 }
 
-void StoreServer::answerFeed(const Waiting &waiting)
+void StoreServer::answerFeed(const PendingRequest &pending)
 {
-    const auto changes = m_rows.changes(waiting.table, waiting.after);
+    const auto changes = m_rows.changes(pending.table, pending.afterVersion);
     if (!changes) {
-        Listener::send(waiting.request, {410, {}, {}});
+        Listener::send(pending.request, {410, {}, {}});
         return;
     }
-    const bool isDeaf = waiting.entrance->mode == StoreMode::Deaf;
-    const std::uint64_t version = isDeaf ? waiting.after : m_rows.version();
-    Listener::send(waiting.request,
-                   jsonAnswer(200, jsonOf(isDeaf ? std::vector<HeldRow>{} : *changes, version)));
+    const bool hidesChanges = pending.state->mode == StoreMode::NoChanges;
+    const std::uint64_t version = hidesChanges ? pending.afterVersion : m_rows.version();
+    Listener::send(
+        pending.request,
+        jsonAnswer(200, toJson(hidesChanges ? std::vector<VersionedRow>{} : *changes, version)));
 }
 
-Answer StoreServer::control(std::string_view body)
+Answer StoreServer::handleControl(std::string_view body)
 {
     const auto json = parsedJsonObject(body);
     if (!json)
         return {400, {}, {}};
-    std::vector<HeldRow> rows;
+    std::vector<VersionedRow> rows;
     for (const Json::Value &entry : (*json)["put"])
         rows.push_back(
             {entry["table"].asString(), entry["key"].asString(),
@@ -278,50 +286,51 @@
         rows.push_back({entry["table"].asString(), entry["key"].asString(), {}, 0, true});
     if (!rows.empty()) {
         m_rows.apply(rows);
-        answerWaiting();
+        answerPendingFeeds();
     }
     if (json->isMember("faults"))
         setFaults((*json)["faults"]);
     if ((*json)["dropHistory"].asBool()) {
         m_rows.dropHistory();
-        for (const std::shared_ptr<Waiting> &waiting : std::exchange(m_waiting, {})) {
-            if (waiting->timer)
-                waiting->entrance->listener->resetConnection(waiting->request);
+        for (const std::shared_ptr<PendingRequest> &pending :
+             std::exchange(m_pendingRequests, {})) {
+            if (pending->timer)
+                pending->state->listener->resetConnection(pending->request);
         }
     }
-    return jsonAnswer(200, counts());
+    return jsonAnswer(200, countersJson());
 }
 
 void StoreServer::setFaults(const Json::Value &json)
 {
-    for (const auto &entrance : m_entrances) {
+    for (const auto &state : m_listenerStates) {
         const std::string name = json["entrance"].asString();
-        if (name != "*" && name != entrance->name)
+        if (name != "*" && name != state->name)
             continue;
-        entrance->mode = modeOf(json["mode"].asString());
-        entrance->answersToLose = json["loseAnswers"].asInt();
-        entrance->writesToDelay = json["delayWrites"].asInt();
-        entrance->delay = std::chrono::milliseconds{json["delayMs"].asInt()};
-        entrance->feedToLose = json["loseFeedOf"].asString();
-        entrance->readsToDelay = json["delayReadsOf"].asString();
-        if (entrance->mode != StoreMode::Reset)
+        state->mode = parsedMode(json["mode"].asString());
+        state->answersToLose = json["loseAnswers"].asInt();
+        state->writesToDelay = json["delayWrites"].asInt();
+        state->delay = std::chrono::milliseconds{json["delayMs"].asInt()};
+        state->feedTableToLose = json["loseFeedOf"].asString();
+        state->readTableToDelay = json["delayReadsOf"].asString();
+        if (state->mode != StoreMode::Reset)
             continue;
-        for (auto place = m_waiting.begin(); place != m_waiting.end();) {
-            const auto next = std::next(place);
-            if ((*place)->entrance == entrance.get()) {
-                entrance->listener->resetConnection((*place)->request);
-                m_waiting.erase(place);
+        for (auto entry = m_pendingRequests.begin(); entry != m_pendingRequests.end();) {
+            const auto next = std::next(entry);
+            if ((*entry)->state == state.get()) {
+                state->listener->resetConnection((*entry)->request);
+                m_pendingRequests.erase(entry);
             }
-            place = next;
+            entry = next;
         }
     }
 }
 
-Json::Value StoreServer::counts() const
+Json::Value StoreServer::countersJson() const
 {
     Json::Value json;
-    for (const auto &entrance : m_entrances)
-        json["calls"][entrance->name] = Json::UInt64{entrance->calls};
+    for (const auto &state : m_listenerStates)
+        json["calls"][state->name] = Json::UInt64{state->requestCount};
     json["rowVersion"] = Json::UInt64{m_rows.version()};
     return json;
 }
--- a/tests/standins/store/storeserver.h
+++ b/tests/standins/store/storeserver.h
@@ -18,22 +18,23 @@
 
 namespace bulrush::standins {
 
-/** How an entrance of the store answers. */
+/** How a listener of the store answers. */
 enum class StoreMode {
     Normal,
-    Busy,   ///< 503 to all: nothing is done
-    Many,   ///< 429 to all: nothing is done
-    Reset,  ///< connections are reset
-    Silent, ///< no answer
-    Deaf,   ///< feeds hear of nothing
+    Unavailable,     ///< 503 to every request; nothing is executed
+    TooManyRequests, ///< 429 to every request; nothing is executed
+    Reset,           ///< TCP reset of every connection
+    NoAnswer,        ///< no answer; connections stay open
+    NoChanges,       ///< feeds answer without any changes
 };
 
 /**
- * The platform's metadata store: rows, transactions under conditions, and feeds of changes, on
- * several entrances over one state, each with faults of its own, so that some hosts can be turned
- * away. `POST /_control` writes rows as operators and servers do, and sets faults.
+ * Simulates the platform's metadata store: rows, conditional transactions and change feeds.
  *
- * Not thread safe: lives on the loop's thread.
+ * Several listeners share one state. Each has its own fault settings, so that a test can cut off
+ * individual hosts. `POST /_control` sets faults and writes rows in place of operators and servers.
+ *
+ * Not thread safe: to be used on the event loop's thread only.
  */
 class StoreServer
 {
@@ -41,53 +42,53 @@
     explicit StoreServer(asio::io_context &loop);
     ~StoreServer();
 
-    /** Opens an entrance. Throws if it can't be opened. \returns its address. */
+    /** Opens a listener. Throws if it can't be opened. \returns its address. */
     std::string listen(const std::string &name, const ListenerSettings &settings);
 
 private:
-    struct Entrance
+    struct ListenerState
     {
         std::string name;
         StoreMode mode = StoreMode::Normal;
-        /** Transactions that are done without an answer. */
+        /** Number of coming transactions that are applied but not answered. */
         int answersToLose = 0;
-        /** Transactions that are done this much later, without an answer. */
+        /** Number of coming transactions that are applied after `delay` and not answered. */
         int writesToDelay = 0;
         std::chrono::milliseconds delay{0};
-        /** Reads of this table are answered after the delay, by what it was before. */
-        std::string readsToDelay;
-        /** The next answer to a wait for changes of this table is lost; empty: none is. */
-        std::string feedToLose;
-        std::uint64_t calls = 0;
+        /** Reads of this table are answered after `delay`, with the rows as of the request. */
+        std::string readTableToDelay;
+        /** The next feed answer for this table is lost; empty: none is. */
+        std::string feedTableToLose;
+        std::uint64_t requestCount = 0;
         std::unique_ptr<Listener> listener;
     };
 
-    /** A call that waits for changes. */
-    struct Waiting
+    /** A feed that waits for changes, or, without a timer, a request that is never answered. */
+    struct PendingRequest
     {
-        Entrance *entrance = nullptr;
+        ListenerState *state = nullptr;
         RequestHandle request;
         std::string table;
-        std::uint64_t after = 0;
+        std::uint64_t afterVersion = 0;
         std::unique_ptr<asio::steady_timer> timer;
     };
 
-    void serve(Entrance &entrance, const RequestHandle &request);
-    bool turnAway(Entrance &entrance, const RequestHandle &request);
-    void transact(Entrance &entrance, const RequestHandle &request);
-    void get(const Entrance &entrance, const RequestHandle &request);
-    void follow(Entrance &entrance, const RequestHandle &request);
-    void answerWaiting();
-    void answerFeed(const Waiting &waiting);
-    static bool isLost(Waiting &waiting);
-    Answer control(std::string_view body);
+    void serve(ListenerState &state, const RequestHandle &request);
+    bool handleFaultMode(ListenerState &state, const RequestHandle &request);
+    void transact(ListenerState &state, const RequestHandle &request);
+    void get(const ListenerState &state, const RequestHandle &request);
+    void followChanges(ListenerState &state, const RequestHandle &request);
+    void answerPendingFeeds();
+    void answerFeed(const PendingRequest &pending);
+    static bool loseFeedAnswer(PendingRequest &pending);
+    Answer handleControl(std::string_view body);
     void setFaults(const Json::Value &json);
-    Json::Value counts() const;
+    Json::Value countersJson() const;
 
     asio::io_context &m_loop;
     RowHistory m_rows;
-    std::vector<std::unique_ptr<Entrance>> m_entrances;
-    std::list<std::shared_ptr<Waiting>> m_waiting;
+    std::vector<std::unique_ptr<ListenerState>> m_listenerStates;
+    std::list<std::shared_ptr<PendingRequest>> m_pendingRequests;
 };
 
 } // namespace bulrush::standins
