--- a/tests/standins/keyed/keyedserver.cpp
+++ b/tests/standins/keyed/keyedserver.cpp
@@ -13,12 +13,12 @@
 
 namespace {
 
-constexpr const char *idField = "X-Bulrushswitch-Request-Id";
-constexpr const char *targetField = "X-Bulrushswitch-Target-Instance";
-constexpr const char *keyField = "X-Bulrushswitch-Shard-Key";
+constexpr const char *requestIdHeader = "X-Bulrushswitch-Request-Id";
+constexpr const char *targetInstanceHeader = "X-Bulrushswitch-Target-Instance";
+constexpr const char *shardKeyHeader = "X-Bulrushswitch-Shard-Key";
 
-/** Of a process that work has ended. */
-constexpr int crashCode = 3;
+/** Exit code of a process that a request crashed. */
+constexpr int crashExitCode = 3;
 
 Instant now()
 {
@@ -31,14 +31,14 @@
     return duration_cast<microseconds>(steady_clock::now().time_since_epoch()).count();
 }
 
-std::string fieldOf(const RequestHandle &request, const char *name)
+std::string headerField(const RequestHandle &request, const char *name)
 {
     return request->header().get_field_or(name, std::string{});
 }
 
-std::optional<KeyPlace> keyOf(const RequestHandle &request)
+std::optional<KeyPlace> parsedShardKey(const RequestHandle &request)
 {
-    const std::string text = fieldOf(request, keyField);
+    const std::string text = headerField(request, shardKeyHeader);
     KeyPlace key = 0;
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), key);
     if (text.empty() || error != std::errc{} || key >= keyPlaces)
@@ -46,22 +46,22 @@
     return key;
 }
 
-/** How late the second of two answers comes: into the next use of a connection that is busy. */
-constexpr std::chrono::milliseconds secondAnswerDelay{30};
+/** Long enough that, on a busy connection, the duplicate arrives during the next request. */
+constexpr std::chrono::milliseconds duplicateAnswerDelay{30};
 
-std::optional<AnswerSpoil> spoilOf(const std::string &name)
+std::optional<AnswerFault> parsedAnswerFault(const std::string &name)
 {
-    static const std::map<std::string, AnswerSpoil> spoils = {
-        {"lose", AnswerSpoil::Lose},
-        {"cut", AnswerSpoil::Cut},
-        {"unframed", AnswerSpoil::Unframed},
-        {"twice", AnswerSpoil::Twice},
+    static const std::map<std::string, AnswerFault> faults = {
+        {"lose", AnswerFault::Drop},
+        {"cut", AnswerFault::Truncate},
+        {"unframed", AnswerFault::OmitLength},
+        {"twice", AnswerFault::Duplicate},
     };
-    const auto found = spoils.find(name);
-    return found == spoils.end() ? std::nullopt : std::optional{found->second};
+    const auto found = faults.find(name);
+    return found == faults.end() ? std::nullopt : std::optional{found->second};
 }
 
-KeyRange rangeOf(const Json::Value &json)
+KeyRange parsedRange(const Json::Value &json)
 {
     return {json["from"].asUInt(), json["target"].asUInt()};
 }
@@ -71,7 +71,7 @@
 KeyedServer::KeyedServer(asio::io_context &loop, KeyedSettings settings)
     : m_loop(loop)
     , m_settings(std::move(settings))
-    , m_leases(keyPlaces, m_settings.clockPpm)
+    , m_leases(keyPlaces, m_settings.clockSlowdownPpm)
     , m_listener(std::make_unique<Listener>(
           loop, m_settings.listener, [this](const RequestHandle &request) { serve(request); },
           [](ConnectionLimiter::ConnectionId) {}))
@@ -88,48 +88,49 @@
 {
     const std::string path{request->header().path()};
     if (path == "/_control")
-        control(request);
-    else if (isForOther(request))
-        Listener::send(
-            request,
-            {421,
-             {{"X-Bulrushswitch-Instance-Id", m_settings.id}, {idField, fieldOf(request, idField)}},
-             {}});
+        handleControl(request);
+    else if (targetsOtherInstance(request))
+        Listener::send(request,
+                       {421,
+                        {{"X-Bulrushswitch-Instance-Id", m_settings.id},
+                         {requestIdHeader, headerField(request, requestIdHeader)}},
+                        {}});
     else if (path == "/api/grant")
         grant(request);
     else if (path == "/api/release")
         release(request);
     else
-        take(request);
+        acceptWork(request);
 }
 
-bool KeyedServer::isForOther(const RequestHandle &request) const
+bool KeyedServer::targetsOtherInstance(const RequestHandle &request) const
 {
-    const std::string target = fieldOf(request, targetField);
+    const std::string target = headerField(request, targetInstanceHeader);
     return !target.empty() && target != m_settings.id;
 }
 
 void KeyedServer::grant(const RequestHandle &request)
 {
     const auto json = parsedJsonObject(request->body());
-    constexpr double longestHoldS = 10.0;
-    if (!json || !((*json)["holdS"].asDouble() <= longestHoldS)) {
+    constexpr double maxHoldS = 10.0;
+    if (!json || !((*json)["holdS"].asDouble() <= maxHoldS)) {
         Listener::send(request, {400, {}, {}});
         return;
     }
     const auto hold = std::chrono::duration_cast<Duration>(
         std::chrono::duration<double>{(*json)["holdS"].asDouble()});
-    const KeyRange range = rangeOf(*json);
+    const KeyRange range = parsedRange(*json);
     const std::uint64_t fence = (*json)["fence"].asUInt64();
     const Instant arrivedAt = now();
     m_lowestFence = std::min(m_lowestFence, fence);
     m_highestFence = std::max(m_highestFence, fence);
-    if (isLate()) {
-        carryOutLate(request, [=, this] { m_leases.grant(range, fence, hold, arrivedAt, now()); });
+    if (takeDelayedOrder()) {
+        executeDelayed(request,
+                       [=, this] { m_leases.grant(range, fence, hold, arrivedAt, now()); });
         return;
     }
-    const bool isTaken = m_leases.grant(range, fence, hold, arrivedAt, arrivedAt);
-    Listener::send(request, {isTaken ? 200 : 409, {}, {}});
+    const bool isGranted = m_leases.grant(range, fence, hold, arrivedAt, arrivedAt);
+    Listener::send(request, {isGranted ? 200 : 409, {}, {}});
 }
 
 void KeyedServer::release(const RequestHandle &request)
@@ -139,54 +140,54 @@
         Listener::send(request, {400, {}, {}});
         return;
     }
-    const KeyRange range = rangeOf(*json);
+    const KeyRange range = parsedRange(*json);
     const std::uint64_t fence = (*json)["fence"].asUInt64();
-    if (isLate()) {
-        carryOutLate(request, [=, this] { m_leases.release(range, fence); });
+    if (takeDelayedOrder()) {
+        executeDelayed(request, [=, this] { m_leases.release(range, fence); });
         return;
     }
     m_leases.release(range, fence);
-    m_releasing.push_back({request, range});
-    answerReleases();
+    m_pendingReleases.push_back({request, range});
+    answerCompletedReleases();
 }
 
-bool KeyedServer::isLate()
+bool KeyedServer::takeDelayedOrder()
 {
-    if (m_lateOrders == 0)
+    if (m_ordersToDelay == 0)
         return false;
-    --m_lateOrders;
+    --m_ordersToDelay;
     return true;
 }
 
-/** Keeps the connection of \a request open without an answer, and runs \a order later. */
-void KeyedServer::carryOutLate(const RequestHandle &request, std::function<void()> order)
+/** Keeps the connection of \a request open without an answer, and runs \a order after a delay. */
+void KeyedServer::executeDelayed(const RequestHandle &request, std::function<void()> order)
 {
-    m_hung.push_back(request);
-    auto timer = std::make_shared<asio::steady_timer>(m_loop, m_lateBy);
+    m_unansweredRequests.push_back(request);
+    auto timer = std::make_shared<asio::steady_timer>(m_loop, m_orderDelay);
     timer->async_wait([timer, order = std::move(order)](const asio::error_code &) { order(); });
 }
 
-void KeyedServer::answerReleases()
+void KeyedServer::answerCompletedReleases()
 {
-    for (auto place = m_releasing.begin(); place != m_releasing.end();) {
-        const auto next = std::next(place);
-        const bool isBusy = std::ranges::any_of(m_running, [place](const Work &work) {
-            return work.key && place->range.contains(*work.key);
+    for (auto entry = m_pendingReleases.begin(); entry != m_pendingReleases.end();) {
+        const auto next = std::next(entry);
+        const bool isBusy = std::ranges::any_of(m_running, [entry](const Work &work) {
+            return work.key && entry->range.contains(*work.key);
         });
         if (!isBusy) {
-            Listener::send(place->request,
+            Listener::send(entry->request,
                            {200, {{"X-Bulrushswitch-Handover", "from-" + m_settings.id}}, {}});
-            m_releasing.erase(place);
+            m_pendingReleases.erase(entry);
         }
-        place = next;
+        entry = next;
     }
 }
 
-void KeyedServer::take(const RequestHandle &request)
+void KeyedServer::acceptWork(const RequestHandle &request)
 {
-    Work work{request, fieldOf(request, idField), keyOf(request), 0};
-    if (m_settings.isKeyed && (!work.key || !m_leases.holds(*work.key, now()))) {
-        std::vector<HeaderField> headers = fields(work.requestId);
+    Work work{request, headerField(request, requestIdHeader), parsedShardKey(request), 0};
+    if (m_settings.requiresGrant && (!work.key || !m_leases.holds(*work.key, now()))) {
+        std::vector<HeaderField> headers = answerHeaders(work.requestId);
         headers.push_back({"X-Bulrushswitch-Not-Executed", "1"});
         Listener::send(request, {421, headers, {}});
         return;
@@ -199,35 +200,35 @@
         m_queue.push_back(std::move(work));
         return;
     }
-    if (m_settings.hangsWhenFull) {
-        m_hung.push_back(request);
+    if (m_settings.hangsWhenQueueFull) {
+        m_unansweredRequests.push_back(request);
         return;
     }
-    std::vector<HeaderField> headers = fields(work.requestId);
+    std::vector<HeaderField> headers = answerHeaders(work.requestId);
     headers.push_back({"X-Bulrushswitch-Not-Executed", "1"});
     Listener::send(request, {503, headers, {}});
 }
 
 void KeyedServer::start(Work work)
 {
-    work.run = m_runs.size();
+    work.runIndex = m_runs.size();
     m_runs.push_back(
         {work.requestId, work.key ? static_cast<std::int64_t>(*work.key) : -1, nowUs(), 0});
     m_running.push_back(std::move(work));
-    const auto place = std::prev(m_running.end());
+    const auto entry = std::prev(m_running.end());
     auto timer = std::make_shared<asio::steady_timer>(m_loop, m_settings.serviceTime);
-    timer->async_wait([this, timer, place](const asio::error_code &) { finished(place); });
+    timer->async_wait([this, timer, entry](const asio::error_code &) { finish(entry); });
 }
 
-void KeyedServer::finished(std::list<Work>::iterator place)
+void KeyedServer::finish(std::list<Work>::iterator entry)
 {
-    const Work work = std::move(*place);
-    if (isCrashing(work))
-        std::_Exit(crashCode);
-    m_running.erase(place);
-    m_runs[work.run].endUs = nowUs();
-    answer(work);
-    answerReleases();
+    const Work work = std::move(*entry);
+    if (triggersCrash(work))
+        std::_Exit(crashExitCode);
+    m_running.erase(entry);
+    m_runs[work.runIndex].endUs = nowUs();
+    sendAnswer(work);
+    answerCompletedReleases();
     if (m_queue.empty())
         return;
     Work next = std::move(m_queue.front());
@@ -235,87 +236,88 @@
     start(std::move(next));
 }
 
-bool KeyedServer::isCrashing(const Work &work) const
+bool KeyedServer::triggersCrash(const Work &work) const
 {
     const std::string_view path = work.request->header().path();
-    return !m_settings.crashOn.empty() && path.find(m_settings.crashOn) != std::string_view::npos;
+    return !m_settings.crashPathSubstring.empty()
+        && path.find(m_settings.crashPathSubstring) != std::string_view::npos;
 }
 
-void KeyedServer::answer(const Work &work)
+void KeyedServer::sendAnswer(const Work &work)
 {
-    Answer answer{200, fields(work.requestId), {}};
+    Answer answer{200, answerHeaders(work.requestId), {}};
     answer.headers.push_back({"X-Bulrushswitch-Response-Stamp", "stamp." + work.requestId});
     answer.body = "server=" + m_settings.id + " request=" + work.requestId;
-    const std::optional<AnswerSpoil> spoil = nextSpoil();
-    if (!spoil) {
+    const std::optional<AnswerFault> fault = nextAnswerFault();
+    if (!fault) {
         Listener::send(work.request, answer);
         return;
     }
-    switch (*spoil) {
-    case AnswerSpoil::Lose:
+    switch (*fault) {
+    case AnswerFault::Drop:
         m_listener->closeWithoutAnswer(work.request);
         break;
-    case AnswerSpoil::Cut:
+    case AnswerFault::Truncate:
         m_listener->sendTruncated(work.request, answer);
         break;
-    case AnswerSpoil::Unframed:
+    case AnswerFault::OmitLength:
         m_listener->sendWithoutLength(work.request, answer);
         break;
-    case AnswerSpoil::Twice:
-        m_listener->sendDuplicate(work.request, answer, secondAnswerDelay);
+    case AnswerFault::Duplicate:
+        m_listener->sendDuplicate(work.request, answer, duplicateAnswerDelay);
         break;
     }
 }
 
-std::optional<AnswerSpoil> KeyedServer::nextSpoil()
+std::optional<AnswerFault> KeyedServer::nextAnswerFault()
 {
     const auto due =
-        std::ranges::find_if(m_spoils, [](const auto &entry) { return entry.second > 0; });
-    if (due == m_spoils.end())
+        std::ranges::find_if(m_answerFaults, [](const auto &entry) { return entry.second > 0; });
+    if (due == m_answerFaults.end())
         return std::nullopt;
     --due->second;
     return due->first;
 }
 
-std::vector<HeaderField> KeyedServer::fields(const std::string &requestId) const
+std::vector<HeaderField> KeyedServer::answerHeaders(const std::string &requestId) const
 {
     const std::string load = std::to_string(m_running.size()) + ',' + std::to_string(m_queue.size())
         + ',' + std::to_string(m_settings.slots);
-    return {{idField, requestId}, {"X-Bulrushswitch-Server-Load", load}};
+    return {{requestIdHeader, requestId}, {"X-Bulrushswitch-Server-Load", load}};
 }
 
-void KeyedServer::control(const RequestHandle &request)
+void KeyedServer::handleControl(const RequestHandle &request)
 {
     if (const auto json = parsedJsonObject(request->body()))
-        setWrongs(*json);
-    Listener::send(request, {200, {{"Content-Type", "application/json"}}, toJsonText(record())});
+        setFaults(*json);
+    Listener::send(request, {200, {{"Content-Type", "application/json"}}, toJsonText(stateJson())});
 }
 
-void KeyedServer::setWrongs(const Json::Value &json)
+void KeyedServer::setFaults(const Json::Value &json)
 {
-    const Json::Value &spoils = json["spoilAnswers"];
-    m_spoils.clear();
-    for (const std::string &name : spoils.getMemberNames()) {
-        if (const auto spoil = spoilOf(name))
-            m_spoils[*spoil] = spoils[name].asInt();
+    const Json::Value &faults = json["spoilAnswers"];
+    m_answerFaults.clear();
+    for (const std::string &name : faults.getMemberNames()) {
+        if (const auto fault = parsedAnswerFault(name))
+            m_answerFaults[*fault] = faults[name].asInt();
     }
-    m_lateOrders = json["lateOrders"].asInt();
-    m_lateBy = std::chrono::milliseconds{json["lateMs"].asInt()};
+    m_ordersToDelay = json["lateOrders"].asInt();
+    m_orderDelay = std::chrono::milliseconds{json["lateMs"].asInt()};
 }
 
-Json::Value KeyedServer::record() const
+Json::Value KeyedServer::stateJson() const
 {
-    Json::Value list{Json::arrayValue};
-    for (const Run &run : m_runs) {
+    Json::Value entries{Json::arrayValue};
+    for (const RunRecord &run : m_runs) {
         Json::Value json;
         json["request"] = run.requestId;
         json["key"] = Json::Int64{run.key};
         json["startUs"] = Json::Int64{run.startUs};
         json["endUs"] = Json::Int64{run.endUs};
-        list.append(std::move(json));
+        entries.append(std::move(json));
     }
     Json::Value json;
-    json["runs"] = std::move(list);
+    json["runs"] = std::move(entries);
     json["lowestFence"] = Json::UInt64{m_lowestFence};
     json["highestFence"] = Json::UInt64{m_highestFence};
     return json;
--- a/tests/standins/keyed/keyedserver.h
+++ b/tests/standins/keyed/keyedserver.h
@@ -20,40 +20,43 @@
 
 namespace bulrush::standins {
 
-/** What a keyed server is told at its start. */
+/** Start parameters of a keyed server. */
 struct KeyedSettings
 {
     ListenerSettings listener;
-    /** Of this run. */
+    /** Identifies this run of the server process. */
     std::string id = "s";
     std::size_t slots = 3;
     std::size_t queueLimit = 12;
     std::chrono::milliseconds serviceTime{5};
-    /** Whether requests run only under a grant of their key. */
-    bool isKeyed = false;
-    /** How much slower than true time its clock runs. */
-    std::int64_t clockPpm = 0;
-    /** Requests that it can't queue get no answer, nor does anything later on their connections. */
-    bool hangsWhenFull = false;
-    /** Work on paths that hold this text ends the process as it is done; empty: none does. */
-    std::string crashOn = {};
+    /** Whether a request runs only while the server holds a grant for its key. */
+    bool requiresGrant = false;
+    /** How much slower than true time the server's clock runs, in parts per million. */
+    std::int64_t clockSlowdownPpm = 0;
+    /** Requests that exceed the queue get no answer, nor do later requests on their connections. */
+    bool hangsWhenQueueFull = false;
+    /** The process exits when it finishes a request whose path contains this text; empty: never. */
+    std::string crashPathSubstring = {};
 };
 
-/** How a keyed server spoils answers to work that it did. */
-enum class AnswerSpoil {
-    Lose,     ///< the connection ends without an answer
-    Cut,      ///< the connection ends in the middle of the body
-    Unframed, ///< the answer has no length and ends with its connection
-    Twice,    ///< the same answer comes again later, on a connection that is kept
+/** Faults in the answers to requests that were executed. */
+enum class AnswerFault {
+    Drop,       ///< the connection closes without an answer
+    Truncate,   ///< the connection closes in the middle of the body
+    OmitLength, ///< the answer has no length and ends when the connection closes
+    Duplicate,  ///< the same answer is sent again later, on a connection that is kept open
 };
 
 /**
- * A backend server of the users' platform: runs requests in slots, with a queue, each under its id;
- * takes grants of keys with fences, and gives them up when their work has ended. `GET /_control`
- * lists what it ran; `POST /_control` sets how many answers are spoiled in which way, and how many
- * orders are left unanswered and carried out late.
+ * Simulates a backend server of the users' platform.
  *
- * Not thread safe: lives on the loop's thread.
+ * Runs requests, each identified by its id, in a fixed number of slots with a queue. Accepts grants
+ * of keys with fencing tokens, and confirms a release once no request for its keys is running any
+ * more. `GET /_control` lists the requests that were executed; `POST /_control` sets how many
+ * answers are faulty and in which way, and how many orders (grants and releases) are left
+ * unanswered and executed late.
+ *
+ * Not thread safe: to be used on the event loop's thread only.
  */
 class KeyedServer
 {
@@ -69,10 +72,10 @@
         RequestHandle request;
         std::string requestId;
         std::optional<KeyPlace> key;
-        std::size_t run = 0;
+        std::size_t runIndex = 0;
     };
 
-    struct Run
+    struct RunRecord
     {
         std::string requestId;
         std::int64_t key = -1;
@@ -80,8 +83,8 @@
         std::int64_t endUs = 0;
     };
 
-    /** A release that waits for work on its keys. */
-    struct Releasing
+    /** A release that is answered once no request for its keys is running. */
+    struct PendingRelease
     {
         RequestHandle request;
         KeyRange range;
@@ -90,37 +93,37 @@
     void serve(const RequestHandle &request);
     void grant(const RequestHandle &request);
     void release(const RequestHandle &request);
-    bool isLate();
-    void carryOutLate(const RequestHandle &request, std::function<void()> order);
-    void answerReleases();
-    void take(const RequestHandle &request);
+    bool takeDelayedOrder();
+    void executeDelayed(const RequestHandle &request, std::function<void()> order);
+    void answerCompletedReleases();
+    void acceptWork(const RequestHandle &request);
     void start(Work work);
-    void finished(std::list<Work>::iterator place);
-    bool isCrashing(const Work &work) const;
-    void answer(const Work &work);
-    bool isForOther(const RequestHandle &request) const;
-    std::optional<AnswerSpoil> nextSpoil();
-    void control(const RequestHandle &request);
-    void setWrongs(const Json::Value &json);
-    Json::Value record() const;
-    std::vector<HeaderField> fields(const std::string &requestId) const;
+    void finish(std::list<Work>::iterator entry);
+    bool triggersCrash(const Work &work) const;
+    void sendAnswer(const Work &work);
+    bool targetsOtherInstance(const RequestHandle &request) const;
+    std::optional<AnswerFault> nextAnswerFault();
+    void handleControl(const RequestHandle &request);
+    void setFaults(const Json::Value &json);
+    Json::Value stateJson() const;
+    std::vector<HeaderField> answerHeaders(const std::string &requestId) const;
 
     asio::io_context &m_loop;
     KeyedSettings m_settings;
     LeaseTable m_leases;
     std::list<Work> m_running;
     std::deque<Work> m_queue;
-    std::vector<RequestHandle> m_hung;
-    std::list<Releasing> m_releasing;
-    std::vector<Run> m_runs;
-    /** The lowest and the highest that keys were granted under; none if the first is above. */
+    std::vector<RequestHandle> m_unansweredRequests;
+    std::list<PendingRelease> m_pendingReleases;
+    std::vector<RunRecord> m_runs;
+    /** Lowest and highest fencing token of all grants received; none yet if lowest > highest. */
     std::uint64_t m_lowestFence = std::numeric_limits<std::uint64_t>::max();
     std::uint64_t m_highestFence = 0;
-    /** How many of the next answers are spoiled in which way. */
-    std::map<AnswerSpoil, int> m_spoils;
-    /** How many of the next orders are left unanswered, and when they are carried out. */
-    int m_lateOrders = 0;
-    std::chrono::milliseconds m_lateBy{0};
+    /** How many of the next answers have which fault. */
+    std::map<AnswerFault, int> m_answerFaults;
+    /** How many of the next orders are left unanswered, and after which delay they are executed. */
+    int m_ordersToDelay = 0;
+    std::chrono::milliseconds m_orderDelay{0};
     std::unique_ptr<Listener> m_listener;
 };
 
--- a/tests/standins/keyed/leasetable.cpp
+++ b/tests/standins/keyed/leasetable.cpp
@@ -4,9 +4,9 @@
 
 namespace bulrush::standins {
 
-LeaseTable::LeaseTable(std::size_t cells, std::int64_t clockPpm)
+LeaseTable::LeaseTable(std::size_t cells, std::int64_t clockSlowdownPpm)
     : m_keysPerCell(keyPlaces / static_cast<KeyPlace>(cells))
-    , m_clockPpm(clockPpm)
+    , m_clockSlowdownPpm(clockSlowdownPpm)
     , m_cells(cells)
 { }
 
@@ -15,31 +15,31 @@
 {
     const auto [first, end] = cellsOf(range);
     for (std::size_t i = first; i < end; ++i) {
-        if (m_cells[i].highestSeen > fence)
+        if (m_cells[i].highestFence > fence)
             return false;
     }
-    const Instant until = arrivedAt + stretched(hold, m_clockPpm);
+    const Instant heldUntil = arrivedAt + stretched(hold, m_clockSlowdownPpm);
     for (std::size_t i = first; i < end; ++i) {
         Cell &cell = m_cells[i];
-        cell.highestSeen = fence;
-        cell.until = fence > cell.fence ? until : std::max(cell.until, until);
+        cell.highestFence = fence;
+        cell.heldUntil = fence > cell.fence ? heldUntil : std::max(cell.heldUntil, heldUntil);
         cell.fence = fence;
     }
-    return now < until;
+    return now < heldUntil;
 }
 
 void LeaseTable::release(const KeyRange &range, std::uint64_t fence)
 {
     const auto [first, end] = cellsOf(range);
     for (std::size_t i = first; i < end; ++i) {
-        m_cells[i].highestSeen = std::max(m_cells[i].highestSeen, fence);
-        m_cells[i].until = {};
+        m_cells[i].highestFence = std::max(m_cells[i].highestFence, fence);
+        m_cells[i].heldUntil = {};
     }
 }
 
 bool LeaseTable::holds(std::size_t cell, Instant now) const
 {
-    return now < m_cells[cell].until;
+    return now < m_cells[cell].heldUntil;
 }
 
 std::uint64_t LeaseTable::fenceOf(std::size_t cell) const
@@ -54,7 +54,7 @@
 
 std::pair<std::size_t, std::size_t> LeaseTable::cellsOf(const KeyRange &range) const
 {
-    // Rounded up to the next key that a cell keeps.
+    // Rounds up to the next key that a cell stores.
     const auto cellFrom = [this](KeyPlace place) -> std::size_t {
         return (place + m_keysPerCell - 1 - m_keysPerCell / 2) / m_keysPerCell;
     };
--- a/tests/standins/keyed/leasetable.h
+++ b/tests/standins/keyed/leasetable.h
@@ -10,9 +10,10 @@
 namespace bulrush::standins {
 
 /**
- * What a backend server does with grants and releases, as trials against the users' bench showed:
- * a grant counts unless a higher fence was seen on one of its keys, and the same one renews; a
- * release is never refused and keeps lower fences out, but not its own.
+ * The grants that a backend server holds, with the rules that experiments against the users' test
+ * bench showed: a grant is accepted unless one of its keys has received a higher fencing token, and
+ * a grant with the same token renews. A release is always accepted; it excludes lower tokens from
+ * then on, but not its own.
  *
  * Not thread safe.
  */
@@ -20,13 +21,16 @@
 {
 public:
     /**
-     * Keeps only \a cells keys, evenly spread, each standing for those around it: few make a search
-     * fast, keyPlaces make the table exact. \a clockPpm is how much slower than true time the
-     * server's clock runs.
+     * Stores only \a cells evenly spaced keys, each of which represents the keys around it: a small
+     * number makes searches fast, and keyPlaces makes the table exact. \a clockSlowdownPpm is how
+     * much slower than true time the server's clock runs, in parts per million.
      */
-    explicit LeaseTable(std::size_t cells, std::int64_t clockPpm = 0);
+    explicit LeaseTable(std::size_t cells, std::int64_t clockSlowdownPpm = 0);
 
-    /** Applies, at \a now, a grant that arrived at \a arrivedAt. \returns whether it was taken. */
+    /**
+     * Applies, at \a now, a grant that arrived at \a arrivedAt.
+     * \returns false if the grant was rejected or its hold has already expired.
+     */
     bool grant(const KeyRange &range, std::uint64_t fence, Duration hold, Instant arrivedAt,
                Instant now);
 
@@ -35,25 +39,25 @@
     /** \returns whether the server would run a request on \a cell at \a now. */
     bool holds(std::size_t cell, Instant now) const;
 
-    /** \returns the fence under which \a cell was granted last. */
+    /** \returns the fencing token of the last grant of \a cell. */
     std::uint64_t fenceOf(std::size_t cell) const;
 
-    /** \returns the key that \a cell keeps. */
+    /** \returns the key that \a cell stores. */
     KeyPlace keyOf(std::size_t cell) const;
 
-    /** \returns the cells whose keys \a range has: the first, and the one after the last. */
+    /** \returns the cells whose keys lie in \a range: the first, and one past the last. */
     std::pair<std::size_t, std::size_t> cellsOf(const KeyRange &range) const;
 
 private:
     struct Cell
     {
         std::uint64_t fence = 0;
-        std::uint64_t highestSeen = 0;
-        Instant until;
+        std::uint64_t highestFence = 0;
+        Instant heldUntil;
     };
 
     KeyPlace m_keysPerCell;
-    std::int64_t m_clockPpm;
+    std::int64_t m_clockSlowdownPpm;
     std::vector<Cell> m_cells;
 };
 
--- a/tests/standins/keyed/main.cpp
+++ b/tests/standins/keyed/main.cpp
@@ -23,10 +23,12 @@
     app.add_option("--slots", settings.slots, "work done at once");
     app.add_option("--queue", settings.queueLimit, "work that may wait");
     app.add_option("--service-ms", serviceMs, "time for a piece of work");
-    app.add_option("--clock-ppm", settings.clockPpm, "how much slower its clock runs");
-    app.add_flag("--keyed", settings.isKeyed, "run requests only under a grant of their key");
-    app.add_flag("--hang-when-full", settings.hangsWhenFull, "don't answer what can't be queued");
-    app.add_option("--crash-on", settings.crashOn, "work on paths with this text ends the process");
+    app.add_option("--clock-ppm", settings.clockSlowdownPpm, "how much slower its clock runs");
+    app.add_flag("--keyed", settings.requiresGrant, "run requests only under a grant of their key");
+    app.add_flag("--hang-when-full", settings.hangsWhenQueueFull,
+                 "don't answer what can't be queued");
+    app.add_option("--crash-on", settings.crashPathSubstring,
+                   "work on paths with this text ends the process");
     CLI11_PARSE(app, argc, argv);
     terminateWithParent();
     settings.serviceTime = std::chrono::milliseconds{serviceMs};
