--- a/tests/standins/platform/fault.cpp
+++ b/tests/standins/platform/fault.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-std::optional<FaultMode> modeFrom(const Json::Value &body)
+std::optional<FaultMode> parsedMode(const Json::Value &body)
 {
     const std::string mode = body["mode"].isString() ? body["mode"].asString() : "";
     if (mode == "none")
@@ -25,7 +25,7 @@
 {
     Faults result = faults;
     if (body.isMember("mode")) {
-        const auto mode = modeFrom(body);
+        const auto mode = parsedMode(body);
         if (!mode)
             return std::nullopt;
         result.mode = *mode;
--- a/tests/standins/platform/fault.h
+++ b/tests/standins/platform/fault.h
@@ -9,15 +9,15 @@
 
 namespace bulrush::standins {
 
-/** Answers at once. */
+/** Answers immediately. */
 struct Healthy
 { };
 
-/** Closes every connection without an answer; what was asked for does not happen. */
+/** Closes every connection without an answer; requests have no effect. */
 struct Down
 { };
 
-/** Does what is asked for at once, and answers later. */
+/** Executes requests immediately, and answers after `delay`. */
 struct Slow
 {
     std::chrono::milliseconds delay{0};
@@ -25,17 +25,17 @@
 
 using FaultMode = std::variant<Healthy, Down, Slow>;
 
-/** How one listener misbehaves. */
+/** Fault settings of one listener. */
 struct Faults
 {
     FaultMode mode;
-    /** Transactions yet to come that take effect and whose answer is lost. */
+    /** Number of coming transactions that take effect, but whose answer is lost. */
     std::uint64_t answersToLose = 0;
 };
 
 /**
- * \returns \a faults changed as \a body says; what it doesn't mention stays. Nothing if \a body
- * is not understood. Thread safe.
+ * \returns \a faults with the changes in \a body applied; members that \a body omits stay as they
+ * are. Nothing if \a body is malformed. Thread safe.
  */
 std::optional<Faults> changedFaults(const Faults &faults, const Json::Value &body);
 
--- a/tests/standins/platform/hostlist.cpp
+++ b/tests/standins/platform/hostlist.cpp
@@ -31,7 +31,7 @@
     , m_snapshots{Snapshot{TimePoint::min(), std::move(initial)}}
 { }
 
-bool HostList::change(const Json::Value &changes, TimePoint now)
+bool HostList::applyChanges(const Json::Value &changes, TimePoint now)
 {
     const auto isNamed = [](const Json::Value &entry) {
         return entry.isObject() && entry["name"].isString();
@@ -46,10 +46,10 @@
     return true;
 }
 
-Json::Value HostList::served(TimePoint now)
+Json::Value HostList::toJson(TimePoint now)
 {
-    const TimePoint shown = now - m_lag;
-    while (m_snapshots.size() > 1 && m_snapshots[1].since <= shown)
+    const TimePoint asOf = now - m_lag;
+    while (m_snapshots.size() > 1 && m_snapshots[1].validFrom <= asOf)
         m_snapshots.pop_front();
 
     Json::Value answer;
--- a/tests/standins/platform/hostlist.h
+++ b/tests/standins/platform/hostlist.h
@@ -9,7 +9,7 @@
 namespace bulrush::standins {
 
 /**
- * The list of hosts, which is served as it stood some time ago. Not thread safe.
+ * The list of hosts, which is served as it was some time ago (the lag). Not thread safe.
  */
 class HostList
 {
@@ -22,24 +22,24 @@
     HostList(Json::Value initial, std::chrono::milliseconds lag);
 
     /**
-     * Takes over the members of each entry of \a changes into the host of that name, which is
-     * added if it is new. An entry with the state "gone" removes its host.
+     * Copies the members of each entry of \a changes to the host of the same name, which is added
+     * if it does not exist. An entry with the state "gone" removes its host.
      * \returns false, with nothing changed, if an entry has no name.
      */
-    bool change(const Json::Value &changes, TimePoint now);
+    bool applyChanges(const Json::Value &changes, TimePoint now);
 
-    /** \returns the answer to `GET /hosts`. */
-    Json::Value served(TimePoint now);
+    /** \returns the body of the answer to `GET /hosts`. */
+    Json::Value toJson(TimePoint now);
 
 private:
     struct Snapshot
     {
-        TimePoint since;
+        TimePoint validFrom;
         Json::Value hosts;
     };
 
     std::chrono::milliseconds m_lag;
-    /** Oldest first; the first is the one that is served, or is about to be replaced. */
+    /** Oldest first. The first one is served until the second one is as old as the lag. */
     std::deque<Snapshot> m_snapshots;
 };
 
--- a/tests/standins/platform/platformserver.cpp
+++ b/tests/standins/platform/platformserver.cpp
@@ -26,7 +26,7 @@
     return jsonAnswer(status, body);
 }
 
-Answer notJson()
+Answer notJsonAnswer()
 {
     return errorAnswer(400, "the body must be a JSON object");
 }
@@ -42,40 +42,43 @@
 
 std::string PlatformServer::listen(const std::string &name, const ListenerSettings &settings)
 {
-    auto entrance = std::make_unique<Entrance>();
-    entrance->name = name;
-    entrance->listener = std::make_unique<Listener>(
+    auto state = std::make_unique<ListenerState>();
+    state->name = name;
+    state->listener = std::make_unique<Listener>(
         m_loop, settings,
-        [this, place = entrance.get()](const RequestHandle &request) { serve(*place, request); },
+        [this, listenerState = state.get()](const RequestHandle &request) {
+            serve(*listenerState, request);
+        },
         [](ConnectionLimiter::ConnectionId) {});
-    m_entrances.push_back(std::move(entrance));
-    return m_entrances.back()->listener->address();
+    m_listenerStates.push_back(std::move(state));
+    return m_listenerStates.back()->listener->address();
 }
 
-void PlatformServer::serve(Entrance &entrance, const RequestHandle &request)
+void PlatformServer::serve(ListenerState &state, const RequestHandle &request)
 {
     if (request->header().path() == "/_faults") {
-        Listener::send(request, changeFaults(request->body()));
+        Listener::send(request, handleFaults(request->body()));
         return;
     }
-    if (std::holds_alternative<Down>(entrance.faults.mode)) {
-        entrance.listener->closeWithoutAnswer(request);
+    if (std::holds_alternative<Down>(state.faults.mode)) {
+        state.listener->closeWithoutAnswer(request);
         return;
     }
 
-    ++entrance.counters.requests;
-    entrance.counters.bytesIn += request->body().size();
-    const Reply reply = replyTo(entrance, request);
-    if (reply.hasCommitted && entrance.faults.answersToLose > 0) {
-        --entrance.faults.answersToLose;
-        entrance.listener->closeWithoutAnswer(request);
+    ++state.counters.requests;
+    state.counters.bytesIn += request->body().size();
+    const Reply reply = handleRequest(state, request);
+    if (reply.hasCommitted && state.faults.answersToLose > 0) {
+        --state.faults.answersToLose;
+        state.listener->closeWithoutAnswer(request);
         return;
     }
 
-    finish(entrance, request, reply.answer);
+    sendReply(state, request, reply.answer);
 }
 
-PlatformServer::Reply PlatformServer::replyTo(Entrance &entrance, const RequestHandle &request)
+PlatformServer::Reply PlatformServer::handleRequest(ListenerState &state,
+                                                    const RequestHandle &request)
 {
     const std::string path{request->header().path()};
     const std::string method{request->header().method().c_str()};
@@ -87,15 +90,15 @@
     if (call == "POST /_hosts")
         return {changeHosts(request->body())};
     if (call == "POST /table/transact") {
-        ++entrance.counters.writes;
+        ++state.counters.writes;
         return transact(request->body());
     }
     if (isObject && method == "PUT") {
-        ++entrance.counters.writes;
+        ++state.counters.writes;
         return {putObject(path.substr(objectsPath.size()), request->body())};
     }
 
-    ++entrance.counters.reads;
+    ++state.counters.reads;
     if (call == "GET /hosts")
         return {hosts()};
     if (call == "POST /table/read")
@@ -108,10 +111,11 @@
     return {errorAnswer(404, "no such call")};
 }
 
-void PlatformServer::finish(Entrance &entrance, const RequestHandle &request, const Answer &answer)
+void PlatformServer::sendReply(ListenerState &state, const RequestHandle &request,
+                               const Answer &answer)
 {
-    entrance.counters.bytesOut += answer.body.size();
-    if (const auto *slow = std::get_if<Slow>(&entrance.faults.mode)) {
+    state.counters.bytesOut += answer.body.size();
+    if (const auto *slow = std::get_if<Slow>(&state.faults.mode)) {
         sendLater(request, answer, slow->delay);
         return;
     }
@@ -129,22 +133,22 @@
     });
 }
 
-Answer PlatformServer::changeFaults(std::string_view body)
+Answer PlatformServer::handleFaults(std::string_view body)
 {
     const auto change = parsedJsonObject(body);
     if (!change || !(*change)["listener"].isString())
-        return notJson();
+        return notJsonAnswer();
 
     const std::string name = (*change)["listener"].asString();
     std::size_t matches = 0;
-    for (const auto &entrance : m_entrances) {
-        if (name != "*" && name != entrance->name)
+    for (const auto &state : m_listenerStates) {
+        if (name != "*" && name != state->name)
             continue;
 
-        const auto faults = changedFaults(entrance->faults, *change);
+        const auto faults = changedFaults(state->faults, *change);
         if (!faults)
             return errorAnswer(400, "mode is none, down or slow with slowMs; loseAnswers a number");
-        entrance->faults = *faults;
+        state->faults = *faults;
         ++matches;
     }
     if (matches == 0)
@@ -156,13 +160,13 @@
 Answer PlatformServer::counters() const
 {
     Json::Value listeners{Json::objectValue};
-    for (const auto &entrance : m_entrances) {
-        Json::Value &entry = listeners[entrance->name];
-        entry["requests"] = Json::UInt64{entrance->counters.requests};
-        entry["reads"] = Json::UInt64{entrance->counters.reads};
-        entry["writes"] = Json::UInt64{entrance->counters.writes};
-        entry["bytesIn"] = Json::UInt64{entrance->counters.bytesIn};
-        entry["bytesOut"] = Json::UInt64{entrance->counters.bytesOut};
+    for (const auto &state : m_listenerStates) {
+        Json::Value &entry = listeners[state->name];
+        entry["requests"] = Json::UInt64{state->counters.requests};
+        entry["reads"] = Json::UInt64{state->counters.reads};
+        entry["writes"] = Json::UInt64{state->counters.writes};
+        entry["bytesIn"] = Json::UInt64{state->counters.bytesIn};
+        entry["bytesOut"] = Json::UInt64{state->counters.bytesOut};
     }
     Json::Value body;
     body["listeners"] = listeners;
@@ -171,15 +175,15 @@
 
 Answer PlatformServer::hosts()
 {
-    return jsonAnswer(200, m_hosts.served(std::chrono::steady_clock::now()));
+    return jsonAnswer(200, m_hosts.toJson(std::chrono::steady_clock::now()));
 }
 
 Answer PlatformServer::changeHosts(std::string_view body)
 {
     const auto change = parsedJsonObject(body);
     if (!change)
-        return notJson();
-    if (!m_hosts.change((*change)["hosts"], std::chrono::steady_clock::now()))
+        return notJsonAnswer();
+    if (!m_hosts.applyChanges((*change)["hosts"], std::chrono::steady_clock::now()))
         return errorAnswer(400, "hosts must be an array of objects with a name");
 
     return jsonAnswer(200, Json::objectValue);
@@ -189,7 +193,7 @@
 {
     const auto message = parsedJsonObject(body);
     if (!message)
-        return {notJson()};
+        return {notJsonAnswer()};
 
     const auto transaction = transactionFrom(*message);
     if (const auto *malformed = std::get_if<Malformed>(&transaction))
@@ -206,7 +210,7 @@
 {
     const auto message = parsedJsonObject(body);
     if (!message)
-        return notJson();
+        return notJsonAnswer();
 
     const auto ids = rowIdsFrom(*message);
     if (const auto *malformed = std::get_if<Malformed>(&ids))
@@ -224,7 +228,7 @@
 {
     const auto message = parsedJsonObject(body);
     if (!message)
-        return notJson();
+        return notJsonAnswer();
 
     const auto parsed = scanRangeFrom(*message);
     if (const auto *malformed = std::get_if<Malformed>(&parsed))
--- a/tests/standins/platform/platformserver.h
+++ b/tests/standins/platform/platformserver.h
@@ -18,8 +18,10 @@
 namespace bulrush::standins {
 
 /**
- * The platform as docs/interfaces/platform.md describes it, on several listeners over one state,
- * with faults for each listener. Not thread safe: lives on the loop's thread.
+ * Simulates the platform that docs/interfaces/platform.md describes. Several listeners share one
+ * state; each has its own fault settings.
+ *
+ * Not thread safe: to be used on the event loop's thread only.
  */
 class PlatformServer
 {
@@ -34,7 +36,7 @@
     std::string listen(const std::string &name, const ListenerSettings &settings);
 
 private:
-    /** What a listener has served; bytes are those of bodies. */
+    /** Requests that a listener handled; the byte counts include bodies only. */
     struct Counters
     {
         std::uint64_t requests = 0;
@@ -44,7 +46,7 @@
         std::uint64_t bytesOut = 0;
     };
 
-    struct Entrance
+    struct ListenerState
     {
         std::string name;
         Faults faults;
@@ -55,16 +57,16 @@
     struct Reply
     {
         Answer answer;
-        /** Whether a transaction took effect, so that losing the answer is a fault of its own. */
+        /** Whether a transaction was committed; `answersToLose` applies only to such answers. */
         bool hasCommitted = false;
     };
 
-    void serve(Entrance &entrance, const RequestHandle &request);
-    Reply replyTo(Entrance &entrance, const RequestHandle &request);
-    void finish(Entrance &entrance, const RequestHandle &request, const Answer &answer);
+    void serve(ListenerState &state, const RequestHandle &request);
+    Reply handleRequest(ListenerState &state, const RequestHandle &request);
+    void sendReply(ListenerState &state, const RequestHandle &request, const Answer &answer);
     void sendLater(const RequestHandle &request, Answer answer, std::chrono::milliseconds delay);
 
-    Answer changeFaults(std::string_view body);
+    Answer handleFaults(std::string_view body);
     Answer counters() const;
     Answer hosts();
     Answer changeHosts(std::string_view body);
@@ -78,7 +80,7 @@
     HostList m_hosts;
     Table m_table;
     std::map<std::string, std::string> m_objects;
-    std::vector<std::unique_ptr<Entrance>> m_entrances;
+    std::vector<std::unique_ptr<ListenerState>> m_listenerStates;
 };
 
 } // namespace bulrush::standins
--- a/tests/standins/platform/table.cpp
+++ b/tests/standins/platform/table.cpp
@@ -14,18 +14,18 @@
         return conflicted;
 
     Committed committed;
-    for (const Write &each : transaction.writes)
-        committed.versions.push_back(write(each));
+    for (const Write &entry : transaction.writes)
+        committed.versions.push_back(write(entry));
     return committed;
 }
 
 Row Table::read(const RowId &id) const
 {
-    const auto found = m_cells.find(id);
-    if (found == m_cells.end())
+    const auto found = m_rows.find(id);
+    if (found == m_rows.end())
         return Row{id, 0, Json::Value{}};
 
-    return rowOf(id, found->second);
+    return toRow(id, found->second);
 }
 
 std::vector<Row> Table::scan(std::string_view table, std::string_view prefix,
@@ -33,31 +33,31 @@
 {
     const std::string tableName{table};
     std::vector<Row> rows;
-    auto cell = m_cells.lower_bound(RowId{tableName, std::string{prefix}});
-    for (; cell != m_cells.end() && rows.size() < limit; ++cell) {
-        const auto &[id, content] = *cell;
+    auto storedRow = m_rows.lower_bound(RowId{tableName, std::string{prefix}});
+    for (; storedRow != m_rows.end() && rows.size() < limit; ++storedRow) {
+        const auto &[id, content] = *storedRow;
         if (id.table != table || !id.key.starts_with(prefix))
             break;
         if (content.value && id.key > after)
-            rows.push_back(rowOf(id, content));
+            rows.push_back(toRow(id, content));
     }
     return rows;
 }
 
 std::uint64_t Table::write(const Write &write)
 {
-    Cell &cell = m_cells[write.id];
-    ++cell.version;
-    cell.value = write.value.isNull() ? std::nullopt : std::optional{write.value};
-    return cell.version;
+    StoredRow &storedRow = m_rows[write.id];
+    ++storedRow.version;
+    storedRow.value = write.value.isNull() ? std::nullopt : std::optional{write.value};
+    return storedRow.version;
 }
 
-Row Table::rowOf(const RowId &id, const Cell &cell)
+Row Table::toRow(const RowId &id, const StoredRow &storedRow)
 {
-    if (!cell.value)
+    if (!storedRow.value)
         return Row{id, 0, Json::Value{}};
 
-    return Row{id, cell.version, *cell.value};
+    return Row{id, storedRow.version, *storedRow.value};
 }
 
 } // namespace bulrush::standins
--- a/tests/standins/platform/table.h
+++ b/tests/standins/platform/table.h
@@ -13,7 +13,7 @@
 
 namespace bulrush::standins {
 
-/** Where a row stands. */
+/** Identifies a row. */
 struct RowId
 {
     std::string table;
@@ -22,7 +22,7 @@
     auto operator<=>(const RowId &) const = default;
 };
 
-/** A row as it is answered; version 0 and null when there is none. */
+/** A row as it is sent in answers; version 0 and null if the row does not exist. */
 struct Row
 {
     RowId id;
@@ -30,7 +30,7 @@
     Json::Value value;
 };
 
-/** What a row's version has to be for a transaction to take effect. */
+/** The version that a row must have for a transaction to take effect. */
 struct Condition
 {
     RowId id;
@@ -51,13 +51,13 @@
     std::vector<Write> writes;
 };
 
-/** The transaction took effect; versions in the order of its writes. */
+/** The transaction took effect; holds the new versions in the order of its writes. */
 struct Committed
 {
     std::vector<std::uint64_t> versions;
 };
 
-/** The transaction did nothing, for these rows are not as its conditions say. */
+/** The transaction had no effect, because the versions of these rows differ from its conditions. */
 struct Conflicted
 {
     std::vector<Row> rows;
@@ -78,23 +78,23 @@
 
     /**
      * \returns up to \a limit rows of \a table, sorted by key, whose keys start with \a prefix
-     * and lie after \a after.
+     * and are greater than \a after.
      */
     std::vector<Row> scan(std::string_view table, std::string_view prefix, std::string_view after,
                           std::size_t limit) const;
 
 private:
-    /** A row that was deleted stays, without a value, so that its version never goes back. */
-    struct Cell
+    /** A deleted row stays, without a value, so that the version of its key never decreases. */
+    struct StoredRow
     {
         std::uint64_t version = 0;
         std::optional<Json::Value> value;
     };
 
     std::uint64_t write(const Write &write);
-    static Row rowOf(const RowId &id, const Cell &cell);
+    static Row toRow(const RowId &id, const StoredRow &storedRow);
 
-    std::map<RowId, Cell> m_cells;
+    std::map<RowId, StoredRow> m_rows;
 };
 
 } // namespace bulrush::standins
--- a/tests/standins/platform/tablemessages.h
+++ b/tests/standins/platform/tablemessages.h
@@ -12,13 +12,12 @@
 
 namespace bulrush::standins {
 
-/** Why a body was not understood. */
+/** The reason why a body was rejected. */
 struct Malformed
 {
     std::string error;
 };
 
-/** What to scan for. */
 struct ScanRange
 {
     std::string table;
@@ -27,7 +26,7 @@
     std::size_t limit = 0;
 };
 
-// Bodies of the table's calls, read strictly: a missing member or one of a wrong type is an error.
+// Parse the bodies of table requests. A missing member, or one of a wrong type, is an error.
 
 std::variant<Transaction, Malformed> transactionFrom(const Json::Value &body);
 std::variant<std::vector<RowId>, Malformed> rowIdsFrom(const Json::Value &body);
