--- a/tests/standins/backend/backendserver.cpp
+++ b/tests/standins/backend/backendserver.cpp
@@ -37,7 +37,7 @@
     return jsonAnswer(status, body);
 }
 
-std::optional<KeyHash> hashFrom(const Json::Value &value)
+std::optional<KeyHash> parsedHash(const Json::Value &value)
 {
     if (!value.isString())
         return std::nullopt;
@@ -51,14 +51,14 @@
     return hash;
 }
 
-std::optional<GrantOrder> orderFrom(std::string_view text)
+std::optional<GrantOrder> parsedOrder(std::string_view text)
 {
     const auto body = parsedJsonObject(text);
     if (!body || !(*body)["service"].isString() || !(*body)["sender"].isString())
         return std::nullopt;
 
-    const auto begin = hashFrom((*body)["begin"]);
-    const auto end = hashFrom((*body)["end"]);
+    const auto begin = parsedHash((*body)["begin"]);
+    const auto end = parsedHash((*body)["end"]);
     const Json::Value &fence = (*body)["fence"];
     if (!begin || !end || *begin > *end || !fence.isObject())
         return std::nullopt;
@@ -89,7 +89,7 @@
     return value;
 }
 
-std::int64_t hostMicroseconds()
+std::int64_t hostClockUs()
 {
     const auto now = std::chrono::steady_clock::now().time_since_epoch();
     return std::chrono::duration_cast<std::chrono::microseconds>(now).count();
@@ -100,9 +100,9 @@
 BackendServer::BackendServer(asio::io_context &loop, BackendSettings settings)
     : m_loop(loop)
     , m_settings(std::move(settings))
-    , m_started(std::chrono::steady_clock::now())
+    , m_startedAt(std::chrono::steady_clock::now())
     , m_grants(m_settings.checksFence)
-    , m_loadReport(m_settings.reportLag, m_settings.reportLieFactor)
+    , m_loadReport(m_settings.reportLag, m_settings.loadReportFactor)
     , m_observed(m_settings.observedLimit)
     , m_previousAnswer{200, {{"X-Bulrush-Request", "nobody"}, {"X-Bulrush-Ran", "yes"}}, "{}"}
     , m_listener(
@@ -122,9 +122,9 @@
         return;
     }
 
-    auto work = workFrom(request);
-    if (const auto *bad = std::get_if<BadWork>(&work)) {
-        Listener::send(request, errorAnswer(400, bad->error));
+    auto work = parsedWork(request);
+    if (const auto *malformed = std::get_if<MalformedWork>(&work)) {
+        Listener::send(request, errorAnswer(400, malformed->error));
         return;
     }
 
@@ -155,7 +155,7 @@
 
 Answer BackendServer::grant(std::string_view body)
 {
-    const auto order = orderFrom(body);
+    const auto order = parsedOrder(body);
     if (!order)
         return errorAnswer(400, "not a grant");
 
@@ -171,15 +171,15 @@
 
 Answer BackendServer::revoke(std::string_view body)
 {
-    const auto order = orderFrom(body);
+    const auto order = parsedOrder(body);
     if (!order)
         return errorAnswer(400, "not a revoke");
 
     m_grants.revoke(*order);
-    std::uint64_t running = countUnder(m_running, *order);
-    // A server that doesn't check will still run what waits in its queue.
+    std::uint64_t running = countCovered(m_running, *order);
+    // A server that doesn't check fences will still run the queued work.
     if (!m_settings.checksFence)
-        running += countUnder(m_queued, *order);
+        running += countCovered(m_queued, *order);
 
     Json::Value answer;
     answer["clockMs"] = Json::Int64{clockMs()};
@@ -200,7 +200,7 @@
 Answer BackendServer::load()
 {
     recordLoad();
-    Json::Value answer = m_loadReport.served(std::chrono::steady_clock::now());
+    Json::Value answer = m_loadReport.toJson(std::chrono::steady_clock::now());
     answer["clockMs"] = Json::Int64{clockMs()};
     answer["slots"] = Json::UInt64{m_settings.slots};
     answer["connectionLimit"] = Json::UInt64{m_settings.listener.connectionLimit};
@@ -217,7 +217,7 @@
 Answer BackendServer::behave(std::string_view body)
 {
     const auto message = parsedJsonObject(body);
-    const auto misbehaviour = message ? misbehaviourFrom(*message) : std::nullopt;
+    const auto misbehaviour = message ? parsedMisbehaviour(*message) : std::nullopt;
     if (!misbehaviour)
         return errorAnswer(400, "answer is whole, cut, silent, reset, crossed or late with lateMs");
 
@@ -246,11 +246,11 @@
     answer["cancelled"] = Json::UInt64{m_counters.cancelled};
     answer["refused"] = Json::objectValue;
     for (const auto &[refusal, count] : m_counters.refused)
-        answer["refused"][std::string{nameOf(refusal)}] = Json::UInt64{count};
+        answer["refused"][std::string{reasonName(refusal)}] = Json::UInt64{count};
     answer["connections"] = Json::UInt64{m_listener.connectionLimiter().openCount()};
     answer["connectionsRefused"] = Json::UInt64{m_listener.connectionLimiter().refusedCount()};
     answer["clockMs"] = Json::Int64{clockMs()};
-    answer["hostUs"] = Json::Int64{hostMicroseconds()};
+    answer["hostUs"] = Json::Int64{hostClockUs()};
     return jsonAnswer(200, answer);
 }
 
@@ -282,7 +282,7 @@
 
 std::optional<Refusal> BackendServer::refusalAtStart(const Work &work) const
 {
-    // The clock counts whole milliseconds, so that the one of the deadline itself is too late.
+    // The clock has a resolution of 1 ms, so the millisecond of the deadline is already too late.
     if (work.deadlineMs && clockMs() >= *work.deadlineMs)
         return Refusal::Deadline;
     if (work.key.empty())
@@ -297,7 +297,7 @@
     Answer answer = errorAnswer(503, "refused");
     answer.headers.push_back({"X-Bulrush-Request", work.requestId});
     answer.headers.push_back({"X-Bulrush-Ran", "no"});
-    answer.headers.push_back({"X-Bulrush-Reason", std::string{nameOf(refusal)}});
+    answer.headers.push_back({"X-Bulrush-Reason", std::string{reasonName(refusal)}});
     Listener::send(work.request, answer);
 }
 
@@ -324,7 +324,7 @@
     observation.requestId = work->requestId;
     observation.idempotencyKey = work->idempotencyKey;
     observation.startMs = clockMs();
-    observation.startHostUs = hostMicroseconds();
+    observation.startHostUs = hostClockUs();
     work->observation = m_observed.add(std::move(observation));
 
     if (work->isHeld)
@@ -349,26 +349,26 @@
 void BackendServer::finish(WorkList::iterator work)
 {
     work->observation->endMs = clockMs();
-    work->observation->endHostUs = hostMicroseconds();
+    work->observation->endHostUs = hostClockUs();
     ++m_counters.done;
-    const Answer whole = doneAnswer(*work, m_settings.name, m_counters.done);
+    const Answer complete = completedAnswer(*work, m_settings.name, m_counters.done);
     const RequestHandle request = work->request;
     m_running.erase(work);
-    answer(request, whole);
+    answer(request, complete);
 }
 
-void BackendServer::answer(const RequestHandle &request, const Answer &whole)
+void BackendServer::answer(const RequestHandle &request, const Answer &complete)
 {
-    const Answer previous = std::exchange(m_previousAnswer, whole);
+    const Answer previous = std::exchange(m_previousAnswer, complete);
     const Overloaded send{
-        [&](const Whole &) { Listener::send(request, whole); },
-        [&](const Cut &) { m_listener.sendTruncated(request, whole); },
-        [&](const Silent &) {},
-        [&](const Reset &) { m_listener.resetConnection(request); },
-        [&](const Crossed &) { Listener::send(request, previous); },
-        [&](const Late &late) { sendLater(request, whole, late.delay); },
+        [&](const CompleteAnswer &) { Listener::send(request, complete); },
+        [&](const TruncatedAnswer &) { m_listener.sendTruncated(request, complete); },
+        [&](const NoAnswer &) {},
+        [&](const ConnectionReset &) { m_listener.resetConnection(request); },
+        [&](const MismatchedAnswer &) { Listener::send(request, previous); },
+        [&](const DelayedAnswer &late) { sendLater(request, complete, late.delay); },
     };
-    std::visit(send, m_misbehaviour.next());
+    std::visit(send, m_misbehaviour.nextMode());
 }
 
 void BackendServer::sendLater(const RequestHandle &request, Answer answer,
@@ -388,7 +388,7 @@
     recordLoad();
 }
 
-std::uint64_t BackendServer::countUnder(const WorkList &list, const GrantOrder &order) const
+std::uint64_t BackendServer::countCovered(const WorkList &list, const GrantOrder &order) const
 {
     std::uint64_t count = 0;
     for (const Work &work : list) {
@@ -415,7 +415,7 @@
 
 bool BackendServer::isCold() const
 {
-    return std::chrono::steady_clock::now() < m_started + m_settings.coldTime;
+    return std::chrono::steady_clock::now() < m_startedAt + m_settings.coldTime;
 }
 
 void BackendServer::recordLoad()
--- a/tests/standins/backend/backendserver.h
+++ b/tests/standins/backend/backendserver.h
@@ -18,7 +18,7 @@
 
 namespace bulrush::standins {
 
-/** What a backend server is told at its start. */
+/** Start parameters of a backend server. */
 struct BackendSettings
 {
     std::string name = "backend";
@@ -27,24 +27,26 @@
     std::size_t queueLimit = 32;
     std::chrono::milliseconds serviceTime{0};
     std::chrono::milliseconds coldTime{0};
-    /** How much longer work takes while the server is cold. */
+    /** Factor by which work takes longer while the server is cold. */
     unsigned coldFactor = 4;
     bool refusesWhileCold = false;
     std::chrono::milliseconds clockOffset{0};
     std::chrono::milliseconds reportLag{0};
-    double reportLieFactor = 1;
+    double loadReportFactor = 1;
     bool checksFence = false;
     std::size_t observedLimit = 100'000;
 };
 
 /**
- * A backend server as docs/interfaces/backend.md describes it, whose work is to wait and to echo
- * the body's length and hash. Not thread safe: lives on the loop's thread.
+ * Simulates the backend server that docs/interfaces/backend.md describes. Work consists of waiting
+ * for the service time and answering with the length and the hash of the body.
+ *
+ * Not thread safe: to be used on the event loop's thread only.
  */
 class BackendServer
 {
 public:
-    /** Opens the listener. Throws if it can't be opened. */
+    /** Opens the listener. Throws if this fails. */
     BackendServer(asio::io_context &loop, BackendSettings settings);
 
     /** \returns the address as `IP:PORT`. */
@@ -77,10 +79,10 @@
     void startQueued();
     void start(WorkList::iterator work);
     void finish(WorkList::iterator work);
-    void answer(const RequestHandle &request, const Answer &whole);
+    void answer(const RequestHandle &request, const Answer &complete);
     void sendLater(const RequestHandle &request, Answer answer, std::chrono::milliseconds delay);
     void cancelQueued(ConnectionLimiter::ConnectionId connection);
-    std::uint64_t countUnder(const WorkList &list, const GrantOrder &order) const;
+    std::uint64_t countCovered(const WorkList &list, const GrantOrder &order) const;
 
     std::chrono::milliseconds serviceTimeOf(const Work &work) const;
     std::int64_t clockMs() const;
@@ -89,7 +91,7 @@
 
     asio::io_context &m_loop;
     BackendSettings m_settings;
-    std::chrono::steady_clock::time_point m_started;
+    std::chrono::steady_clock::time_point m_startedAt;
     GrantTable m_grants;
     LoadReport m_loadReport;
     ObservedLog m_observed;
@@ -98,7 +100,7 @@
     bool m_isDraining = false;
     WorkList m_queued;
     WorkList m_running;
-    /** The answer before, which a crossed answer is made of. */
+    /** The previous answer, sent as MismatchedAnswer to the next request. */
     Answer m_previousAnswer;
     Listener m_listener;
 };
--- a/tests/standins/backend/granttable.cpp
+++ b/tests/standins/backend/granttable.cpp
@@ -5,7 +5,7 @@
 
 namespace bulrush::standins {
 
-std::string_view nameOf(Refusal refusal)
+std::string_view reasonName(Refusal refusal)
 {
     switch (refusal) {
     case Refusal::Shed:
@@ -32,7 +32,7 @@
 {
     std::optional<Fence> highest;
     for (const Segment &segment : m_segments[order.service]) {
-        if (overlaps(segment.range, order.range) && isOutrankedBy(segment, order))
+        if (overlaps(segment.range, order.range) && isSupersededBy(segment, order))
             highest = std::max(highest.value_or(Fence{}), segment.fence);
     }
     if (highest)
@@ -96,8 +96,8 @@
         if (segment.range.end > end)
             result.push_back(
                 {{end + 1, segment.range.end}, segment.fence, segment.sender, segment.isHeld});
-        const bool isComparing = m_checksFence || !isHeld;
-        if (isComparing && segment.fence > order.fence)
+        const bool comparesFences = m_checksFence || !isHeld;
+        if (comparesFences && segment.fence > order.fence)
             kept.push_back(
                 {{std::max(begin, segment.range.begin), std::min(end, segment.range.end)},
                  segment.fence,
@@ -105,17 +105,17 @@
                  segment.isHeld});
     }
 
-    // The order takes what the kept segments leave free.
+    // The order covers the parts of its range that the kept segments leave free.
     KeyHash next = begin;
-    bool isFull = false;
+    bool isEndCovered = false;
     for (const Segment &segment : kept) {
         if (segment.range.begin > next)
             result.push_back({{next, segment.range.begin - 1}, order.fence, order.sender, isHeld});
-        isFull = segment.range.end == end;
+        isEndCovered = segment.range.end == end;
         next = segment.range.end + 1;
         result.push_back(segment);
     }
-    if (!isFull)
+    if (!isEndCovered)
         result.push_back({{next, end}, order.fence, order.sender, isHeld});
 
     std::sort(result.begin(), result.end(),
@@ -123,7 +123,7 @@
     m_segments[order.service] = std::move(result);
 }
 
-bool GrantTable::isOutrankedBy(const Segment &segment, const GrantOrder &order) const
+bool GrantTable::isSupersededBy(const Segment &segment, const GrantOrder &order) const
 {
     if (!m_checksFence)
         return false;
--- a/tests/standins/backend/granttable.h
+++ b/tests/standins/backend/granttable.h
@@ -11,7 +11,7 @@
 
 namespace bulrush::standins {
 
-/** A grant or a revoke, as it is ordered. */
+/** A request to grant or to revoke a range. */
 struct GrantOrder
 {
     std::string service;
@@ -20,38 +20,38 @@
     std::string sender;
 };
 
-/** Why work is refused before it starts; the names are those of the interface. */
+/** Why work is refused before it starts; the names are those of the backend interface. */
 enum class Refusal { Shed, Deadline, Fence, NotOwner, Draining, Cold };
 
-/** \returns the name of \a refusal as it is sent. */
-std::string_view nameOf(Refusal refusal);
+/** \returns the name of \a refusal on the wire. */
+std::string_view reasonName(Refusal refusal);
 
 /**
- * The slices that a server was granted, and those that were revoked, which keep their fence so
- * that an order that comes too late is known as such. Not thread safe.
+ * The key ranges that were granted to a server, and those that were revoked. Revoked ranges keep
+ * their fencing token, so that orders that arrive late are detected. Not thread safe.
  */
 class GrantTable
 {
 public:
     /**
-     * \param checksFence whether orders are compared with what is held; if not, each order is
-     * taken as it comes.
+     * \param checksFence whether grants and work are compared with the fences of earlier orders; if
+     * not, all of them are accepted.
      */
     explicit GrantTable(bool checksFence);
 
     /**
-     * Takes a grant over.
-     * \returns the fence that outranks it, with nothing changed, if there is one.
+     * Applies a grant.
+     * \returns the highest fence that supersedes it, with nothing changed, if there is one.
      */
     std::optional<Fence> grant(const GrantOrder &order);
 
-    /** Gives up what lies in the range under the order's fence or a lower one. */
+    /** Revokes the parts of the order's range that have its fence or a lower one. */
     void revoke(const GrantOrder &order);
 
-    /** \returns why work for \a hash under \a fence is refused, or nothing. */
+    /** \returns why work for \a hash with \a fence is refused, or nothing if it is accepted. */
     std::optional<Refusal> refusal(const std::string &service, KeyHash hash, Fence fence) const;
 
-    /** \returns the grants that are held, sorted by service and range. */
+    /** \returns the current grants, sorted by service and range. */
     std::vector<GrantOrder> held() const;
 
 private:
@@ -62,11 +62,11 @@
         std::string sender;
         bool isHeld = false;
     };
-    /** Sorted by range, none overlapping. */
+    /** Sorted by range, without overlaps. */
     using Segments = std::vector<Segment>;
 
     void replace(const GrantOrder &order, bool isHeld);
-    bool isOutrankedBy(const Segment &segment, const GrantOrder &order) const;
+    bool isSupersededBy(const Segment &segment, const GrantOrder &order) const;
 
     bool m_checksFence;
     std::map<std::string, Segments> m_segments;
--- a/tests/standins/backend/loadreport.h
+++ b/tests/standins/backend/loadreport.h
@@ -8,7 +8,7 @@
 
 namespace bulrush::standins {
 
-/** How busy the server is at one moment. */
+/** The load of the server at one moment. */
 struct Load
 {
     std::uint64_t running = 0;
@@ -18,34 +18,35 @@
 };
 
 /**
- * Reports the load as it stood some time ago, and times a factor. Not thread safe.
+ * Reports the load as it was some time ago (the lag), with its counts multiplied by a factor.
+ * Not thread safe.
  */
 class LoadReport
 {
 public:
     using TimePoint = std::chrono::steady_clock::time_point;
 
-    LoadReport(std::chrono::milliseconds lag, double lieFactor);
+    LoadReport(std::chrono::milliseconds lag, double factor);
 
-    /** Takes note of the true load. */
+    /** Records the true load. */
     void record(const Load &load, TimePoint now);
 
     /** \returns the members "running", "queued", "cold", "draining" and "ageMs". */
-    Json::Value served(TimePoint now);
+    Json::Value toJson(TimePoint now);
 
 private:
     struct Sample
     {
-        TimePoint since;
+        TimePoint validFrom;
         Load load;
     };
 
-    void forgetBefore(TimePoint shown);
-    Json::Value lied(std::uint64_t count) const;
+    void dropSamplesBefore(TimePoint asOf);
+    Json::Value scaled(std::uint64_t count) const;
 
     std::chrono::milliseconds m_lag;
-    double m_lieFactor;
-    /** Oldest first; the first is the one that is reported, or is about to be replaced. */
+    double m_factor;
+    /** Oldest first. The first one is reported until the second one is as old as the lag. */
     std::deque<Sample> m_samples;
 };
 
--- a/tests/standins/backend/main.cpp
+++ b/tests/standins/backend/main.cpp
@@ -40,7 +40,7 @@
     app.add_option("--cold-refuses", settings.refusesWhileCold, "refuse all work while cold");
     app.add_option("--clock-offset-ms", options.clockOffsetMs, "added to the server's clock");
     app.add_option("--report-lag-ms", options.reportLagMs, "how old the reported load is");
-    app.add_option("--report-lie", settings.reportLieFactor, "factor on the reported load");
+    app.add_option("--report-lie", settings.loadReportFactor, "factor on the reported load");
     app.add_option("--checks-fence", settings.checksFence, "compare fences with the grants held");
     app.add_option("--observed-limit", settings.observedLimit, "entries in the log of work");
 }
--- a/tests/standins/backend/misbehaviour.cpp
+++ b/tests/standins/backend/misbehaviour.cpp
@@ -6,39 +6,39 @@
 
 namespace {
 
-std::optional<AnswerMode> modeFrom(const Json::Value &body)
+std::optional<AnswerMode> parsedMode(const Json::Value &body)
 {
     const std::string answer = body["answer"].isString() ? body["answer"].asString() : "";
     if (answer == "whole")
-        return Whole{};
+        return CompleteAnswer{};
     if (answer == "cut")
-        return Cut{};
+        return TruncatedAnswer{};
     if (answer == "silent")
-        return Silent{};
+        return NoAnswer{};
     if (answer == "reset")
-        return Reset{};
+        return ConnectionReset{};
     if (answer == "crossed")
-        return Crossed{};
+        return MismatchedAnswer{};
     if (answer == "late" && body["lateMs"].isUInt())
-        return Late{std::chrono::milliseconds{body["lateMs"].asUInt()}};
+        return DelayedAnswer{std::chrono::milliseconds{body["lateMs"].asUInt()}};
 
     return std::nullopt;
 }
 
 } // namespace
 
-AnswerMode Misbehaviour::next()
+AnswerMode Misbehaviour::nextMode()
 {
     if (remaining == 0)
-        return Whole{};
+        return CompleteAnswer{};
 
     --remaining;
     return mode;
 }
 
-std::optional<Misbehaviour> misbehaviourFrom(const Json::Value &body)
+std::optional<Misbehaviour> parsedMisbehaviour(const Json::Value &body)
 {
-    const auto mode = modeFrom(body);
+    const auto mode = parsedMode(body);
     const Json::Value count = body.get("count", 1);
     if (!mode || !count.isUInt64())
         return std::nullopt;
--- a/tests/standins/backend/misbehaviour.h
+++ b/tests/standins/backend/misbehaviour.h
@@ -9,48 +9,49 @@
 
 namespace bulrush::standins {
 
-/** The answer is as it should be. */
-struct Whole
+/** The answer is sent correctly. */
+struct CompleteAnswer
 { };
 
-/** Half of the announced body comes, then the connection closes. */
-struct Cut
+/** Half of the announced body is sent, then the connection closes. */
+struct TruncatedAnswer
 { };
 
-/** No answer comes, and the connection stays open. */
-struct Silent
+/** No answer is sent, and the connection stays open. */
+struct NoAnswer
 { };
 
-/** The connection is reset instead of an answer. */
-struct Reset
+/** The connection is reset instead of being answered. */
+struct ConnectionReset
 { };
 
-/** The answer of another request comes. */
-struct Crossed
+/** The answer to the previous request is sent. */
+struct MismatchedAnswer
 { };
 
-/** The answer comes later than the work was done. */
-struct Late
+/** The answer is sent `delay` after the work is done. */
+struct DelayedAnswer
 {
     std::chrono::milliseconds delay{0};
 };
 
-using AnswerMode = std::variant<Whole, Cut, Silent, Reset, Crossed, Late>;
+using AnswerMode = std::variant<CompleteAnswer, TruncatedAnswer, NoAnswer, ConnectionReset,
+                                MismatchedAnswer, DelayedAnswer>;
 
-/** How the next answers to work go wrong. */
+/** The fault of the next answers to work, and the number of answers that it applies to. */
 struct Misbehaviour
 {
     AnswerMode mode;
     std::uint64_t remaining = 0;
 
-    /** \returns how the next answer is to go, and counts it. */
-    AnswerMode next();
+    /** \returns the mode of the next answer, and counts that answer. */
+    AnswerMode nextMode();
 };
 
 /**
- * \returns what the body of a call of `/_control/behave` asks for, or nothing if it is not
- * understood. Thread safe.
+ * \returns the settings in the body of a `/_control/behave` request, or nothing if the body is
+ * malformed. Thread safe.
  */
-std::optional<Misbehaviour> misbehaviourFrom(const Json::Value &body);
+std::optional<Misbehaviour> parsedMisbehaviour(const Json::Value &body);
 
 } // namespace bulrush::standins
--- a/tests/standins/backend/observedlog.h
+++ b/tests/standins/backend/observedlog.h
@@ -11,7 +11,7 @@
 
 namespace bulrush::standins {
 
-/** One piece of work that was started, as an observer sees it. */
+/** Log entry for one piece of work that was started. */
 struct Observation
 {
     std::string service;
@@ -19,23 +19,23 @@
     std::string fence;
     std::string requestId;
     std::string idempotencyKey;
-    /** In the server's own clock. */
+    /** By the server's own clock, which may have an offset. */
     std::int64_t startMs = 0;
     std::optional<std::int64_t> endMs;
-    /** In the clock that all processes of this host share. */
+    /** By the monotonic clock that all processes of this host share. */
     std::int64_t startHostUs = 0;
     std::optional<std::int64_t> endHostUs;
 };
 
 /**
- * The latest work that was started, bounded. Not thread safe.
+ * A bounded log of the work that was started; drops the oldest entries. Not thread safe.
  */
 class ObservedLog
 {
 public:
     explicit ObservedLog(std::size_t limit);
 
-    /** \returns the entry, for its end to be filled in. */
+    /** \returns the new entry, so that its end can be filled in later. */
     std::shared_ptr<Observation> add(Observation observation);
 
     /** \returns `{"observed": […], "dropped": N}`, oldest first. */
--- a/tests/standins/backend/work.h
+++ b/tests/standins/backend/work.h
@@ -12,7 +12,7 @@
 
 namespace bulrush::standins {
 
-/** One request for work, read from its header fields. */
+/** One request for work, parsed from its header fields and its query. */
 struct Work
 {
     RequestHandle request;
@@ -21,34 +21,34 @@
     std::optional<Fence> fence;
     std::string requestId;
     std::string idempotencyKey;
-    /** In the server's own clock. */
+    /** By the server's own clock, which may have an offset. */
     std::optional<std::int64_t> deadlineMs;
-    /** The query's `serviceMs`, in place of the server's own time for a piece of work. */
+    /** `serviceMs` from the query; overrides the service time of the server. */
     std::optional<std::uint64_t> serviceMs;
-    /** The query has `hold=true`: the work runs until it is released. */
+    /** Whether the query has `hold=true`: the work runs until `/_control/release` is called. */
     bool isHeld = false;
-    /** The query's `answerBytes`: padding in the answer. */
+    /** `answerBytes` from the query: length of the padding in the answer. */
     std::uint64_t answerBytes = 0;
     /** Set once the work has started. */
     std::shared_ptr<Observation> observation;
 };
 
-/** Which header field or part of the query was not understood. */
-struct BadWork
+/** Which header field or query parameter is malformed. */
+struct MalformedWork
 {
     std::string error;
 };
 
 /** \returns the work that \a request asks for. Thread safe. */
-std::variant<Work, BadWork> workFrom(const RequestHandle &request);
+std::variant<Work, MalformedWork> parsedWork(const RequestHandle &request);
 
 /** \returns \a fence as `EPOCH.SEQUENCE`. Thread safe. */
 std::string toText(Fence fence);
 
 /**
- * \returns the answer to \a work that was done: it names the server and the request, and echoes
- * the length and the XXH3 hash of the body. Thread safe.
+ * \returns the answer to \a work that is done. It contains the names of the server and the request,
+ * and the length and the XXH3 hash of the request body. Thread safe.
  */
-Answer doneAnswer(const Work &work, const std::string &server, std::uint64_t run);
+Answer completedAnswer(const Work &work, const std::string &server, std::uint64_t sequenceNumber);
 
 } // namespace bulrush::standins
