--- a/tests/standins/keyed/keyedserver.h
+++ b/tests/standins/keyed/keyedserver.h
@@ -78,6 +78,7 @@
     struct RunRecord
     {
         std::string requestId;
+        /** -1 if the request has no key. */
         std::int64_t key = -1;
         std::int64_t startUs = 0;
         std::int64_t endUs = 0;
--- a/tests/standins/store/rowhistory.h
+++ b/tests/standins/store/rowhistory.h
@@ -56,6 +56,7 @@
     std::map<std::pair<std::string, std::string>, VersionedRow> m_rows;
     std::vector<VersionedRow> m_changes;
     std::uint64_t m_version = 0;
+    /** The log lacks the changes up to this version. */
     std::uint64_t m_historyStartVersion = 0;
 };
 
--- a/tests/standins_test/test_backendstandin.cpp
+++ b/tests/standins_test/test_backendstandin.cpp
@@ -22,7 +22,7 @@
 
 constexpr const char *farFutureDeadline = "9000000000000000";
 
-Arguments withEndWithParent(Arguments arguments)
+Arguments addEndWithParentFlag(Arguments arguments)
 {
     arguments.emplace_back("--end-with-parent");
     return arguments;
@@ -32,7 +32,7 @@
 struct Backend
 {
     explicit Backend(const Arguments &arguments = {})
-        : process(BULRUSH_BINARY_DIR "/backend-standin", withEndWithParent(arguments))
+        : process(BULRUSH_BINARY_DIR "/backend-standin", addEndWithParentFlag(arguments))
     { }
 
     std::string url(const std::string &path) const
@@ -165,7 +165,7 @@
     BOOST_TEST(backend.observed()["observed"].size() == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(splits_ranges)
+BOOST_AUTO_TEST_CASE(revoke_keeps_ranges_with_higher_fences)
 {
     Backend backend{{"--checks-fence", "true"}};
     backend.control("grant", grantOrder("1.1"));
