--- a/tests/standins/backend/backendserver.cpp
+++ b/tests/standins/backend/backendserver.cpp
@@ -361,7 +361,7 @@
 {
     const Answer previous = std::exchange(m_previousAnswer, complete);
     const Overloaded send{
-        [&](const CompleteAnswer &) { Listener::send(request, complete); },
+        [&](const NormalAnswer &) { Listener::send(request, complete); },
         [&](const TruncatedAnswer &) { m_listener.sendTruncated(request, complete); },
         [&](const NoAnswer &) {},
         [&](const ConnectionReset &) { m_listener.resetConnection(request); },
--- a/tests/standins/backend/misbehaviour.cpp
+++ b/tests/standins/backend/misbehaviour.cpp
@@ -10,7 +10,7 @@
 {
     const std::string answer = body["answer"].isString() ? body["answer"].asString() : "";
     if (answer == "whole")
-        return CompleteAnswer{};
+        return NormalAnswer{};
     if (answer == "cut")
         return TruncatedAnswer{};
     if (answer == "silent")
@@ -30,7 +30,7 @@
 AnswerMode Misbehaviour::nextMode()
 {
     if (remaining == 0)
-        return CompleteAnswer{};
+        return NormalAnswer{};
 
     --remaining;
     return mode;
--- a/tests/standins/backend/misbehaviour.h
+++ b/tests/standins/backend/misbehaviour.h
@@ -10,7 +10,7 @@
 namespace bulrush::standins {
 
 /** The answer is sent correctly. */
-struct CompleteAnswer
+struct NormalAnswer
 { };
 
 /** Half of the announced body is sent, then the connection closes. */
@@ -35,7 +35,7 @@
     std::chrono::milliseconds delay{0};
 };
 
-using AnswerMode = std::variant<CompleteAnswer, TruncatedAnswer, NoAnswer, ConnectionReset,
+using AnswerMode = std::variant<NormalAnswer, TruncatedAnswer, NoAnswer, ConnectionReset,
                                 MismatchedAnswer, DelayedAnswer>;
 
 /** The fault of the next answers to work, and the number of answers that it applies to. */
