--- a/tests/standins/keyed/keyedserver.cpp
+++ b/tests/standins/keyed/keyedserver.cpp
@@ -36,12 +36,12 @@
     return request->header().get_field_or(name, std::string{});
 }
 
-std::optional<KeyPlace> parsedShardKey(const RequestHandle &request)
+std::optional<KeyPosition> parsedShardKey(const RequestHandle &request)
 {
     const std::string text = headerField(request, shardKeyHeader);
-    KeyPlace key = 0;
+    KeyPosition key = 0;
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), key);
-    if (text.empty() || error != std::errc{} || key >= keyPlaces)
+    if (text.empty() || error != std::errc{} || key >= keyPositionCount)
         return std::nullopt;
     return key;
 }
@@ -71,7 +71,7 @@
 KeyedServer::KeyedServer(asio::io_context &loop, KeyedSettings settings)
     : m_loop(loop)
     , m_settings(std::move(settings))
-    , m_leases(keyPlaces, m_settings.clockSlowdownPpm)
+    , m_leases(keyPositionCount, m_settings.clockSlowdownPpm)
     , m_listener(std::make_unique<Listener>(
           loop, m_settings.listener, [this](const RequestHandle &request) { serve(request); },
           [](ConnectionLimiter::ConnectionId) {}))
--- a/tests/standins/keyed/keyedserver.h
+++ b/tests/standins/keyed/keyedserver.h
@@ -71,7 +71,7 @@
     {
         RequestHandle request;
         std::string requestId;
-        std::optional<KeyPlace> key;
+        std::optional<KeyPosition> key;
         std::size_t runIndex = 0;
     };
 
--- a/tests/standins/keyed/leasetable.cpp
+++ b/tests/standins/keyed/leasetable.cpp
@@ -5,7 +5,7 @@
 namespace bulrush::standins {
 
 LeaseTable::LeaseTable(std::size_t cells, std::int64_t clockSlowdownPpm)
-    : m_keysPerCell(keyPlaces / static_cast<KeyPlace>(cells))
+    : m_keysPerCell(keyPositionCount / static_cast<KeyPosition>(cells))
     , m_clockSlowdownPpm(clockSlowdownPpm)
     , m_cells(cells)
 { }
@@ -47,15 +47,15 @@
     return m_cells[cell].fence;
 }
 
-KeyPlace LeaseTable::keyOf(std::size_t cell) const
+KeyPosition LeaseTable::keyOf(std::size_t cell) const
 {
-    return static_cast<KeyPlace>(cell) * m_keysPerCell + m_keysPerCell / 2;
+    return static_cast<KeyPosition>(cell) * m_keysPerCell + m_keysPerCell / 2;
 }
 
 std::pair<std::size_t, std::size_t> LeaseTable::cellsOf(const KeyRange &range) const
 {
     // Rounds up to the next key that a cell stores.
-    const auto cellFrom = [this](KeyPlace place) -> std::size_t {
+    const auto cellFrom = [this](KeyPosition place) -> std::size_t {
         return (place + m_keysPerCell - 1 - m_keysPerCell / 2) / m_keysPerCell;
     };
     return {cellFrom(range.first), cellFrom(range.last + 1)};
--- a/tests/standins/keyed/leasetable.h
+++ b/tests/standins/keyed/leasetable.h
@@ -22,8 +22,8 @@
 public:
     /**
      * Stores only \a cells evenly spaced keys, each of which represents the keys around it: a small
-     * number makes searches fast, and keyPlaces makes the table exact. \a clockSlowdownPpm is how
-     * much slower than true time the server's clock runs, in parts per million.
+     * number makes searches fast, and keyPositionCount makes the table exact. \a clockSlowdownPpm
+     * is how much slower than true time the server's clock runs, in parts per million.
      */
     explicit LeaseTable(std::size_t cells, std::int64_t clockSlowdownPpm = 0);
 
@@ -43,7 +43,7 @@
     std::uint64_t fenceOf(std::size_t cell) const;
 
     /** \returns the key that \a cell stores. */
-    KeyPlace keyOf(std::size_t cell) const;
+    KeyPosition keyOf(std::size_t cell) const;
 
     /** \returns the cells whose keys lie in \a range: the first, and one past the last. */
     std::pair<std::size_t, std::size_t> cellsOf(const KeyRange &range) const;
@@ -56,7 +56,7 @@
         Instant heldUntil;
     };
 
-    KeyPlace m_keysPerCell;
+    KeyPosition m_keysPerCell;
     std::int64_t m_clockSlowdownPpm;
     std::vector<Cell> m_cells;
 };
