--- a/tests/standins/store/main.cpp
+++ b/tests/standins/store/main.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-void open(StoreServer &server, const std::string &text)
+void openListener(StoreServer &server, const std::string &text)
 {
     const std::size_t equals = text.find('=');
     if (equals == std::string::npos)
@@ -34,12 +34,12 @@
     app.add_option("--listen", listeners, "NAME=IP:PORT; port 0 lets the system choose")
         ->required();
     CLI11_PARSE(app, argc, argv);
-    endWithParent();
+    terminateWithParent();
     try {
         asio::io_context loop{1};
         StoreServer server{loop};
         for (const std::string &listener : listeners)
-            open(server, listener);
+            openListener(server, listener);
         runUntilSignal(loop);
     } catch (const std::exception &error) {
         std::cerr << "store-standin: " << error.what() << '\n';
