--- a/src/bulrushswitchd/attempt.cpp
+++ b/src/bulrushswitchd/attempt.cpp
@@ -58,8 +58,8 @@
                                                        : FailurePoint::AnswerCut;
 }
 
-/** \returns the failure point that another daemon named, or nothing. */
-std::optional<FailurePoint> failurePointNamed(const std::string &name)
+/** \returns the failure point \a name as reported by another daemon, or nothing. */
+std::optional<FailurePoint> failurePointByName(const std::string &name)
 {
     for (const FailurePoint point : allFailurePoints()) {
         if (nameOf(point) == name)
@@ -68,8 +68,8 @@
     return std::nullopt;
 }
 
-/** What the end says of the server's load. */
-WorkEnd workEndOf(const io::ExchangeEnd &end, std::optional<FailurePoint> failure)
+/** Classifies the result of an exchange for the server's load accounting. */
+WorkEnd toWorkEnd(const io::ExchangeEnd &end, std::optional<FailurePoint> failure)
 {
     if (!failure || failure == FailurePoint::AnswerWithoutRan)
         return WorkEnd::Answered;
@@ -90,9 +90,9 @@
     }
 }
 
-AttemptEnd attemptEndOf(const io::ExchangeEnd &end)
+AttemptResult toAttemptResult(const io::ExchangeEnd &end)
 {
-    AttemptEnd result;
+    AttemptResult result;
     result.failure = bulrush::failurePointOf(end);
     result.hasBegunAnswer = end.hasBegunAnswer;
     result.isBodyIntact = end.isBodyIntact;
@@ -102,23 +102,23 @@
     return result;
 }
 
-void addKeyFields(std::vector<io::HttpHeader> &headers, const WorkOrder &order)
+void addKeyHeaders(std::vector<io::HttpHeader> &headers, const AttemptSpec &spec)
 {
-    headers.push_back({serverfields::service, order.server->service.value()});
-    if (order.keyed)
-        headers.push_back({serverfields::key, order.keyed->key});
-    if (!order.idempotencyKey.empty())
-        headers.push_back({serverfields::idempotencyKey, order.idempotencyKey});
+    headers.push_back({serverfields::service, spec.server->service.value()});
+    if (spec.keyRouting)
+        headers.push_back({serverfields::key, spec.keyRouting->key});
+    if (!spec.idempotencyKey.empty())
+        headers.push_back({serverfields::idempotencyKey, spec.idempotencyKey});
 }
 
 } // namespace
 
-std::string textOf(const Fence &fence)
+std::string formatFence(const Fence &fence)
 {
     return std::to_string(fence.epoch) + '.' + std::to_string(fence.sequence);
 }
 
-std::optional<Fence> fenceOf(std::string_view text)
+std::optional<Fence> parseFence(std::string_view text)
 {
     Fence fence;
     const char *const end = text.data() + text.size();
@@ -137,7 +137,7 @@
         return std::nullopt;
     if (end.error != io::TransportError::ServerRefused)
         return failurePointOf(end.stage, end.error);
-    if (const auto named = failurePointNamed(end.reason))
+    if (const auto named = failurePointByName(end.reason))
         return named;
 
     const Outcome outcome =
@@ -147,47 +147,48 @@
     return FailurePoint::AnswerWithoutRan;
 }
 
-ServerAttempt::ServerAttempt(TrafficContext &context, CallerEnds ends, WorkOrder order,
+ServerAttempt::ServerAttempt(TrafficContext &context, CallerStreams caller, AttemptSpec spec,
                              AttemptHandler handler)
     : m_context(context)
-    , m_ends(std::move(ends))
-    , m_order(std::move(order))
+    , m_caller(std::move(caller))
+    , m_spec(std::move(spec))
     , m_handler(std::move(handler))
-    , m_lane(*context.lanes.at(m_order.server->name))
+    , m_queue(*context.serverQueues.at(m_spec.server->name))
 { }
 
 void ServerAttempt::start()
 {
     const auto self = shared_from_this();
-    m_work = m_lane.submit(
-        m_order.policy, !m_ends.request->isBodyWhole(), m_context.loop,
-        [self](const LaneDecision &decision) { self->decided(decision); }, io::hostNow());
+    m_work = m_queue.submit(
+        m_spec.policy, !m_caller.request->isBodyWhole(), m_context.loop,
+        [self](const QueueDecision &decision) { self->handleQueueDecision(decision); },
+        io::hostNow());
 }
 
 void ServerAttempt::abandon()
 {
     m_handler = nullptr;
     if (!m_isSent) {
-        m_lane.cancel(m_work);
+        m_queue.cancel(m_work);
         return;
     }
     m_exchange.reset();
     if (m_flight)
         m_context.gate.abandonFlight(*std::exchange(m_flight, std::nullopt));
-    m_lane.ended(m_work, WorkEnd::Lost, io::hostNow());
+    m_queue.complete(m_work, WorkEnd::Lost, io::hostNow());
 }
 
-void ServerAttempt::decided(const LaneDecision &decision)
+void ServerAttempt::handleQueueDecision(const QueueDecision &decision)
 {
     if (const auto *refused = std::get_if<RefuseWork>(&decision)) {
-        AttemptEnd end;
+        AttemptResult end;
         end.failure = refused->reason;
         end.retryAfter = refused->retryAfter;
         finish(end);
         return;
     }
     if (!m_handler) {
-        m_lane.ended(m_work, WorkEnd::NotSent, io::hostNow());
+        m_queue.complete(m_work, WorkEnd::NotSent, io::hostNow());
         return;
     }
     send();
@@ -196,15 +197,15 @@
 void ServerAttempt::send()
 {
     const Instant now = io::hostNow();
-    std::optional<FailurePoint> refusal = passGate(now);
+    std::optional<FailurePoint> refusal = admitFlight(now);
     const auto proxyTarget = refusal ? std::nullopt : target(now);
     if (!refusal && !proxyTarget)
         refusal = FailurePoint::ServerSuspected;
     if (refusal) {
         if (m_flight)
             m_context.gate.endFlight(*std::exchange(m_flight, std::nullopt));
-        m_lane.ended(m_work, WorkEnd::NotSent, now);
-        AttemptEnd end;
+        m_queue.complete(m_work, WorkEnd::NotSent, now);
+        AttemptResult end;
         end.failure = refusal;
         finish(end);
         return;
@@ -213,65 +214,67 @@
     m_isSent = true;
     m_context.counters.add(Counter::AttemptsSent);
     m_exchange = std::make_shared<io::ProxyExchange>(
-        m_context.http, m_ends.request, m_ends.writer, *proxyTarget,
-        [self = shared_from_this()](const io::ExchangeEnd &end) { self->exchanged(end); });
+        m_context.http, m_caller.request, m_caller.writer, *proxyTarget,
+        [self = shared_from_this()](const io::ExchangeEnd &end) {
+            self->handleExchangeResult(end);
+        });
     m_exchange->start();
 }
 
-std::optional<FailurePoint> ServerAttempt::passGate(Instant now)
+std::optional<FailurePoint> ServerAttempt::admitFlight(Instant now)
 {
-    if (m_order.policy.deadline <= now)
+    if (m_spec.policy.deadline <= now)
         return FailurePoint::DeadlineBeforeDispatch;
-    if (!m_order.keyed)
+    if (!m_spec.keyRouting)
         return std::nullopt;
 
-    const DispatchQuery query{m_order.server->service, m_order.keyed->hash, m_order.server->name,
-                              m_order.policy.deadline, m_order.keyed->routedBy};
-    const GateDecision decision = m_context.gate.startFlight(m_order.keyed->domain, query, now);
+    const DispatchQuery query{m_spec.server->service, m_spec.keyRouting->hash, m_spec.server->name,
+                              m_spec.policy.deadline, m_spec.keyRouting->assignmentVersion};
+    const GateDecision decision = m_context.gate.startFlight(m_spec.keyRouting->domain, query, now);
     if (const auto *refusal = std::get_if<DispatchRefusal>(&decision))
         return failurePointOf(*refusal);
-    m_flight = std::get<GatedFlight>(decision);
-    m_context.loads.add(m_order.keyed->domain, query.service, m_order.keyed->hash, now);
+    m_flight = std::get<AdmittedFlight>(decision);
+    m_context.loads.add(m_spec.keyRouting->domain, query.service, m_spec.keyRouting->hash, now);
     return std::nullopt;
 }
 
 std::optional<io::ProxyTarget> ServerAttempt::target(Instant now) const
 {
-    const ServerReading reading = m_context.board.reading(m_order.server->name);
-    if (!reading.clock)
+    const ServerStatus status = m_context.serverStatuses.status(m_spec.server->name);
+    if (!status.clock)
         return std::nullopt;
 
     const Instant latestStart =
-        m_flight ? m_flight->allowed.latestDeadline : m_order.policy.deadline;
+        m_flight ? m_flight->allowed.latestDeadline : m_spec.policy.deadline;
     const Duration deadline =
-        serverDeadline(*reading.clock, latestStart, m_context.settings.leases.driftPpm);
+        serverDeadline(*status.clock, latestStart, m_context.settings.leases.driftPpm);
     io::ProxyTarget result;
-    result.origin = "http://" + toString(m_order.server->address);
-    result.requestId = m_order.requestId;
-    result.timeout = m_order.policy.deadline - now;
-    result.isFreshConnection = !m_order.policy.isIdempotent;
-    result.passesOwnFields = m_order.isRelayed;
-    result.captureLimit = m_order.captureLimit;
-    addKeyFields(result.addedHeaders, m_order);
+    result.origin = "http://" + toString(m_spec.server->address);
+    result.requestId = m_spec.requestId;
+    result.timeout = m_spec.policy.deadline - now;
+    result.isFreshConnection = !m_spec.policy.isIdempotent;
+    result.passesOwnFields = m_spec.isRelayed;
+    result.captureLimit = m_spec.captureLimit;
+    addKeyHeaders(result.addedHeaders, m_spec);
     if (m_flight)
-        result.addedHeaders.push_back({serverfields::fence, textOf(m_flight->allowed.fence)});
+        result.addedHeaders.push_back({serverfields::fence, formatFence(m_flight->allowed.fence)});
     result.addedHeaders.push_back({serverfields::deadline, inMilliseconds(deadline)});
     return result;
 }
 
-void ServerAttempt::exchanged(const io::ExchangeEnd &end)
+void ServerAttempt::handleExchangeResult(const io::ExchangeEnd &end)
 {
     endFlight(end);
-    finish(attemptEndOf(end));
+    finish(toAttemptResult(end));
 }
 
 void ServerAttempt::endFlight(const io::ExchangeEnd &end)
 {
     const auto failure = failurePointOf(end);
-    m_lane.ended(m_work, workEndOf(end, failure), io::hostNow());
+    m_queue.complete(m_work, toWorkEnd(end, failure), io::hostNow());
     if (!m_flight)
         return;
-    // Work that the server has answered, or that never reached it, is over for certain.
+    // A request that the server has answered, or that never reached it, no longer runs for certain.
     if (!failure || isCertainlyNotRun(*failure))
         m_context.gate.endFlight(*m_flight);
     else
@@ -279,17 +282,17 @@
     m_flight.reset();
 }
 
-void ServerAttempt::finish(const AttemptEnd &end)
+void ServerAttempt::finish(const AttemptResult &end)
 {
     if (const auto handler = std::exchange(m_handler, nullptr))
         handler(end);
 }
 
-RelayAttempt::RelayAttempt(TrafficContext &context, CallerEnds ends, WorkOrder order,
+RelayAttempt::RelayAttempt(TrafficContext &context, CallerStreams caller, AttemptSpec spec,
                            const PeerRoute &peer, AttemptHandler handler)
     : m_context(context)
-    , m_ends(std::move(ends))
-    , m_order(std::move(order))
+    , m_caller(std::move(caller))
+    , m_spec(std::move(spec))
     , m_relayAddress(peer.relayAddress)
     , m_handler(std::move(handler))
 { }
@@ -298,10 +301,10 @@
 {
     m_context.counters.add(Counter::RequestsRelayed);
     m_exchange = std::make_shared<io::ProxyExchange>(
-        m_context.http, m_ends.request, m_ends.writer, target(io::hostNow()),
+        m_context.http, m_caller.request, m_caller.writer, target(io::hostNow()),
         [self = shared_from_this()](const io::ExchangeEnd &end) {
             if (const auto handler = std::exchange(self->m_handler, nullptr))
-                handler(attemptEndOf(end));
+                handler(toAttemptResult(end));
         });
     m_exchange->start();
 }
@@ -316,20 +319,21 @@
 {
     io::ProxyTarget result;
     result.origin = "http://" + m_relayAddress;
-    result.requestId = m_order.requestId;
-    result.timeout = m_order.policy.deadline - now;
-    result.isFreshConnection = !m_order.policy.isIdempotent;
-    result.captureLimit = m_order.captureLimit;
+    result.requestId = m_spec.requestId;
+    result.timeout = m_spec.policy.deadline - now;
+    result.isFreshConnection = !m_spec.policy.isIdempotent;
+    result.captureLimit = m_spec.captureLimit;
     auto &headers = result.addedHeaders;
-    addKeyFields(headers, m_order);
-    headers.push_back({relayfields::server, m_order.server->name.value()});
+    addKeyHeaders(headers, m_spec);
+    headers.push_back({relayfields::server, m_spec.server->name.value()});
     headers.push_back({relayfields::timeout, inMilliseconds(result.timeout)});
     headers.push_back({relayfields::priority,
-                       m_order.policy.requestClass == RequestClass::Priority ? "yes" : "no"});
-    headers.push_back({relayfields::idempotent, m_order.policy.isIdempotent ? "yes" : "no"});
-    if (m_order.keyed) {
-        headers.push_back({relayfields::domain, m_order.keyed->domain.value()});
-        headers.push_back({relayfields::routedBy, textOf(m_order.keyed->routedBy)});
+                       m_spec.policy.requestClass == RequestClass::Priority ? "yes" : "no"});
+    headers.push_back({relayfields::idempotent, m_spec.policy.isIdempotent ? "yes" : "no"});
+    if (m_spec.keyRouting) {
+        headers.push_back({relayfields::domain, m_spec.keyRouting->domain.value()});
+        headers.push_back(
+            {relayfields::routedBy, formatFence(m_spec.keyRouting->assignmentVersion)});
     }
     return result;
 }
--- a/src/bulrushswitchd/attempt.h
+++ b/src/bulrushswitchd/attempt.h
@@ -3,10 +3,10 @@
 #include "connection/incomingrequest.h"
 #include "connection/proxyexchange.h"
 #include "connection/responsewriter.h"
+#include "dispatchgate.h"
 #include "request/outcome.h"
 #include "request/requestpolicy.h"
-#include "rightgate.h"
-#include "serverlane.h"
+#include "serverqueue.h"
 #include "version/slice.h"
 
 #include <functional>
@@ -20,124 +20,128 @@
 struct PeerRoute;
 struct TrafficContext;
 
-/** The key of work for a service that is divided by key, and what it was routed by. */
-struct KeyedWork
+/** The key of a request for a service that is divided by key, and its routing data. */
+struct KeyRouting
 {
     DomainName domain;
     std::string key;
     KeyHash hash = 0;
-    Fence routedBy;
+    /** Version of the assignment by which the request is routed. */
+    Fence assignmentVersion;
 };
 
-/** One piece of work on its way to a backend server. */
-struct WorkOrder
+/** Parameters of one attempt to run a request at a backend server. */
+struct AttemptSpec
 {
     const BackendServer *server = nullptr;
-    std::optional<KeyedWork> keyed;
+    std::optional<KeyRouting> keyRouting;
     RequestPolicy policy;
-    /** Id of this attempt. */
+    /** Unique for each attempt. */
     std::string requestId;
     std::string idempotencyKey;
-    /** Bytes of the answer to keep for a caller that asks again; 0 keeps none. */
+    /** Maximum bytes of the answer to store for repeated requests; 0 stores none. */
     std::size_t captureLimit = 0;
-    /** The request came from another daemon, which wants the answer's X-Bulrush fields. */
+    /** Another daemon relayed the request; it needs the X-Bulrush fields of the answer. */
     bool isRelayed = false;
 };
 
-/** How an attempt ended. */
-struct AttemptEnd
+/** Result of an attempt. */
+struct AttemptResult
 {
-    /** Nothing if the whole answer went to the caller. */
+    /** Empty if the complete answer was sent to the caller. */
     std::optional<FailurePoint> failure;
     bool hasBegunAnswer = false;
     bool isBodyIntact = true;
-    /** Status of the answer that was passed on; 0 if none was. */
+    /** HTTP status of the answer that was relayed; 0 if none was. */
     int status = 0;
-    /** What was kept of the answer. */
+    /** The stored part of the answer; see AttemptSpec::captureLimit. */
     std::string capturedBody = {};
     std::string contentType = {};
     Duration retryAfter = std::chrono::seconds{1};
 };
 
-using AttemptHandler = std::function<void(const AttemptEnd &)>;
+using AttemptHandler = std::function<void(const AttemptResult &)>;
 
-/** The two ends of a caller's request that an attempt works between. */
-struct CallerEnds
+/** A caller's request and the writer for its answer. */
+struct CallerStreams
 {
     std::shared_ptr<io::IncomingRequest> request;
     std::shared_ptr<io::ResponseWriter> writer;
 };
 
 /**
- * Sends work to a backend server that this daemon attends: waits for a slot, checks the routing
- * lease, passes the request on under the fence and the deadline, and ends the flight.
+ * Sends a request to a backend server that this daemon manages: waits for a slot, checks the
+ * routing lease, forwards the request with the fencing token and the deadline, and then removes it
+ * from the requests in flight.
  *
  * Used on its traffic thread, and created with std::make_shared.
  */
 class ServerAttempt : public std::enable_shared_from_this<ServerAttempt>
 {
 public:
-    ServerAttempt(TrafficContext &context, CallerEnds ends, WorkOrder order,
+    ServerAttempt(TrafficContext &context, CallerStreams caller, AttemptSpec spec,
                   AttemptHandler handler);
 
-    /** Starts; the handler is called once, not from within this call. */
+    /** Starts the attempt. The handler is called once, never from within this call. */
     void start();
 
-    /** Ends it because the caller has gone; the handler is not called any more. */
+    /** Cancels the attempt because the caller has disconnected. The handler is not called
+     * afterwards. */
     void abandon();
 
 private:
-    void decided(const LaneDecision &decision);
+    void handleQueueDecision(const QueueDecision &decision);
     void send();
-    std::optional<FailurePoint> passGate(Instant now);
+    std::optional<FailurePoint> admitFlight(Instant now);
     std::optional<io::ProxyTarget> target(Instant now) const;
-    void exchanged(const io::ExchangeEnd &end);
+    void handleExchangeResult(const io::ExchangeEnd &end);
     void endFlight(const io::ExchangeEnd &end);
-    void finish(const AttemptEnd &end);
+    void finish(const AttemptResult &end);
 
     TrafficContext &m_context;
-    CallerEnds m_ends;
-    WorkOrder m_order;
+    CallerStreams m_caller;
+    AttemptSpec m_spec;
     AttemptHandler m_handler;
-    ServerLane &m_lane;
+    ServerQueue &m_queue;
     WorkId m_work = 0;
     bool m_isSent = false;
-    std::optional<GatedFlight> m_flight;
+    std::optional<AdmittedFlight> m_flight;
     std::shared_ptr<io::ProxyExchange> m_exchange;
 };
 
 /**
- * Relays work to the daemon that attends the server.
+ * Relays a request to the daemon that manages the server.
  *
  * Used on its traffic thread, and created with std::make_shared.
  */
 class RelayAttempt : public std::enable_shared_from_this<RelayAttempt>
 {
 public:
-    RelayAttempt(TrafficContext &context, CallerEnds ends, WorkOrder order, const PeerRoute &peer,
-                 AttemptHandler handler);
+    RelayAttempt(TrafficContext &context, CallerStreams caller, AttemptSpec spec,
+                 const PeerRoute &peer, AttemptHandler handler);
 
-    /** Starts; the handler is called once, not from within this call. */
+    /** Starts the attempt. The handler is called once, never from within this call. */
     void start();
 
-    /** Ends it because the caller has gone; the handler is not called any more. */
+    /** Cancels the attempt because the caller has disconnected. The handler is not called
+     * afterwards. */
     void abandon();
 
 private:
     io::ProxyTarget target(Instant now) const;
 
     TrafficContext &m_context;
-    CallerEnds m_ends;
-    WorkOrder m_order;
+    CallerStreams m_caller;
+    AttemptSpec m_spec;
     std::string m_relayAddress;
     AttemptHandler m_handler;
     std::shared_ptr<io::ProxyExchange> m_exchange;
 };
 
-/** \returns where an exchange failed, or nothing if its whole answer went to the caller. */
+/** \returns where an exchange failed, or nothing if its complete answer was sent to the caller. */
 std::optional<FailurePoint> failurePointOf(const io::ExchangeEnd &end);
 
-/** Fields between daemons that relay requests, beside those of the backend servers' interface. */
+/** Header fields of relayed requests, in addition to those of the backend servers' interface. */
 namespace relayfields {
 constexpr const char *server = "X-Bulrush-Server";
 constexpr const char *domain = "X-Bulrush-Domain";
@@ -147,7 +151,7 @@
 constexpr const char *idempotent = "X-Bulrush-Idempotent";
 } // namespace relayfields
 
-/** Fields of the backend servers' interface. */
+/** Header fields of the backend servers' interface. */
 namespace serverfields {
 constexpr const char *service = "X-Bulrush-Service";
 constexpr const char *key = "X-Bulrush-Key";
@@ -160,9 +164,9 @@
 } // namespace serverfields
 
 /** \returns "EPOCH.SEQUENCE". */
-std::string textOf(const Fence &fence);
+std::string formatFence(const Fence &fence);
 
-/** \returns the fence that textOf() wrote, or nothing. */
-std::optional<Fence> fenceOf(std::string_view text);
+/** Parses the output of formatFence(). \returns nothing if \a text is malformed. */
+std::optional<Fence> parseFence(std::string_view text);
 
 } // namespace bulrush
--- a/src/bulrushswitchd/callerexchange.cpp
+++ b/src/bulrushswitchd/callerexchange.cpp
@@ -16,28 +16,28 @@
 
 namespace {
 
-const char *const organisationField = "X-Bulrush-Organisation";
-const char *const idempotencyField = "Idempotency-Key";
+const char *const organisationHeader = "X-Bulrush-Organisation";
+const char *const idempotencyKeyHeader = "Idempotency-Key";
 
-constexpr std::size_t longestKey = 1024;
+constexpr std::size_t maxKeyBytes = 1024;
 
-/** Pause before another attempt that waits for a new owner of the key. */
-constexpr Duration ownerWait = std::chrono::milliseconds{20};
+/** Delay before a retry; gives a key whose owner cannot serve it time to get another one. */
+constexpr Duration ownerRetryDelay = std::chrono::milliseconds{20};
 
-/** Longest answer that is kept for a caller that asks again. */
-constexpr std::size_t storedAnswerLimit = 16384;
+/** Maximum size of an answer that is stored for a repeated request. */
+constexpr std::size_t maxStoredAnswerBytes = 16384;
 
-/** Attempts that waited for an owner, and so cost no server anything. */
-constexpr int ownerWaitLimit = 250;
+/** Maximum number of attempts while waiting for an owner; they put no load on servers. */
+constexpr int maxOwnerWaitAttempts = 250;
 
-std::string_view fieldOf(const io::RequestHead &head, std::string_view name)
+std::string_view headerValue(const io::RequestHead &head, std::string_view name)
 {
     const io::HttpHeader *field = io::findField(head.headers, name);
     return field ? std::string_view{field->value} : std::string_view{};
 }
 
-std::variant<std::string, Rejection> keyOf(const KeySource &source, const io::RequestHead &head,
-                                           const PathSegments &path)
+std::variant<std::string, Rejection>
+extractKey(const KeySource &source, const io::RequestHead &head, const PathSegments &path)
 {
     if (std::holds_alternative<NoKey>(source))
         return std::string{};
@@ -45,7 +45,7 @@
     std::string key;
     std::string place;
     if (const auto *header = std::get_if<KeyFromHeader>(&source)) {
-        key = fieldOf(head, header->name);
+        key = headerValue(head, header->name);
         place = "header " + header->name;
     } else {
         const std::size_t segment = std::get<KeyFromPath>(source).segment;
@@ -55,12 +55,12 @@
     }
     if (key.empty())
         return Rejection{400, place + ": the key is missing; send it there"};
-    if (key.size() > longestKey)
+    if (key.size() > maxKeyBytes)
         return Rejection{400, place + ": the key is longer than 1024 bytes; send a shorter one"};
     return key;
 }
 
-std::string knownOrganisations(const RoutingView &view)
+std::string missingContractHint(const RoutingView &view)
 {
     return view.contracts().empty() ? "no contract is in force yet"
                                     : "name an organisation that has a contract";
@@ -75,12 +75,12 @@
     return response;
 }
 
-std::string storedAnswerOf(const AttemptEnd &end)
+std::string storedAnswerOf(const AttemptResult &result)
 {
     Json::Value json{Json::objectValue};
-    json["status"] = end.status;
-    json["contentType"] = end.contentType;
-    json["body"] = end.capturedBody;
+    json["status"] = result.status;
+    json["contentType"] = result.contentType;
+    json["body"] = result.capturedBody;
     return io::compactText(json);
 }
 
@@ -95,7 +95,7 @@
     return status >= firstCallerError ? ServiceOutcome::CallerError : ServiceOutcome::Answered;
 }
 
-bool waitsForOwner(FailurePoint point)
+bool mayWaitForOwner(FailurePoint point)
 {
     return point == FailurePoint::NoRoutingLease || point == FailurePoint::NoServer
         || point == FailurePoint::ServerNotOwner || point == FailurePoint::ServerFence
@@ -113,15 +113,15 @@
                          "path: not absolute, or with an escape or dot segment that servers "
                          "may read in two ways; send it plain"};
 
-    const std::string_view organisation = fieldOf(head, organisationField);
+    const std::string_view organisation = headerValue(head, organisationHeader);
     ResolvedRequest resolved;
     resolved.contract = organisation.empty()
         ? view.onlyContract()
         : view.contract(OrganisationName{std::string{organisation}});
     if (!resolved.contract)
         return Rejection{403,
-                         std::string{organisationField} + ": no such organisation; "
-                             + knownOrganisations(view)};
+                         std::string{organisationHeader} + ": no such organisation; "
+                             + missingContractHint(view)};
 
     resolved.operation = operationFor(*resolved.contract, head.method, *path);
     if (!resolved.operation)
@@ -135,19 +135,19 @@
                              + " bytes that the contract allows for "
                              + resolved.operation->name.value()};
 
-    auto key = keyOf(resolved.operation->key, head, *path);
+    auto key = extractKey(resolved.operation->key, head, *path);
     if (auto *rejection = std::get_if<Rejection>(&key))
         return std::move(*rejection);
     resolved.key = std::get<std::string>(std::move(key));
-    resolved.idempotencyKey = fieldOf(head, idempotencyField);
-    if (resolved.idempotencyKey.size() > longestKey)
-        return Rejection{400, std::string{idempotencyField} + ": longer than 1024 bytes"};
+    resolved.idempotencyKey = headerValue(head, idempotencyKeyHeader);
+    if (resolved.idempotencyKey.size() > maxKeyBytes)
+        return Rejection{400, std::string{idempotencyKeyHeader} + ": longer than 1024 bytes"};
     return resolved;
 }
 
-CallerExchange::CallerExchange(TrafficContext &context, CallerEnds ends)
+CallerExchange::CallerExchange(TrafficContext &context, CallerStreams caller)
     : m_context(context)
-    , m_ends(std::move(ends))
+    , m_caller(std::move(caller))
     , m_view(context.view.view())
 {
     ++m_context.openRequests;
@@ -160,7 +160,8 @@
 
 void CallerExchange::start()
 {
-    auto resolved = resolveRequest(*m_view, m_ends.request->head(), m_ends.request->bodyLength());
+    auto resolved =
+        resolveRequest(*m_view, m_caller.request->head(), m_caller.request->bodyLength());
     if (const auto *rejection = std::get_if<Rejection>(&resolved)) {
         reject(*rejection);
         return;
@@ -182,7 +183,7 @@
         refuse(FailurePoint::DaemonDraining, std::chrono::seconds{1});
         return;
     }
-    if (!isWithinLimits())
+    if (!admitByLimits())
         return;
     m_context.retries.recordFirstAttempt();
     if (needsClaim())
@@ -191,7 +192,7 @@
         attempt();
 }
 
-bool CallerExchange::isWithinLimits()
+bool CallerExchange::admitByLimits()
 {
     auto admission = m_context.limits.admit(m_resolved.contract->organisation, m_startedAt);
     if (auto *ticket = std::get_if<LimitTicket>(&admission)) {
@@ -217,33 +218,35 @@
     request.self = m_context.self.incarnation;
     request.attempt = AttemptId{m_id};
     request.lastDispatch = m_policy.deadline;
-    m_claim = m_context.claims.claim(
-        m_resolved.contract->organisation.value() + "/" + m_resolved.idempotencyKey,
-        std::move(request), m_context.loop,
-        [self = shared_from_this()](const ClaimVerdict &verdict) { self->claimed(verdict); });
+    m_claim = m_context.claims.claim(m_resolved.contract->organisation.value() + "/"
+                                         + m_resolved.idempotencyKey,
+                                     std::move(request), m_context.loop,
+                                     [self = shared_from_this()](const ClaimVerdict &verdict) {
+                                         self->handleClaimVerdict(verdict);
+                                     });
     m_context.timers.after(m_resolved.operation->deadline, [weak = weak_from_this()](Instant) {
         const auto self = weak.lock();
-        if (self && !self->m_isOver && self->m_attemptCount == 0)
-            self->m_context.claims.giveUp(self->m_claim);
+        if (self && !self->m_isFinished && self->m_attemptCount == 0)
+            self->m_context.claims.cancel(self->m_claim);
     });
 }
 
-void CallerExchange::claimed(const ClaimVerdict &verdict)
+void CallerExchange::handleClaimVerdict(const ClaimVerdict &verdict)
 {
     if (const auto *refused = std::get_if<AnswerCaller>(&verdict)) {
         m_claim = 0;
-        if (!m_isOver)
+        if (!m_isFinished)
             conclude(refused->outcome, {});
         return;
     }
     if (const auto *stored = std::get_if<AnswerStored>(&verdict)) {
         m_claim = 0;
-        if (!m_isOver)
+        if (!m_isFinished)
             answerStored(stored->storedAnswer);
         return;
     }
-    if (m_isOver) // the caller has gone, and nothing was sent
-        m_context.claims.ended(m_claim, outcomeOf(FailurePoint::NothingWritten, {}), {});
+    if (m_isFinished) // the caller has disconnected before anything was sent
+        m_context.claims.complete(m_claim, outcomeOf(FailurePoint::NothingWritten, {}), {});
     else
         attempt();
 }
@@ -259,25 +262,25 @@
     if (!contentType.empty())
         answer.headers.push_back({"Content-Type", contentType});
     answer.headers.push_back({"X-Bulrush-Repeated", "yes"});
-    m_isOver = true;
+    m_isFinished = true;
     m_context.counters.add(Counter::RequestsWhole);
-    recordBurn(WholeAnswer{}, answer.status);
-    m_ends.writer->send(answer);
+    recordServiceLevel(WholeAnswer{}, answer.status);
+    m_caller.writer->send(answer);
 }
 
 void CallerExchange::watchCaller()
 {
-    m_ends.request->setGoneHandler([weak = weak_from_this()] {
+    m_caller.request->setGoneHandler([weak = weak_from_this()] {
         if (const auto self = weak.lock())
-            self->callerGone();
+            self->handleDisconnect();
     });
 }
 
 void CallerExchange::reject(const Rejection &rejection)
 {
-    m_isOver = true;
+    m_isFinished = true;
     m_context.counters.add(Counter::RequestsRejected);
-    m_ends.writer->send(textResponse(rejection.status, rejection.problem));
+    m_caller.writer->send(textResponse(rejection.status, rejection.problem));
 }
 
 void CallerExchange::attempt()
@@ -288,43 +291,43 @@
         refuse(FailurePoint::DeadlineBeforeDispatch, std::chrono::seconds{1});
         return;
     }
-    auto order = nextOrder();
-    if (!order) {
-        AttemptEnd end;
-        end.failure = FailurePoint::NoServer;
-        attemptEnded(end);
+    auto spec = nextAttemptSpec();
+    if (!spec) {
+        AttemptResult result;
+        result.failure = FailurePoint::NoServer;
+        handleAttemptResult(result);
         return;
     }
-    send(*std::move(order));
+    send(*std::move(spec));
 }
 
-std::optional<WorkOrder> CallerExchange::nextOrder()
+std::optional<AttemptSpec> CallerExchange::nextAttemptSpec()
 {
     const ServiceTerms *terms = serviceTerms(*m_resolved.contract, m_resolved.operation->service);
-    return terms && terms->isDividedByKey ? keyedOrder() : unkeyedOrder();
+    return terms && terms->isDividedByKey ? keyedAttemptSpec() : unkeyedAttemptSpec();
 }
 
-std::optional<WorkOrder> CallerExchange::keyedOrder()
+std::optional<AttemptSpec> CallerExchange::keyedAttemptSpec()
 {
     const KeyHash hash = hashOfKey(m_resolved.key);
     const auto route = m_view->routeOf(m_resolved.operation->service, hash);
-    if (!route || !route->server || route->attendant.isEmpty())
+    if (!route || !route->server || route->manager.isEmpty())
         return std::nullopt;
 
-    WorkOrder order = orderFor(*route->server);
-    order.keyed = KeyedWork{route->domain, m_resolved.key, hash, route->routedBy};
-    return order;
+    AttemptSpec spec = makeAttemptSpec(*route->server);
+    spec.keyRouting = KeyRouting{route->domain, m_resolved.key, hash, route->assignmentVersion};
+    return spec;
 }
 
-std::optional<WorkOrder> CallerExchange::unkeyedOrder()
+std::optional<AttemptSpec> CallerExchange::unkeyedAttemptSpec()
 {
     const auto servers = m_view->serversOf(m_resolved.operation->service, m_context.self.domain);
-    // Of the servers that this daemon attends, the one with the shortest wait; the others in turn.
+    // Selects the servers in turn, without those that have no manager or are lost.
     const BackendServer *best = nullptr;
     for (std::size_t i = 0; i < servers.size(); ++i) {
         const BackendServer *server = servers[(i + m_serverOffset) % servers.size()];
-        const Incarnation attendant = m_view->attendantOf(server->name);
-        if (attendant.isEmpty() || m_context.board.reading(server->name).isLost)
+        const Incarnation manager = m_view->managerOf(server->name);
+        if (manager.isEmpty() || m_context.serverStatuses.status(server->name).isLost)
             continue;
         best = server;
         break;
@@ -332,96 +335,96 @@
     ++m_serverOffset;
     if (!best)
         return std::nullopt;
-    return orderFor(*best);
+    return makeAttemptSpec(*best);
 }
 
-WorkOrder CallerExchange::orderFor(const BackendServer &server) const
+AttemptSpec CallerExchange::makeAttemptSpec(const BackendServer &server) const
 {
-    WorkOrder order;
-    order.server = &server;
-    order.policy = m_policy;
-    order.requestId = m_id + "/" + std::to_string(m_attemptCount);
-    order.idempotencyKey = m_resolved.idempotencyKey;
-    order.captureLimit = m_claim == 0 ? 0 : storedAnswerLimit;
-    return order;
+    AttemptSpec spec;
+    spec.server = &server;
+    spec.policy = m_policy;
+    spec.requestId = m_id + "/" + std::to_string(m_attemptCount);
+    spec.idempotencyKey = m_resolved.idempotencyKey;
+    spec.captureLimit = m_claim == 0 ? 0 : maxStoredAnswerBytes;
+    return spec;
 }
 
-void CallerExchange::send(WorkOrder order)
+void CallerExchange::send(AttemptSpec spec)
 {
     ++m_attemptCount;
-    const auto handler = [self = shared_from_this()](const AttemptEnd &end) {
-        self->attemptEnded(end);
+    const auto handler = [self = shared_from_this()](const AttemptResult &result) {
+        self->handleAttemptResult(result);
     };
-    const Incarnation attendant = m_view->attendantOf(order.server->name);
-    if (attendant == m_context.self.incarnation) {
+    const Incarnation manager = m_view->managerOf(spec.server->name);
+    if (manager == m_context.self.incarnation) {
         auto attempt =
-            std::make_shared<ServerAttempt>(m_context, m_ends, std::move(order), handler);
+            std::make_shared<ServerAttempt>(m_context, m_caller, std::move(spec), handler);
         m_attempt = attempt;
         attempt->start();
         return;
     }
-    const PeerRoute *peer = m_view->peer(attendant);
+    const PeerRoute *peer = m_view->peer(manager);
     if (!peer) {
-        AttemptEnd end;
-        end.failure = FailurePoint::NoServer;
-        attemptEnded(end);
+        AttemptResult result;
+        result.failure = FailurePoint::NoServer;
+        handleAttemptResult(result);
         return;
     }
     auto attempt =
-        std::make_shared<RelayAttempt>(m_context, m_ends, std::move(order), *peer, handler);
+        std::make_shared<RelayAttempt>(m_context, m_caller, std::move(spec), *peer, handler);
     m_attempt = attempt;
     attempt->start();
 }
 
-void CallerExchange::attemptEnded(const AttemptEnd &end)
+void CallerExchange::handleAttemptResult(const AttemptResult &result)
 {
     m_attempt = std::monostate{};
-    if (m_isOver)
+    if (m_isFinished)
         return;
-    if (!end.failure) {
-        conclude(WholeAnswer{}, end);
+    if (!result.failure) {
+        conclude(WholeAnswer{}, result);
         return;
     }
-    if (mayRetry(end)) {
+    if (mayRetry(result)) {
         m_context.counters.add(Counter::AttemptsRetried);
-        retryLater();
+        scheduleRetry();
         return;
     }
-    conclude(outcomeOf(*end.failure, end.retryAfter), end);
+    conclude(outcomeOf(*result.failure, result.retryAfter), result);
 }
 
-bool CallerExchange::mayRetry(const AttemptEnd &end)
+bool CallerExchange::mayRetry(const AttemptResult &result)
 {
     const Instant now = io::hostNow();
-    const bool isIntact = end.isBodyIntact && !end.hasBegunAnswer;
-    // Waiting for the key's next owner sends nothing, so the budget has no part in it.
-    if (isIntact && waitsForOwner(*end.failure) && isCertainlyNotRun(*end.failure))
-        return m_attemptCount < ownerWaitLimit && now + ownerWait < m_policy.deadline;
+    const bool isIntact = result.isBodyIntact && !result.hasBegunAnswer;
+    // Waiting for the key's next owner sends no request, so it does not use the retry budget.
+    if (isIntact && mayWaitForOwner(*result.failure) && isCertainlyNotRun(*result.failure))
+        return m_attemptCount < maxOwnerWaitAttempts && now + ownerRetryDelay < m_policy.deadline;
 
     FailedAttempt failed;
-    failed.point = *end.failure;
+    failed.point = *result.failure;
     failed.attemptCount = m_attemptCount;
-    failed.hasAnswerBegun = end.hasBegunAnswer;
-    failed.isBodyReplayable = end.isBodyIntact;
+    failed.hasAnswerBegun = result.hasBegunAnswer;
+    failed.isBodyReplayable = result.isBodyIntact;
     failed.hasOtherServer = m_resolved.key.empty();
     return takeRetry(failed, m_policy, {}, m_context.retries, now);
 }
 
-void CallerExchange::retryLater()
+void CallerExchange::scheduleRetry()
 {
-    m_context.timers.after(ownerWait,
+    m_context.timers.after(ownerRetryDelay,
                            [weak = weak_from_this(), self = shared_from_this()](Instant) {
-                               if (!self->m_isOver)
+                               if (!self->m_isFinished)
                                    self->attempt();
                            });
 }
 
-void CallerExchange::conclude(const Outcome &outcome, const AttemptEnd &end)
+void CallerExchange::conclude(const Outcome &outcome, const AttemptResult &result)
 {
-    m_isOver = true;
+    m_isFinished = true;
     if (m_claim != 0)
-        m_context.claims.ended(m_claim, outcome, storedAnswerOf(end));
-    recordBurn(outcome, end.status);
+        m_context.claims.complete(m_claim, outcome, storedAnswerOf(result));
+    recordServiceLevel(outcome, result.status);
     if (std::holds_alternative<WholeAnswer>(outcome))
         m_context.counters.add(Counter::RequestsWhole);
     else if (std::holds_alternative<NotRun>(outcome))
@@ -429,22 +432,23 @@
     else
         m_context.counters.add(Counter::RequestsUnknown);
 
-    const CallerResponse response = callerResponse(outcome, end.hasBegunAnswer);
+    const CallerResponse response = callerResponse(outcome, result.hasBegunAnswer);
     const auto *refusal = std::get_if<RefusalResponse>(&response);
-    if (!refusal || m_ends.writer->isOver())
+    if (!refusal || m_caller.writer->isOver())
         return;
     io::HttpResponse answer = textResponse(refusal->status, std::string{refusal->reason});
     answer.headers.push_back({serverfields::ran, std::string{refusal->ran}});
     answer.headers.push_back({serverfields::reason, std::string{refusal->reason}});
     answer.headers.push_back({"Retry-After", std::to_string(refusal->retryAfter.count())});
-    m_ends.writer->send(answer);
+    m_caller.writer->send(answer);
 }
 
-void CallerExchange::recordBurn(const Outcome &outcome, int status) const
+void CallerExchange::recordServiceLevel(const Outcome &outcome, int status) const
 {
     const Instant now = io::hostNow();
-    m_context.burn.record(now, m_resolved.contract->organisation, m_resolved.operation->name,
-                          serviceOutcomeOf(outcome, status), now - m_startedAt);
+    m_context.burnRecorder.record(now, m_resolved.contract->organisation,
+                                  m_resolved.operation->name, serviceOutcomeOf(outcome, status),
+                                  now - m_startedAt);
 }
 
 void CallerExchange::refuse(FailurePoint point, Duration retryAfter)
@@ -452,16 +456,16 @@
     conclude(outcomeOf(point, retryAfter), {});
 }
 
-void CallerExchange::callerGone()
+void CallerExchange::handleDisconnect()
 {
-    if (m_isOver)
+    if (m_isFinished)
         return;
-    m_isOver = true;
+    m_isFinished = true;
     m_context.counters.add(Counter::CallersGone);
     if (m_claim != 0 && m_attemptCount == 0)
-        m_context.claims.giveUp(m_claim);
+        m_context.claims.cancel(m_claim);
     else if (m_claim != 0)
-        m_context.claims.ended(m_claim, outcomeOf(FailurePoint::CancelledAfterWrite, {}), {});
+        m_context.claims.complete(m_claim, outcomeOf(FailurePoint::CancelledAfterWrite, {}), {});
     if (auto *server = std::get_if<std::shared_ptr<ServerAttempt>>(&m_attempt))
         (*server)->abandon();
     else if (auto *relay = std::get_if<std::shared_ptr<RelayAttempt>>(&m_attempt))
--- a/src/bulrushswitchd/claimdesk.cpp
+++ b/src/bulrushswitchd/claimhandler.cpp
@@ -1,4 +1,4 @@
-#include "claimdesk.h"
+#include "claimhandler.h"
 
 #include "claimservice.h"
 
@@ -8,13 +8,13 @@
 
 namespace bulrush {
 
-ClaimDesk::ClaimDesk(asio::io_context &control, ClaimService &service)
+ClaimHandler::ClaimHandler(asio::io_context &control, ClaimService &service)
     : m_control(control)
     , m_service(service)
 { }
 
-ClaimTicket ClaimDesk::claim(std::string key, ClaimRequest request, asio::io_context &loop,
-                             Handler handler)
+ClaimTicket ClaimHandler::claim(std::string key, ClaimRequest request, asio::io_context &loop,
+                                Handler handler)
 {
     const ClaimTicket ticket = ++m_lastTicket;
     auto reply = [&loop, handler = std::move(handler)](const ClaimVerdict &verdict) {
@@ -28,16 +28,16 @@
     return ticket;
 }
 
-void ClaimDesk::ended(ClaimTicket ticket, Outcome outcome, std::string storedAnswer)
+void ClaimHandler::complete(ClaimTicket ticket, Outcome outcome, std::string storedAnswer)
 {
     asio::post(m_control, [this, ticket, outcome, storedAnswer = std::move(storedAnswer)] {
-        m_service.tell(ticket, ClaimedWorkEnded{outcome, storedAnswer});
+        m_service.handleEvent(ticket, ClaimedWorkEnded{outcome, storedAnswer});
     });
 }
 
-void ClaimDesk::giveUp(ClaimTicket ticket)
+void ClaimHandler::cancel(ClaimTicket ticket)
 {
-    asio::post(m_control, [this, ticket] { m_service.tell(ticket, ClaimGivenUp{}); });
+    asio::post(m_control, [this, ticket] { m_service.handleEvent(ticket, ClaimGivenUp{}); });
 }
 
 } // namespace bulrush
--- a/src/bulrushswitchd/claimservice.cpp
+++ b/src/bulrushswitchd/claimservice.cpp
@@ -29,13 +29,13 @@
     return json;
 }
 
-ClaimState stateOf(const std::string &name)
+ClaimState parseClaimState(const std::string &name)
 {
     for (std::size_t i = 0; i < stateNames.size(); ++i) {
         if (stateNames.at(i) == name)
             return static_cast<ClaimState>(i);
     }
-    // A state that is not known here may have run, whatever it is.
+    // The request of a claim in an unrecognised state may have run.
     return ClaimState::Unknown;
 }
 
@@ -46,7 +46,7 @@
 
     io::JsonReader reader{row.value};
     ClaimRow claim;
-    claim.state = stateOf(reader.text("state"));
+    claim.state = parseClaimState(reader.text("state"));
     claim.holder = Incarnation{reader.text("holder")};
     claim.attempt = AttemptId{reader.text("attempt")};
     claim.storedAnswer = reader.text("storedAnswer");
@@ -62,15 +62,15 @@
 
 void ClaimService::start(ClaimTicket ticket, std::string key, ClaimRequest request, Reply reply)
 {
-    const auto entry =
-        m_open.emplace(ticket, Open{std::move(key), Claim{std::move(request)}, std::move(reply)});
+    const auto entry = m_openClaims.emplace(
+        ticket, OpenClaim{std::move(key), Claim{std::move(request)}, std::move(reply)});
     perform(ticket, entry.first->second.claim.start());
 }
 
-void ClaimService::tell(ClaimTicket ticket, const ClaimEvent &event)
+void ClaimService::handleEvent(ClaimTicket ticket, const ClaimEvent &event)
 {
-    const auto found = m_open.find(ticket);
-    if (found != m_open.end())
+    const auto found = m_openClaims.find(ticket);
+    if (found != m_openClaims.end())
         perform(ticket, found->second.claim.handle(event, io::hostNow()));
 }
 
@@ -89,25 +89,25 @@
 
 void ClaimService::performAction(ClaimTicket ticket, const WriteClaim &action)
 {
-    const auto found = m_open.find(ticket);
-    if (found == m_open.end())
+    const auto found = m_openClaims.find(ticket);
+    if (found == m_openClaims.end())
         return;
     performBatch(m_batcher.add({ticket, found->second.key, action}, io::hostNow()));
 }
 
 void ClaimService::performAction(ClaimTicket ticket, const ReadClaim & /*action*/)
 {
-    const auto found = m_open.find(ticket);
-    if (found == m_open.end())
+    const auto found = m_openClaims.find(ticket);
+    if (found == m_openClaims.end())
         return;
     m_context.counters.add(Counter::PlatformReads);
-    m_context.platform.read({{claimTable, found->second.key}},
-                            [this, ticket](const io::RowsResult &result) {
-                                if (result.error || result.rows.empty())
-                                    tell(ticket, ClaimReadFailed{});
-                                else
-                                    tell(ticket, ClaimRowRead{decodeRow(result.rows.front())});
-                            });
+    m_context.platform.read(
+        {{claimTable, found->second.key}}, [this, ticket](const io::RowsResult &result) {
+            if (result.error || result.rows.empty())
+                handleEvent(ticket, ClaimReadFailed{});
+            else
+                handleEvent(ticket, ClaimRowRead{decodeRow(result.rows.front())});
+        });
 }
 
 void ClaimService::performAction(ClaimTicket ticket, const DispatchClaimed &action)
@@ -137,18 +137,18 @@
 void ClaimService::performAction(ClaimTicket ticket, const SettleLater &action)
 {
     m_context.timers.after(action.delay,
-                           [this, ticket](Instant) { tell(ticket, ClaimSettleDue{}); });
+                           [this, ticket](Instant) { handleEvent(ticket, ClaimSettleDue{}); });
 }
 
 void ClaimService::performAction(ClaimTicket ticket, const ForgetClaim & /*action*/)
 {
-    m_open.erase(ticket);
+    m_openClaims.erase(ticket);
 }
 
 void ClaimService::answer(ClaimTicket ticket, const ClaimVerdict &verdict)
 {
-    const auto found = m_open.find(ticket);
-    if (found == m_open.end())
+    const auto found = m_openClaims.find(ticket);
+    if (found == m_openClaims.end())
         return;
     if (const Reply reply = std::exchange(found->second.reply, nullptr))
         reply(verdict);
@@ -160,7 +160,7 @@
         if (const auto *batch = std::get_if<SendClaimBatch>(&action))
             sendBatch(*batch);
         else if (const auto *ended = std::get_if<ClaimWriteEnded>(&action))
-            tell(ended->id, ended->event);
+            handleEvent(ended->id, ended->event);
     }
 }
 
--- a/src/bulrushswitchd/claimservice.h
+++ b/src/bulrushswitchd/claimservice.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "claimdesk.h"
+#include "claimhandler.h"
 #include "process/claimbatcher.h"
 #include "request/claim.h"
 
@@ -17,7 +17,7 @@
 }
 
 /**
- * Makes and settles claims at the platform for all requests of this daemon.
+ * Creates and settles claims at the platform for all requests of this daemon.
  *
  * Used on the control thread.
  */
@@ -25,7 +25,7 @@
 {
 public:
     using Reply = std::function<void(const ClaimVerdict &)>;
-    /** \returns what is known of the daemon that holds a claim. */
+    /** \returns the state of the daemon that holds a claim. */
     using HolderLookup = std::function<HolderState(const Incarnation &)>;
 
     ClaimService(ControlContext &context, HolderLookup lookup);
@@ -33,24 +33,24 @@
     ClaimService(const ClaimService &) = delete;
     ClaimService &operator=(const ClaimService &) = delete;
 
-    /** Starts a claim; \a reply is called once. \pre the ticket is new. */
+    /** Starts a claim; \a reply is called once. \pre \a ticket is unused. */
     void start(ClaimTicket ticket, std::string key, ClaimRequest request, Reply reply);
 
-    /** Tells a claim of an event. One that is over is passed over. */
-    void tell(ClaimTicket ticket, const ClaimEvent &event);
+    /** Applies an event to a claim. Ignores events of completed claims. */
+    void handleEvent(ClaimTicket ticket, const ClaimEvent &event);
 
-    /** Sends what has waited for its batch. To be called every few milliseconds. */
+    /** Sends the batches that are due. Call it every few milliseconds. */
     void tick(Instant now);
 
-    /** \returns how many claims are not over. */
+    /** \returns the number of claims that have not completed. */
     std::size_t openCount() const;
 
 private:
-    struct Open
+    struct OpenClaim
     {
         std::string key;
         Claim claim;
-        /** Empty once the caller's side was told. */
+        /** Empty once it has been called. */
         Reply reply;
     };
 
@@ -71,13 +71,13 @@
     ControlContext &m_context;
     HolderLookup m_lookup;
     ClaimBatcher m_batcher;
-    std::map<ClaimTicket, Open> m_open;
+    std::map<ClaimTicket, OpenClaim> m_openClaims;
     std::uint64_t m_lastTransaction = 0;
 };
 
 inline std::size_t ClaimService::openCount() const
 {
-    return m_open.size();
+    return m_openClaims.size();
 }
 
 } // namespace bulrush
--- a/src/bulrushswitchd/controlcontext.h
+++ b/src/bulrushswitchd/controlcontext.h
@@ -16,12 +16,12 @@
 } // namespace io
 
 /**
- * What the parts of the control thread share. All of it outlives them and is used on that thread.
+ * State that the parts of the control thread share. It outlives them and is used on that thread.
  */
 struct ControlContext
 {
     const DaemonSettings &settings;
-    /** This daemon, as others know it. */
+    /** The membership record of this daemon. */
     MemberRecord self;
     io::LoopTimers &timers;
     io::HttpClient &http;
@@ -30,10 +30,10 @@
     Counters &counters;
 };
 
-/** For how long a call between daemons is waited for. */
+/** Timeout of a call between daemons. */
 constexpr Duration peerCallTimeout = std::chrono::milliseconds{500};
 
-/** For how long a control call of a backend server is waited for. */
+/** Timeout of a control call to a backend server. */
 constexpr Duration serverCallTimeout = std::chrono::milliseconds{500};
 
 } // namespace bulrush
--- a/src/bulrushswitchd/controlplane.cpp
+++ b/src/bulrushswitchd/controlplane.cpp
@@ -1,7 +1,7 @@
 #include "controlplane.h"
 
 #include "connection/peerclient.h"
-#include "domainsteward.h"
+#include "domainleader.h"
 #include "process/counters.h"
 #include "process/hostclock.h"
 #include "process/jsonreader.h"
@@ -77,21 +77,21 @@
     , m_versions(io::hostNow())
     , m_membership(membershipSettings(context), context.self, m_versions, io::hostNow())
     , m_servers(
-          context, shared.board,
+          context, shared.serverStatuses,
           [this](const ServerName &server, bool isLost) {
               m_shared.gate.setServerLost(server, isLost);
           },
           [this](const ServerName &server, bool isDraining) {
-              m_shared.lanes.at(server)->serverAnswered(isDraining, io::hostNow());
+              m_shared.serverQueues.at(server)->recordServerAnswer(isDraining, io::hostNow());
           })
     , m_leases(
           context, shared.gate,
           [this](const DomainName &domain, const Json::Value &request) {
-              return onPull(domain, request);
+              return handleLeasePull(domain, request);
           },
           [this](const DomainName &domain, Fence) { fetchAssignment(domain); })
     , m_shares(context, shared.limits,
-               [this](const Json::Value &call) { return onShareRenewal(call); })
+               [this](const Json::Value &call) { return handleShareRenewal(call); })
 {
     addProcedures();
     service(context.settings.domain);
@@ -101,30 +101,35 @@
 
 void ControlPlane::start()
 {
-    m_context.timers.every(tickInterval, [this](Instant) { tickOften(); });
+    m_context.timers.every(tickInterval, [this](Instant) { tickServices(); });
     m_context.timers.every(probeInterval, [this](Instant) { probeServers(); });
     m_context.timers.every(hostsInterval, [this](Instant) { readHosts(); });
     m_context.timers.every(loadInterval, [this](Instant) { reportLoads(); });
-    feedPeers();
+    updateLivePeers();
 }
 
 void ControlPlane::addProcedures()
 {
-    m_dispatcher.add("members.message", [this](const auto &call) { return onMemberMessage(call); });
-    m_dispatcher.add("steward.promise", [this](const auto &call) { return onQuestion(call); });
-    m_dispatcher.add("steward.release", [this](const auto &call) { return onReleased(call); });
-    m_dispatcher.add("steward.announce", [this](const auto &call) { return onAnnounced(call); });
+    m_dispatcher.add("members.message",
+                     [this](const auto &call) { return handleMemberMessage(call); });
+    m_dispatcher.add("steward.promise",
+                     [this](const auto &call) { return handlePromiseRequest(call); });
+    m_dispatcher.add("steward.release",
+                     [this](const auto &call) { return handlePromiseRelease(call); });
+    m_dispatcher.add("steward.announce",
+                     [this](const auto &call) { return handleLeaderAnnouncement(call); });
     m_dispatcher.add("lease.prompt", [this](const auto &call) {
-        Json::Value known = onAnnounced(call);
+        Json::Value known = handleLeaderAnnouncement(call);
         m_leases.pull(domainIn(call));
         return known;
     });
     m_dispatcher.add("lease.pull",
-                     [this](const auto &call) { return onPull(domainIn(call), call); });
-    m_dispatcher.add("server.order", [this](const auto &call) { return onServerOrder(call); });
-    m_dispatcher.add("order.ended", [this](const auto &call) { return onOrderEnded(call); });
-    m_dispatcher.add("share.renew", [this](const auto &call) { return onShareRenewal(call); });
-    m_dispatcher.add("load.report", [this](const auto &call) { return onLoadReport(call); });
+                     [this](const auto &call) { return handleLeasePull(domainIn(call), call); });
+    m_dispatcher.add("server.order", [this](const auto &call) { return handleServerOrder(call); });
+    m_dispatcher.add("order.ended",
+                     [this](const auto &call) { return handleServerOrderResult(call); });
+    m_dispatcher.add("share.renew", [this](const auto &call) { return handleShareRenewal(call); });
+    m_dispatcher.add("load.report", [this](const auto &call) { return handleLoadReport(call); });
     m_dispatcher.add("assignment.view",
                      [this](const auto &call) { return assignment(domainIn(call)); });
 }
@@ -139,8 +144,8 @@
     if (std::exchange(m_isLeaving, true))
         return;
     perform(m_membership.leave(io::hostNow()));
-    for (auto &[domain, seat] : m_seats)
-        seat->tell(DepartureRequested{});
+    for (auto &[domain, leadership] : m_leadershipServices)
+        leadership->handleEvent(DepartureRequested{});
 }
 
 void ControlPlane::stop()
@@ -150,15 +155,15 @@
 
 bool ControlPlane::isDepartureComplete() const
 {
-    return std::all_of(m_seats.begin(), m_seats.end(), [](const auto &entry) {
-        return entry.second->seat().isDepartureComplete();
-    });
+    return std::all_of(
+        m_leadershipServices.begin(), m_leadershipServices.end(),
+        [](const auto &entry) { return entry.second->leadership().isDepartureComplete(); });
 }
 
 bool ControlPlane::isReady() const
 {
     return !m_contracts.empty() && m_assignments.contains(m_context.settings.domain)
-        && m_shares.haveArrived(io::hostNow());
+        && m_shares.hasValidShares(io::hostNow());
 }
 
 bool ControlPlane::isSuperseded() const
@@ -166,20 +171,20 @@
     return m_membership.isSuperseded();
 }
 
-void ControlPlane::tickOften()
+void ControlPlane::tickServices()
 {
     const Instant now = io::hostNow();
     tickMembership();
-    for (auto &[domain, seat] : m_seats) {
-        seat->tick(now);
-        const auto &row = seat->seat().row();
+    for (auto &[domain, leadership] : m_leadershipServices) {
+        leadership->tick(now);
+        const auto &row = leadership->leadership().row();
         if (row)
-            m_leases.stewardKnown(domain, {row->row.holderAddress, row->row.epoch});
+            m_leases.setLeader(domain, {row->row.holderAddress, row->row.epoch});
     }
-    for (auto &[domain, steward] : m_stewards)
-        steward->tick(now, m_seats.at(domain)->isByPromises(now));
+    for (auto &[domain, leader] : m_leaders)
+        leader->tick(now, m_leadershipServices.at(domain)->holdsByPromisesOnly(now));
     m_leases.tick(now);
-    m_shares.tick(now, m_leases.steward(m_context.settings.domain), m_contracts);
+    m_shares.tick(now, m_leases.leader(m_context.settings.domain), m_contracts);
     if (m_isViewStale)
         rebuildView();
 }
@@ -195,8 +200,9 @@
 
 void ControlPlane::readHosts()
 {
-    // One reader for each failure domain, since members tell the rest; stewards need the servers.
-    if (m_membership.reader().host != m_context.settings.host && m_stewards.empty())
+    // One daemon per failure domain reads the list, since members relay it. Leaders read it too,
+    // since they need the states of servers.
+    if (m_membership.reader().host != m_context.settings.host && m_leaders.empty())
         return;
 
     readDepartures();
@@ -246,28 +252,28 @@
 
 void ControlPlane::probeServers()
 {
-    std::set<ServerName> attended;
+    std::set<ServerName> managed;
     for (const auto &[domain, assignment] : m_assignments) {
         for (const Attendance &attendance : assignment.attendances) {
             if (attendance.attendant == m_context.self.incarnation)
-                attended.insert(attendance.server);
+                managed.insert(attendance.server);
         }
     }
-    m_servers.probe(attended, io::hostNow());
+    m_servers.probe(managed, io::hostNow());
 }
 
-void ControlPlane::feedPeers()
+void ControlPlane::updateLivePeers()
 {
     std::vector<StewardCandidate> peers;
     for (const MemberRecord &member : m_membership.members()) {
         if (member.state == MemberState::Alive)
             peers.push_back({member.incarnation, member.domain, member.address});
     }
-    for (auto &[domain, seat] : m_seats)
-        seat->tell(LivePeersChanged{peers});
+    for (auto &[domain, leadership] : m_leadershipServices)
+        leadership->handleEvent(LivePeersChanged{peers});
 }
 
-bool ControlPlane::attendsIn(const Assignment &assignment) const
+bool ControlPlane::managesServersIn(const Assignment &assignment) const
 {
     return std::any_of(assignment.attendances.begin(), assignment.attendances.end(),
                        [this](const Attendance &attendance) {
@@ -278,17 +284,17 @@
 void ControlPlane::reportLoads()
 {
     for (const auto &[domain, assignment] : m_assignments) {
-        const auto steward = m_leases.steward(domain);
-        if (!steward || !attendsIn(assignment))
+        const auto leader = m_leases.leader(domain);
+        if (!leader || !managesServersIn(assignment))
             continue;
         Json::Value report{Json::objectValue};
         report["domain"] = domain.value();
         report["daemon"] = m_context.self.incarnation.value();
         report["services"] = io::encodeLoadReports(m_shared.loads.reports(domain, io::hostNow()));
-        if (steward->address == m_context.self.address)
-            onLoadReport(report);
+        if (leader->address == m_context.self.address)
+            handleLoadReport(report);
         else
-            m_context.peers.call(steward->address, "load.report", report, peerCallTimeout,
+            m_context.peers.call(leader->address, "load.report", report, peerCallTimeout,
                                  [](const io::RpcReply &) {});
     }
 }
@@ -341,7 +347,7 @@
                  {{"host", action.member.host.value()},
                   {"incarnation", action.member.incarnation.value()},
                   {"state", nameOf(action.member.state)}});
-    feedPeers();
+    updateLivePeers();
     m_isViewStale = true;
 }
 
@@ -354,7 +360,7 @@
 {
     io::ContractReading reading = io::readContract(*item.body, item.header.key.name);
     if (reading.error) {
-        // The one in force stays; the operators' client checks before it writes.
+        // Keeps the previous contract; the operators' client validates contracts before it writes.
         io::logEvent(LogLevel::Error, "contract-unusable",
                      {{"organisation", item.header.key.name},
                       {"problem", io::toString(reading.problems.front())}});
@@ -362,7 +368,7 @@
     }
     reading.contract.version = item.header.version.sequence;
     const OrganisationName organisation = reading.contract.organisation;
-    m_shared.burn.setTargets(reading.contract);
+    m_shared.burnRecorder.setTargets(reading.contract);
     m_contracts[organisation] = std::make_shared<const Contract>(std::move(reading.contract));
     m_context.counters.add(Counter::ContractsAdopted);
     io::logEvent(LogLevel::Info, "contract-in-force",
@@ -375,39 +381,39 @@
 {
     const auto assignment = io::decodeAssignment(io::parsedJson(*item.body));
     if (assignment)
-        adopt(*assignment);
+        adoptAssignment(*assignment);
 }
 
-void ControlPlane::adopt(const Assignment &assignment)
+void ControlPlane::adoptAssignment(const Assignment &assignment)
 {
     Assignment &held = m_assignments[assignment.domain];
     if (assignment.version < held.version)
         return;
 
     held = assignment;
-    m_shared.loads.follow(assignment, io::hostNow());
+    m_shared.loads.setAssignment(assignment, io::hostNow());
     m_leases.setKnownVersion(assignment.domain, assignment.version);
     m_isViewStale = true;
 }
 
 void ControlPlane::fetchAssignment(const DomainName &domain)
 {
-    const auto steward = m_leases.steward(domain);
-    if (!steward || steward->address == m_context.self.address)
+    const auto leader = m_leases.leader(domain);
+    if (!leader || leader->address == m_context.self.address)
         return;
 
     Json::Value parameters{Json::objectValue};
     parameters["domain"] = domain.value();
-    m_context.peers.call(steward->address, "assignment.view", parameters, peerCallTimeout,
+    m_context.peers.call(leader->address, "assignment.view", parameters, peerCallTimeout,
                          [this](const io::RpcReply &reply) {
                              const auto assignment =
                                  reply.error ? std::nullopt : io::decodeAssignment(reply.result);
                              if (assignment)
-                                 adopt(*assignment);
+                                 adoptAssignment(*assignment);
                          });
 }
 
-Json::Value ControlPlane::onMemberMessage(const Json::Value &parameters)
+Json::Value ControlPlane::handleMemberMessage(const Json::Value &parameters)
 {
     PeerMessage message;
     const std::error_code error = io::decodePeerMessage(io::compactText(parameters), message);
@@ -417,180 +423,182 @@
     return true;
 }
 
-Json::Value ControlPlane::onPull(const DomainName &domain, const Json::Value &request)
+Json::Value ControlPlane::handleLeasePull(const DomainName &domain, const Json::Value &request)
 {
     const auto decoded = io::decodeLeaseRequest(request);
     if (!decoded)
         throw std::invalid_argument("lease request: a field is missing or of another type");
 
-    const auto steward = m_stewards.find(domain);
-    const auto reply = steward == m_stewards.end()
+    const auto leader = m_leaders.find(domain);
+    const auto reply = leader == m_leaders.end()
         ? std::nullopt
-        : steward->second->answerPull(*decoded, io::hostNow());
+        : leader->second->answerPull(*decoded, io::hostNow());
     if (!reply)
         return {};
     m_context.counters.add(Counter::LeaseRequestsAnswered);
     return io::encodeLeaseReply(*reply);
 }
 
-Json::Value ControlPlane::onQuestion(const Json::Value &question)
+Json::Value ControlPlane::handlePromiseRequest(const Json::Value &promiseRequest)
 {
-    return service(domainIn(question)).answerQuestion(question);
+    return service(domainIn(promiseRequest)).answerPromiseRequest(promiseRequest);
 }
 
-Json::Value ControlPlane::onReleased(const Json::Value &parameters)
+Json::Value ControlPlane::handlePromiseRelease(const Json::Value &parameters)
 {
     const auto release = io::decodePromiseRelease(parameters);
     if (!release)
         throw std::invalid_argument("release: a field is missing or of another type");
     if (parameters["to"].asString() != m_context.self.incarnation.value())
         return false;
-    service(domainIn(parameters)).tell(*release);
+    service(domainIn(parameters)).handleEvent(*release);
     return true;
 }
 
-Json::Value ControlPlane::onAnnounced(const Json::Value &parameters)
+Json::Value ControlPlane::handleLeaderAnnouncement(const Json::Value &parameters)
 {
     io::JsonReader reader{parameters};
     const DomainName domain{reader.text("domain")};
-    const KnownSteward steward{reader.text("steward"), reader.number("epoch")};
+    const KnownLeader leader{reader.text("steward"), reader.number("epoch")};
     if (!reader.isGood())
         throw std::invalid_argument("announcement: domain, steward or epoch is missing");
-    m_leases.stewardKnown(domain, steward);
-    m_leases.setConcerned(domain, isInOwnDomain(steward.address));
-    service(domain).tell(StewardAnnounced{steward.epoch});
+    m_leases.setLeader(domain, leader);
+    m_leases.setShouldPull(domain, isInOwnDomain(leader.address));
+    service(domain).handleEvent(StewardAnnounced{leader.epoch});
     return true;
 }
 
-Json::Value ControlPlane::onServerOrder(const Json::Value &parameters)
+Json::Value ControlPlane::handleServerOrder(const Json::Value &parameters)
 {
     const auto order = io::decodeServerOrder(parameters);
     io::JsonReader reader{parameters};
-    const std::string steward = reader.text("steward");
+    const std::string leader = reader.text("steward");
     const std::uint64_t epoch = reader.number("epoch");
     const DomainName domain = domainIn(parameters);
     if (!order || !reader.isGood())
         throw std::invalid_argument("order: a field is missing or of another type");
 
     m_servers.execute({domain, epoch}, *order,
-                      [this, steward, epoch, domain, id = order->order](const OrderEnd &end) {
-                          Json::Value ended{Json::objectValue};
-                          ended["domain"] = domain.value();
-                          ended["epoch"] = io::jsonOf(epoch);
-                          ended["order"] = io::jsonOf(id);
-                          ended["confirmed"] = end.isConfirmed;
-                          ended["running"] = end.running;
-                          if (end.highest)
-                              ended["highest"] = io::encodeFence(*end.highest);
-                          m_context.peers.call(steward, "order.ended", ended, peerCallTimeout,
+                      [this, leader, epoch, domain, id = order->order](const OrderResult &result) {
+                          Json::Value answer{Json::objectValue};
+                          answer["domain"] = domain.value();
+                          answer["epoch"] = io::jsonOf(epoch);
+                          answer["order"] = io::jsonOf(id);
+                          answer["confirmed"] = result.isConfirmed;
+                          answer["running"] = result.running;
+                          if (result.highest)
+                              answer["highest"] = io::encodeFence(*result.highest);
+                          m_context.peers.call(leader, "order.ended", answer, peerCallTimeout,
                                                [](const io::RpcReply &) {});
                       });
     return true;
 }
 
-Json::Value ControlPlane::onOrderEnded(const Json::Value &parameters)
+Json::Value ControlPlane::handleServerOrderResult(const Json::Value &parameters)
 {
     io::JsonReader reader{parameters};
-    OrderEnd end;
-    end.isConfirmed = reader.flag("confirmed");
-    end.running = static_cast<std::uint32_t>(reader.number("running"));
-    end.highest = io::decodeFence(parameters["highest"]);
+    OrderResult result;
+    result.isConfirmed = reader.flag("confirmed");
+    result.running = static_cast<std::uint32_t>(reader.number("running"));
+    result.highest = io::decodeFence(parameters["highest"]);
     const std::uint64_t epoch = reader.number("epoch");
     const OrderId order = reader.number("order");
-    const auto steward = m_stewards.find(domainIn(parameters));
-    if (steward != m_stewards.end() && steward->second->epoch() == epoch && reader.isGood())
-        steward->second->orderEnded(order, end);
+    const auto leader = m_leaders.find(domainIn(parameters));
+    if (leader != m_leaders.end() && leader->second->epoch() == epoch && reader.isGood())
+        leader->second->handleOrderResult(order, result);
     return true;
 }
 
-Json::Value ControlPlane::onShareRenewal(const Json::Value &parameters)
+Json::Value ControlPlane::handleShareRenewal(const Json::Value &parameters)
 {
     const Instant now = io::hostNow();
     const DomainName domain = domainIn(parameters);
-    const auto seat = m_seats.find(domain);
-    if (seat == m_seats.end() || !seat->second->seat().mayGrantAt(now))
+    const auto leadership = m_leadershipServices.find(domain);
+    if (leadership == m_leadershipServices.end()
+        || !leadership->second->leadership().mayGrantAt(now))
         return {};
     return m_shares.answer(domain, parameters, m_contracts, now);
 }
 
-Json::Value ControlPlane::onLoadReport(const Json::Value &parameters)
+Json::Value ControlPlane::handleLoadReport(const Json::Value &parameters)
 {
     io::JsonReader reader{parameters};
     const Incarnation daemon{reader.text("daemon")};
     auto reports = io::decodeLoadReports(reader.object("services"));
-    const auto steward = m_stewards.find(domainIn(parameters));
+    const auto leader = m_leaders.find(domainIn(parameters));
     if (!reports || !reader.isGood())
         throw std::invalid_argument("load report: a field is missing, unsorted or too long");
-    if (steward == m_stewards.end())
+    if (leader == m_leaders.end())
         return false;
-    steward->second->noteLoads(daemon, *std::move(reports), io::hostNow());
+    leader->second->recordLoads(daemon, *std::move(reports), io::hostNow());
     return true;
 }
 
-StewardService &ControlPlane::service(const DomainName &domain)
+LeadershipService &ControlPlane::service(const DomainName &domain)
 {
-    const auto found = m_seats.find(domain);
-    if (found != m_seats.end())
+    const auto found = m_leadershipServices.find(domain);
+    if (found != m_leadershipServices.end())
         return *found->second;
 
-    StewardNotices notices;
-    notices.began = [this, domain](const StewardshipBegan &began) {
-        this->began(domain, began);
+    LeadershipCallbacks callbacks;
+    callbacks.onBegan = [this, domain](const StewardshipBegan &began) {
+        this->handleLeadershipBegan(domain, began);
     };
-    notices.ended = [this, domain](const StewardshipEnded &) {
-        m_stewards.erase(domain);
+    callbacks.onEnded = [this, domain](const StewardshipEnded &) {
+        m_leaders.erase(domain);
     };
-    notices.announced = [this, domain](const AnnounceSteward &announcement) {
-        announced(domain, announcement);
+    callbacks.onLeaderChanged = [this, domain](const AnnounceSteward &announcement) {
+        handleLeaderChange(domain, announcement);
     };
-    return *m_seats
-                .emplace(domain,
-                         std::make_unique<StewardService>(m_context, domain, std::move(notices)))
+    return *m_leadershipServices
+                .emplace(
+                    domain,
+                    std::make_unique<LeadershipService>(m_context, domain, std::move(callbacks)))
                 .first->second;
 }
 
-void ControlPlane::began(const DomainName &domain, const StewardshipBegan &began)
+void ControlPlane::handleLeadershipBegan(const DomainName &domain, const StewardshipBegan &began)
 {
-    m_shares.began(domain, began.epoch, io::hostNow());
-    StewardHooks hooks;
-    hooks.daemons = [this, domain] {
+    m_shares.beginTerm(domain, began.epoch, io::hostNow());
+    DomainLeaderCallbacks callbacks;
+    callbacks.daemons = [this, domain] {
         return daemonsFor(domain);
     };
-    hooks.keyedServices = [this] {
+    callbacks.keyedServices = [this] {
         return keyedServices();
     };
-    hooks.attendantOf = [this](const ServerName &server) {
-        return m_shared.view.view()->attendantOf(server);
+    callbacks.managerOf = [this](const ServerName &server) {
+        return m_shared.view.view()->managerOf(server);
     };
-    hooks.leavingServers = [this] {
+    callbacks.leavingServers = [this] {
         return m_leavingServers;
     };
-    hooks.inForce = [this](const Assignment &assignment) {
-        adopt(assignment);
+    callbacks.onAssignmentInForce = [this](const Assignment &assignment) {
+        adoptAssignment(assignment);
         perform(m_membership.publish(io::hostNow(),
                                      makeItem({ItemKind::Assignment, assignment.domain.value()},
                                               assignment.version,
                                               io::compactText(io::encodeAssignment(assignment)))));
     };
-    hooks.ownView = [this, domain] {
+    callbacks.localAssignment = [this, domain] {
         const auto found = m_assignments.find(domain);
         return found == m_assignments.end() ? Assignment{domain, {}, {}, {}} : found->second;
     };
-    m_stewards[domain] = std::make_unique<DomainSteward>(
-        m_context, m_servers, service(domain).seat(), domain, began, std::move(hooks));
+    m_leaders[domain] = std::make_unique<DomainLeader>(
+        m_context, m_servers, service(domain).leadership(), domain, began, std::move(callbacks));
 }
 
-void ControlPlane::announced(const DomainName &domain, const AnnounceSteward &announcement)
+void ControlPlane::handleLeaderChange(const DomainName &domain, const AnnounceSteward &announcement)
 {
-    m_leases.stewardKnown(domain, {announcement.address, announcement.epoch});
-    m_leases.setConcerned(domain, isInOwnDomain(announcement.address));
+    m_leases.setLeader(domain, {announcement.address, announcement.epoch});
+    m_leases.setShouldPull(domain, isInOwnDomain(announcement.address));
     if (announcement.holder != m_context.self.incarnation)
         return;
 
     std::set<std::string> addresses;
     for (const MemberRecord &member : daemonsFor(domain))
         addresses.insert(member.address);
-    const auto &row = service(domain).seat().row();
+    const auto &row = service(domain).leadership().row();
     if (row) {
         for (const StewardCandidate &candidate : row->row.candidates)
             addresses.insert(candidate.address);
@@ -662,10 +670,10 @@
     return HolderState::Gone;
 }
 
-std::string ControlPlane::burn() const
+std::string ControlPlane::burnSnapshot() const
 {
-    return io::encodeBurnSnapshot(
-        m_shared.burn.snapshot(io::hostNow(), m_context.settings.host, m_context.self.incarnation));
+    return io::encodeBurnSnapshot(m_shared.burnRecorder.snapshot(
+        io::hostNow(), m_context.settings.host, m_context.self.incarnation));
 }
 
 Json::Value ControlPlane::assignment(const DomainName &domain) const
@@ -691,12 +699,12 @@
         json["currentAsOfMs"] = Json::Value{};
     }
     json["contracts"] = Json::Value{Json::objectValue};
-    // What traffic goes by, which follows what the control thread holds by a tick.
+    // The contracts that traffic threads use; they lag behind the control thread by one tick.
     const auto view = m_shared.view.view();
     for (const auto &[organisation, contract] : view->contracts())
         json["contracts"][organisation.value()] = io::jsonOf(contract->version);
     json["shares"] = m_shared.limits.status(now);
-    json["stewards"] = stewardStatus();
+    json["stewards"] = leaderStatus();
     json["assignments"] = assignmentStatus();
     json["servers"] = serverStatus();
     json["peers"] = peerStatus();
@@ -709,23 +717,24 @@
     return json;
 }
 
-Json::Value ControlPlane::stewardStatus() const
+Json::Value ControlPlane::leaderStatus() const
 {
     const Instant now = io::hostNow();
     Json::Value list{Json::arrayValue};
-    for (const auto &[domain, seat] : m_seats) {
-        const auto &row = seat->seat().row();
+    for (const auto &[domain, leadership] : m_leadershipServices) {
+        const auto &row = leadership->leadership().row();
         if (!row)
             continue;
         Json::Value entry{Json::objectValue};
         entry["domain"] = domain.value();
         entry["holder"] = row->row.holder.value();
         entry["epoch"] = io::jsonOf(row->row.epoch);
-        entry["isSelf"] = seat->seat().isStewardAt(now);
-        entry["platformLease"] = seat->seat().isStewardAt(now) && !seat->isByPromises(now);
-        const auto steward = m_stewards.find(domain);
-        entry["moves"] = io::jsonOf(
-            std::uint64_t{steward == m_stewards.end() ? 0 : steward->second->moveCount()});
+        entry["isSelf"] = leadership->leadership().isStewardAt(now);
+        entry["platformLease"] =
+            leadership->leadership().isStewardAt(now) && !leadership->holdsByPromisesOnly(now);
+        const auto leader = m_leaders.find(domain);
+        entry["moves"] =
+            io::jsonOf(std::uint64_t{leader == m_leaders.end() ? 0 : leader->second->moveCount()});
         list.append(std::move(entry));
     }
     return list;
@@ -749,12 +758,12 @@
     const auto view = m_shared.view.view();
     Json::Value list{Json::arrayValue};
     for (const BackendServer &server : m_context.settings.servers) {
-        const ServerReading reading = m_shared.board.reading(server.name);
+        const ServerStatus state = m_shared.serverStatuses.status(server.name);
         Json::Value entry{Json::objectValue};
         entry["name"] = server.name.value();
-        entry["attendant"] = view->attendantOf(server.name).value();
-        entry["inFlight"] = reading.reportedLoad;
-        entry["lost"] = reading.isLost;
+        entry["attendant"] = view->managerOf(server.name).value();
+        entry["inFlight"] = state.reportedLoad;
+        entry["lost"] = state.isLost;
         std::uint64_t slices = 0;
         for (const auto &[domain, assignment] : m_assignments) {
             slices += static_cast<std::uint64_t>(std::count_if(
--- a/src/bulrushswitchd/controlplane.h
+++ b/src/bulrushswitchd/controlplane.h
@@ -1,21 +1,21 @@
 #pragma once
 
-#include "burnboard.h"
 #include "connection/rpcdispatcher.h"
 #include "controlcontext.h"
+#include "dispatchgate.h"
+#include "leadershipservice.h"
 #include "leaseservice.h"
 #include "limitboard.h"
-#include "loadboard.h"
+#include "loadrecorder.h"
 #include "process/membership.h"
 #include "process/versionstore.h"
 #include "request/claim.h"
-#include "rightgate.h"
 #include "routingview.h"
-#include "serverboard.h"
 #include "servercontrol.h"
-#include "serverlane.h"
+#include "serverqueue.h"
+#include "serverstatusregistry.h"
+#include "sharedburnrecorder.h"
 #include "shareservice.h"
-#include "stewardservice.h"
 #include "viewholder.h"
 
 #include <json/value.h>
@@ -28,79 +28,81 @@
 
 namespace bulrush {
 
-class DomainSteward;
+class DomainLeader;
 
-/** What the control thread shares with the traffic threads. Each part is thread safe. */
+/** State that the control thread shares with the traffic threads. Each part is thread safe. */
 struct SharedState
 {
-    RightGate &gate;
-    ServerBoard &board;
+    DispatchGate &gate;
+    ServerStatusRegistry &serverStatuses;
     ViewHolder<RoutingView> &view;
-    BurnBoard &burn;
-    ServerLanes &lanes;
+    SharedBurnRecorder &burnRecorder;
+    ServerQueues &serverQueues;
     LimitBoard &limits;
-    LoadBoard &loads;
+    LoadRecorder &loads;
 };
 
 /**
- * The control state of a daemon: membership, contracts, stewardship, leases and the servers that
- * it attends.
+ * The control state of a daemon: membership, contracts, domain leadership, leases and the servers
+ * that it manages.
  *
- * Used on the control thread; it hands what traffic needs on through SharedState.
+ * Used on the control thread; it passes data to the traffic threads through SharedState.
  */
 class ControlPlane
 {
 public:
-    /** \a onDeparture is called when an operator has planned that this host leaves. */
+    /** \a onDeparture is called when an operator has scheduled the departure of this host. */
     ControlPlane(ControlContext &context, SharedState shared, std::function<void()> onDeparture);
     ~ControlPlane();
 
     ControlPlane(const ControlPlane &) = delete;
     ControlPlane &operator=(const ControlPlane &) = delete;
 
-    /** Starts to act. */
+    /** Starts the periodic tasks. */
     void start();
 
-    /** Answers a call of another daemon. */
+    /** Answers the call \a text of another daemon. */
     std::string answerCall(const std::string &text);
 
-    /** Tells the others that this daemon leaves, and gives its stewardships up. */
+    /** Notifies peers that this daemon leaves, and releases its leaderships. */
     void leave();
 
-    /** Says goodbye; nothing is sent for this daemon afterwards. */
+    /** Sends the final departure messages; no other messages follow. */
     void stop();
 
-    /** \returns whether this daemon may end: it holds no stewardship any more. */
+    /** \returns whether this daemon holds no leadership any more, and so may stop. */
     bool isDepartureComplete() const;
 
-    /** \returns whether it knows its contracts and routes and has shares of the limits, and so can
-     *  serve. */
+    /**
+     * \returns whether this daemon can serve requests: it has contracts, the assignment of its
+     * domain and shares of the limits.
+     */
     bool isReady() const;
 
-    /** \returns whether a later run of a daemon has taken this host's place. */
+    /** \returns whether a newer daemon on this host has superseded this one. */
     bool isSuperseded() const;
 
-    /** \returns the view for operators, as docs/operators/status.md describes it. */
+    /** \returns the status page for operators; docs/operators/status.md describes it. */
     Json::Value status() const;
 
-    /** \returns what is known of the daemon that made a claim. */
+    /** \returns the membership state of the daemon that made a claim. */
     HolderState holderState(const Incarnation &holder) const;
 
-    /** \returns the service-level counts, in the form that merges. */
-    std::string burn() const;
+    /** \returns the service-level counts in a format that can be merged across daemons. */
+    std::string burnSnapshot() const;
 
     /** \returns the assignment of \a domain as JSON, or null. */
     Json::Value assignment(const DomainName &domain) const;
 
 private:
     void addProcedures();
-    void tickOften();
+    void tickServices();
     void tickMembership();
     void readHosts();
     void readDepartures();
     void addDepartures(std::vector<ListedHost> &hosts) const;
     void probeServers();
-    void feedPeers();
+    void updateLivePeers();
     void reportLoads();
 
     void perform(const MembershipActions &actions);
@@ -112,28 +114,28 @@
     void applyContract(const VersionedItem &item);
     void applyAssignment(const VersionedItem &item);
 
-    Json::Value onMemberMessage(const Json::Value &parameters);
-    Json::Value onPull(const DomainName &domain, const Json::Value &request);
-    Json::Value onQuestion(const Json::Value &question);
-    Json::Value onReleased(const Json::Value &parameters);
-    Json::Value onAnnounced(const Json::Value &parameters);
-    Json::Value onServerOrder(const Json::Value &parameters);
-    Json::Value onOrderEnded(const Json::Value &parameters);
-    Json::Value onShareRenewal(const Json::Value &parameters);
-    Json::Value onLoadReport(const Json::Value &parameters);
-
-    StewardService &service(const DomainName &domain);
-    void began(const DomainName &domain, const StewardshipBegan &began);
-    void announced(const DomainName &domain, const AnnounceSteward &announcement);
-    void adopt(const Assignment &assignment);
+    Json::Value handleMemberMessage(const Json::Value &parameters);
+    Json::Value handleLeasePull(const DomainName &domain, const Json::Value &request);
+    Json::Value handlePromiseRequest(const Json::Value &promiseRequest);
+    Json::Value handlePromiseRelease(const Json::Value &parameters);
+    Json::Value handleLeaderAnnouncement(const Json::Value &parameters);
+    Json::Value handleServerOrder(const Json::Value &parameters);
+    Json::Value handleServerOrderResult(const Json::Value &parameters);
+    Json::Value handleShareRenewal(const Json::Value &parameters);
+    Json::Value handleLoadReport(const Json::Value &parameters);
+
+    LeadershipService &service(const DomainName &domain);
+    void handleLeadershipBegan(const DomainName &domain, const StewardshipBegan &began);
+    void handleLeaderChange(const DomainName &domain, const AnnounceSteward &announcement);
+    void adoptAssignment(const Assignment &assignment);
     void fetchAssignment(const DomainName &domain);
     void rebuildView();
     bool isInOwnDomain(const std::string &address) const;
-    bool attendsIn(const Assignment &assignment) const;
+    bool managesServersIn(const Assignment &assignment) const;
     std::vector<MemberRecord> daemonsFor(const DomainName &domain) const;
     std::map<ServiceName, Preference> keyedServices() const;
 
-    Json::Value stewardStatus() const;
+    Json::Value leaderStatus() const;
     Json::Value assignmentStatus() const;
     Json::Value serverStatus() const;
     Json::Value peerStatus() const;
@@ -147,12 +149,12 @@
     ServerControl m_servers;
     LeaseService m_leases;
     ShareService m_shares;
-    std::map<DomainName, std::unique_ptr<StewardService>> m_seats;
-    std::map<DomainName, std::unique_ptr<DomainSteward>> m_stewards;
+    std::map<DomainName, std::unique_ptr<LeadershipService>> m_leadershipServices;
+    std::map<DomainName, std::unique_ptr<DomainLeader>> m_leaders;
     std::map<DomainName, Assignment> m_assignments;
     ContractMap m_contracts;
     std::set<ServerName> m_leavingServers;
-    /** Hosts that operators have planned to leave. */
+    /** Hosts whose departure operators have scheduled. */
     std::set<HostName> m_departures;
     bool m_isLeaving = false;
     bool m_isViewStale = false;
--- a/src/bulrushswitchd/daemon.cpp
+++ b/src/bulrushswitchd/daemon.cpp
@@ -1,7 +1,7 @@
 #include "daemon.h"
 
 #include "connection/wholebody.h"
-#include "domainsteward.h"
+#include "domainleader.h"
 #include "process/hostclock.h"
 #include "process/logging.h"
 #include "process/platformclient.h"
@@ -17,37 +17,37 @@
 
 namespace {
 
-/** Connections of the control thread to one server, peer or platform. */
-constexpr long controlConnections = 4;
+/** Maximum connections of the control thread to each server, peer or platform endpoint. */
+constexpr long controlConnectionsPerHost = 4;
 
-constexpr Duration claimInterval = std::chrono::milliseconds{2};
-constexpr Duration watchInterval = std::chrono::milliseconds{50};
+constexpr Duration claimBatchInterval = std::chrono::milliseconds{2};
+constexpr Duration stateCheckInterval = std::chrono::milliseconds{50};
 
-/** How long new work is still taken after the departure was told. */
-constexpr Duration announcement = std::chrono::seconds{2};
+/** How long new requests are still accepted after peers are notified of the departure. */
+constexpr Duration departureNoticePeriod = std::chrono::seconds{2};
 
-/** How long a stewardship may take to be handed over once all requests have ended. */
-constexpr Duration handoverPatience = std::chrono::seconds{3};
+/** Maximum time for handing leadership over once all requests have completed. */
+constexpr Duration handoverTimeout = std::chrono::seconds{3};
 
-std::uint64_t generationNow()
+std::uint64_t currentGeneration()
 {
     const auto sinceEpoch = std::chrono::system_clock::now().time_since_epoch();
     return static_cast<std::uint64_t>(
         std::chrono::duration_cast<std::chrono::milliseconds>(sinceEpoch).count());
 }
 
-MemberRecord describedSelf(const DaemonSettings &settings)
+MemberRecord ownMemberRecord(const DaemonSettings &settings)
 {
     MemberRecord self;
     self.host = settings.host;
     self.domain = settings.domain;
-    self.generation = generationNow();
+    self.generation = currentGeneration();
     self.incarnation = Incarnation{settings.host.value() + "#" + std::to_string(self.generation)
                                    + "." + std::to_string(::getpid())};
     return self;
 }
 
-AttendantLimits attendantLimits(const BackendServer &server)
+AttendantLimits serverQueueLimits(const BackendServer &server)
 {
     AttendantLimits limits;
     limits.slots = static_cast<int>(server.slots);
@@ -64,20 +64,21 @@
 
 Daemon::Daemon(DaemonSettings settings)
     : m_settings(std::move(settings))
-    , m_self(describedSelf(m_settings))
+    , m_self(ownMemberRecord(m_settings))
     , m_gate(m_self.incarnation, leaseTerms(m_settings.leases))
     , m_view(std::make_shared<const RoutingView>(m_settings.servers))
-    , m_burn(io::hostNow())
+    , m_burnRecorder(io::hostNow())
     , m_limits(m_settings.leases.driftPpm)
     , m_http(m_loop)
     , m_timers(m_loop)
     , m_peers(m_http, m_counters)
     , m_signals(m_loop, SIGTERM, SIGINT)
 {
-    // Grants come by the hundred; the server's connections are for work.
-    m_http.setConnectionsPerHost(controlConnections);
+    // Hundreds of grants may be sent at once; the limit leaves a server's connections to requests.
+    m_http.setConnectionsPerHost(controlConnectionsPerHost);
     for (const BackendServer &server : m_settings.servers)
-        m_lanes.emplace(server.name, std::make_unique<ServerLane>(attendantLimits(server)));
+        m_serverQueues.emplace(server.name,
+                               std::make_unique<ServerQueue>(serverQueueLimits(server)));
 }
 
 Daemon::~Daemon() = default;
@@ -85,14 +86,14 @@
 ExitCode Daemon::run()
 {
     if (const std::error_code error = listen()) {
-        std::cerr << "bulrushswitchd: can't listen: " << error.message() << '\n';
+        std::cerr << "bulrushswitchd: cannot listen: " << error.message() << '\n';
         return ExitCode::Listen;
     }
     m_control->start();
     for (const auto &worker : m_workers)
         worker->start();
     awaitSignal();
-    m_timers.every(watchInterval, [this](Instant) {
+    m_timers.every(stateCheckInterval, [this](Instant) {
         if (m_control->isSuperseded())
             finish(ExitCode::Superseded);
     });
@@ -110,10 +111,10 @@
     m_ports.callers = m_settings.addresses.callers.port;
     const auto handlePeer = [this](const std::shared_ptr<io::IncomingRequest> &request,
                                    const std::shared_ptr<io::ResponseWriter> &writer) {
-        // An assignment at the users' sizes is longer than what is held whole.
+        // A large assignment exceeds the limit up to which the server buffers a request body.
         io::readWholeBody(request, [this, writer](std::error_code error, const std::string &body) {
             if (error)
-                return; // letting go of the writer closes the connection
+                return; // releasing the writer closes the connection
             io::HttpResponse response;
             response.status = 200;
             response.headers = {{"Content-Type", "application/json"}};
@@ -128,17 +129,17 @@
     if (const std::error_code error = m_peerServer->listen())
         return error;
 
-    makeClaims();
+    createClaimServices();
     for (std::uint32_t i = 0; i < m_settings.trafficThreads; ++i) {
-        m_workers.push_back(std::make_unique<TrafficWorker>(
-            TrafficShared{m_settings, m_self, m_counters, m_gate, m_board, m_lanes, m_view,
-                          *m_claims, m_burn, m_limits, m_loads, m_isRefusing, m_openRequests}));
+        m_workers.push_back(std::make_unique<TrafficWorker>(TrafficShared{
+            m_settings, m_self, m_counters, m_gate, m_serverStatuses, m_serverQueues, m_view,
+            *m_claims, m_burnRecorder, m_limits, m_loads, m_isRefusing, m_openRequests}));
         if (const std::error_code error = m_workers.back()->listen(m_ports))
             return error;
     }
     m_self.address = addressOf(peers.address, m_peerServer->port());
     m_self.relayAddress = addressOf(m_settings.addresses.peers.address, m_ports.relay);
-    makeControl();
+    createControlPlane();
 
     io::CallerServerSettings operators;
     operators.address = m_settings.addresses.operators.address;
@@ -152,7 +153,7 @@
     return m_operatorServer->listen();
 }
 
-void Daemon::makeClaims()
+void Daemon::createClaimServices()
 {
     m_platform = std::make_unique<io::PlatformClient>(
         [this](io::HttpRequest request, io::HttpClient::Handler handler) {
@@ -163,8 +164,8 @@
         ControlContext{m_settings, m_self, m_timers, m_http, m_peers, *m_platform, m_counters});
     m_claimService = std::make_unique<ClaimService>(
         *m_context, [this](const Incarnation &holder) { return m_control->holderState(holder); });
-    m_claims = std::make_unique<ClaimDesk>(m_loop, *m_claimService);
-    m_timers.every(claimInterval, [this](Instant now) { m_claimService->tick(now); });
+    m_claims = std::make_unique<ClaimHandler>(m_loop, *m_claimService);
+    m_timers.every(claimBatchInterval, [this](Instant now) { m_claimService->tick(now); });
 }
 
 io::HttpClient::TransferId Daemon::fetchFromPlatform(io::HttpRequest request,
@@ -175,19 +176,21 @@
     return m_http.fetch(
         std::move(request), [this, endpoint, handler = std::move(handler)](io::HttpResult result) {
             const bool isReached = !result.error || result.stage != io::TransferStage::NotConnected;
-            // Several calls may fail at once; only the first moves on.
+            // Several calls may fail at once; only the first failure selects the next endpoint.
             if (!isReached && endpoint == m_platformEndpoint)
                 m_platformEndpoint = (endpoint + 1) % m_settings.platform.size();
             handler(std::move(result));
         });
 }
 
-void Daemon::makeControl()
+void Daemon::createControlPlane()
 {
     m_context->self = m_self;
-    m_control = std::make_unique<ControlPlane>(
-        *m_context, SharedState{m_gate, m_board, m_view, m_burn, m_lanes, m_limits, m_loads},
-        [this] { beginDrain(); });
+    m_control =
+        std::make_unique<ControlPlane>(*m_context,
+                                       SharedState{m_gate, m_serverStatuses, m_view, m_burnRecorder,
+                                                   m_serverQueues, m_limits, m_loads},
+                                       [this] { startDrain(); });
     m_pages = std::make_unique<OperatorPages>(*m_control, m_counters);
 }
 
@@ -210,37 +213,39 @@
         if (m_drainStartedAt)
             finish(m_openRequests == 0 ? ExitCode::Ok : ExitCode::CutOff);
         else
-            beginDrain();
+            startDrain();
         awaitSignal();
     });
 }
 
-void Daemon::beginDrain()
+void Daemon::startDrain()
 {
     if (m_drainStartedAt)
         return;
     m_drainStartedAt = io::hostNow();
     io::logEvent(LogLevel::Info, "drain-began", {});
     m_control->leave();
-    m_timers.after(announcement, [this](Instant) {
+    m_timers.after(departureNoticePeriod, [this](Instant) {
         m_isRefusing = true;
         for (const auto &worker : m_workers)
             worker->drain();
     });
-    m_timers.every(watchInterval, [this](Instant) { watchDrain(); });
+    m_timers.every(stateCheckInterval, [this](Instant) { checkDrain(); });
 }
 
-void Daemon::watchDrain()
+void Daemon::checkDrain()
 {
     const Duration passed = io::hostNow() - *m_drainStartedAt;
     if (passed > m_settings.drainTime && !std::exchange(m_isOverdue, true)) {
-        // Nothing is cut off: ending with requests in flight is for whoever sends the next signal.
+        // Requests in flight continue; only a second signal stops the daemon with requests in
+        // flight.
         io::logEvent(LogLevel::Warning, "drain-overdue",
                      {{"requests", std::to_string(m_openRequests)}});
     }
     const bool isIdle = m_isRefusing && m_openRequests == 0 && m_gate.flightCount() == 0
         && m_claimService->openCount() == 0;
-    if (isIdle && (m_control->isDepartureComplete() || passed > announcement + handoverPatience))
+    if (isIdle
+        && (m_control->isDepartureComplete() || passed > departureNoticePeriod + handoverTimeout))
         finish(ExitCode::Ok);
 }
 
@@ -250,8 +255,8 @@
         return;
     m_exitCode = code;
     m_control->stop();
-    // The goodbyes are on their way once the loop has run what they started.
-    m_timers.after(watchInterval, [this](Instant) { m_loop.stop(); });
+    // Lets the loop send the departure messages before it stops.
+    m_timers.after(stateCheckInterval, [this](Instant) { m_loop.stop(); });
 }
 
 } // namespace bulrush
--- a/src/bulrushswitchd/daemon.h
+++ b/src/bulrushswitchd/daemon.h
@@ -1,15 +1,15 @@
 #pragma once
 
-#include "burnboard.h"
-#include "claimdesk.h"
+#include "claimhandler.h"
 #include "claimservice.h"
 #include "connection/peerclient.h"
 #include "controlplane.h"
-#include "loadboard.h"
+#include "loadrecorder.h"
 #include "operatorpages.h"
 #include "process/counters.h"
 #include "process/drain.h"
 #include "process/looptimers.h"
+#include "sharedburnrecorder.h"
 #include "trafficworker.h"
 
 #include <asio/io_context.hpp>
@@ -23,18 +23,18 @@
 
 namespace bulrush {
 
-/** What a daemon's run came to; the values are the process's exit codes. */
+/** Result of a daemon's run; the values are the exit codes of the process. */
 enum class ExitCode : int {
-    Ok = 0,         ///< drained, or stopped with nothing in flight
-    Usage = 2,      ///< the command line can't be used
-    Settings = 3,   ///< the settings can't be used
-    Listen = 4,     ///< an address can't be listened on
-    CutOff = 5,     ///< ended upon a second signal, with requests in flight
-    Superseded = 6, ///< a later run of a daemon has taken this host's place
+    Ok = 0,         ///< drained, or stopped with no requests in flight
+    Usage = 2,      ///< invalid command line
+    Settings = 3,   ///< invalid settings
+    Listen = 4,     ///< cannot listen on an address
+    CutOff = 5,     ///< stopped by a second signal with requests in flight
+    Superseded = 6, ///< superseded by a newer daemon on this host
 };
 
 /**
- * One daemon: the control thread, which is the one that calls run(), and the traffic threads.
+ * A daemon: the control thread, which is the thread that calls run(), and the traffic threads.
  */
 class Daemon
 {
@@ -45,31 +45,31 @@
     Daemon(const Daemon &) = delete;
     Daemon &operator=(const Daemon &) = delete;
 
-    /** Listens, serves until a signal ends it, and drains. */
+    /** Listens, serves requests until a signal arrives, and then drains. */
     ExitCode run();
 
 private:
     std::error_code listen();
-    void makeClaims();
-    void makeControl();
+    void createClaimServices();
+    void createControlPlane();
     io::HttpClient::TransferId fetchFromPlatform(io::HttpRequest request,
                                                  io::HttpClient::Handler handler);
     void printAddresses() const;
     void awaitSignal();
-    void beginDrain();
-    void watchDrain();
+    void startDrain();
+    void checkDrain();
     void finish(ExitCode code);
 
     DaemonSettings m_settings;
     MemberRecord m_self;
     Counters m_counters;
-    ServerBoard m_board;
-    RightGate m_gate;
+    ServerStatusRegistry m_serverStatuses;
+    DispatchGate m_gate;
     ViewHolder<RoutingView> m_view;
-    ServerLanes m_lanes;
-    BurnBoard m_burn;
+    ServerQueues m_serverQueues;
+    SharedBurnRecorder m_burnRecorder;
     LimitBoard m_limits;
-    LoadBoard m_loads;
+    LoadRecorder m_loads;
     std::atomic<bool> m_isRefusing{false};
     std::atomic<std::size_t> m_openRequests{0};
     std::vector<std::unique_ptr<TrafficWorker>> m_workers;
@@ -77,7 +77,7 @@
 
     asio::io_context m_loop{1};
     io::HttpClient m_http;
-    /** Which of the platform's endpoints is called now. */
+    /** Index of the platform endpoint in use. */
     std::size_t m_platformEndpoint = 0;
     io::LoopTimers m_timers;
     io::PeerClient m_peers;
@@ -85,7 +85,7 @@
     std::unique_ptr<ControlContext> m_context;
     std::unique_ptr<ControlPlane> m_control;
     std::unique_ptr<ClaimService> m_claimService;
-    std::unique_ptr<ClaimDesk> m_claims;
+    std::unique_ptr<ClaimHandler> m_claims;
     std::unique_ptr<OperatorPages> m_pages;
     std::unique_ptr<io::CallerServer> m_peerServer;
     std::unique_ptr<io::CallerServer> m_operatorServer;
--- a/src/bulrushswitchd/rightgate.cpp
+++ b/src/bulrushswitchd/dispatchgate.cpp
@@ -1,28 +1,29 @@
-#include "rightgate.h"
+#include "dispatchgate.h"
 
 #include <utility>
 
 namespace bulrush {
 
-RightGate::RightGate(Incarnation incarnation, LeaseTerms terms)
+DispatchGate::DispatchGate(Incarnation incarnation, LeaseTerms terms)
     : m_incarnation(std::move(incarnation))
     , m_terms(terms)
 { }
 
-LeaseRequest RightGate::makeRequest(const DomainName &domain, Fence knownVersion, Instant now)
+LeaseRequest DispatchGate::makeRequest(const DomainName &domain, Fence knownVersion, Instant now)
 {
     const std::scoped_lock lock{m_mutex};
     return right(domain).makeRequest(knownVersion, now);
 }
 
-LeaseReplyVerdict RightGate::accept(const DomainName &domain, const LeaseReply &reply, Instant now)
+LeaseReplyVerdict DispatchGate::accept(const DomainName &domain, const LeaseReply &reply,
+                                       Instant now)
 {
     const std::scoped_lock lock{m_mutex};
     return right(domain).accept(reply, now);
 }
 
-GateDecision RightGate::startFlight(const DomainName &domain, const DispatchQuery &query,
-                                    Instant now)
+GateDecision DispatchGate::startFlight(const DomainName &domain, const DispatchQuery &query,
+                                       Instant now)
 {
     const std::scoped_lock lock{m_mutex};
     RoutingRight &rights = right(domain);
@@ -31,57 +32,57 @@
         return *refusal;
 
     const auto &allowed = std::get<DispatchAllowed>(decision);
-    return GatedFlight{domain, rights.startFlight(query, allowed), allowed};
+    return AdmittedFlight{domain, rights.startFlight(query, allowed), allowed};
 }
 
-void RightGate::endFlight(const GatedFlight &flight)
+void DispatchGate::endFlight(const AdmittedFlight &flight)
 {
     const std::scoped_lock lock{m_mutex};
     right(flight.domain).endFlight(flight.flight);
 }
 
-void RightGate::abandonFlight(const GatedFlight &flight)
+void DispatchGate::abandonFlight(const AdmittedFlight &flight)
 {
     const std::scoped_lock lock{m_mutex};
     right(flight.domain).abandonFlight(flight.flight);
 }
 
-void RightGate::setServerLost(const ServerName &server, bool isLost)
+void DispatchGate::setServerLost(const ServerName &server, bool isLost)
 {
     const std::scoped_lock lock{m_mutex};
     for (auto &[domain, rights] : m_rights)
         rights.setServerLost(server, isLost);
 }
 
-bool RightGate::wantsPull(const DomainName &domain) const
+bool DispatchGate::wantsPull(const DomainName &domain) const
 {
     const std::scoped_lock lock{m_mutex};
     const auto found = m_rights.find(domain);
     return found != m_rights.end() && found->second.wantsPull();
 }
 
-bool RightGate::hasRights(const DomainName &domain) const
+bool DispatchGate::hasRights(const DomainName &domain) const
 {
     const std::scoped_lock lock{m_mutex};
     const auto found = m_rights.find(domain);
     return found != m_rights.end() && !found->second.rights().empty();
 }
 
-Fence RightGate::assignmentVersion(const DomainName &domain) const
+Fence DispatchGate::assignmentVersion(const DomainName &domain) const
 {
     const std::scoped_lock lock{m_mutex};
     const auto found = m_rights.find(domain);
     return found == m_rights.end() ? Fence{} : found->second.assignmentVersion();
 }
 
-std::optional<Instant> RightGate::leaseEnd(const DomainName &domain) const
+std::optional<Instant> DispatchGate::leaseEnd(const DomainName &domain) const
 {
     const std::scoped_lock lock{m_mutex};
     const auto found = m_rights.find(domain);
     return found == m_rights.end() ? std::nullopt : found->second.leaseEnd();
 }
 
-std::size_t RightGate::flightCount() const
+std::size_t DispatchGate::flightCount() const
 {
     const std::scoped_lock lock{m_mutex};
     std::size_t count = 0;
@@ -90,7 +91,7 @@
     return count;
 }
 
-RoutingRight &RightGate::right(const DomainName &domain)
+RoutingRight &DispatchGate::right(const DomainName &domain)
 {
     return m_rights.try_emplace(domain, m_incarnation, m_terms).first->second;
 }
--- a/src/bulrushswitchd/domainsteward.cpp
+++ b/src/bulrushswitchd/domainleader.cpp
@@ -1,4 +1,4 @@
-#include "domainsteward.h"
+#include "domainleader.h"
 
 #include "connection/peerclient.h"
 #include "controlcontext.h"
@@ -22,18 +22,18 @@
 const char *const assignmentTable = "assignment";
 const char *const partitionTable = "partition";
 
-constexpr Duration loadLifetime = std::chrono::seconds{10};
+constexpr Duration loadReportLifetime = std::chrono::seconds{10};
 
 /**
- * Requests a second for each server of a service below which counts say nothing: with fewer, chance
- * alone takes a server's load past the planner's target.
+ * Minimum requests per second for each server of a service; counts below it are not significant.
+ * At lower rates, random variation alone takes a server's load past the planner's target.
  */
-constexpr double leastLoadPerServer = 10.0;
+constexpr double minLoadPerServer = 10.0;
 
 constexpr Duration planInterval = std::chrono::milliseconds{500};
 
-/** How long a successor waits for the views of daemons and servers, if its grants may start. */
-constexpr Duration recoveryPatience = std::chrono::milliseconds{400};
+/** How long a new leader waits for the views of daemons and servers once it may grant leases. */
+constexpr Duration recoveryTimeout = std::chrono::milliseconds{400};
 
 std::string objectName(const DomainName &domain, Fence version)
 {
@@ -48,7 +48,7 @@
     return json;
 }
 
-/** Cuts the line among the domains, by how many servers of the service each has. */
+/** Divides the key hashes among the domains in proportion to their servers of the service. */
 Json::Value evenPartition(const DaemonSettings &settings, const ServiceName &service)
 {
     std::map<DomainName, std::uint64_t> weights;
@@ -106,7 +106,7 @@
 
 CommitOutcome outcomeOf(const io::Refused & /*outcome*/)
 {
-    // Nothing took effect: the same as a lost answer whose write never will.
+    // Nothing was written; this equals a lost answer to a write that never takes effect.
     return CommitOutcome::Unknown;
 }
 
@@ -127,33 +127,34 @@
     return terms;
 }
 
-DomainSteward::DomainSteward(ControlContext &context, ServerControl &servers,
-                             const StewardSeat &seat, DomainName domain,
-                             const StewardshipBegan &began, StewardHooks hooks)
+DomainLeader::DomainLeader(ControlContext &context, ServerControl &servers,
+                           const StewardSeat &leadership, DomainName domain,
+                           const StewardshipBegan &began, DomainLeaderCallbacks callbacks)
     : m_context(context)
     , m_servers(servers)
-    , m_seat(seat)
+    , m_leadership(leadership)
     , m_domain(std::move(domain))
     , m_epoch(began.epoch)
     , m_mayGrantFrom(began.mayGrantFrom)
-    , m_hooks(std::move(hooks))
+    , m_callbacks(std::move(callbacks))
     , m_terms(leaseTerms(context.settings.leases))
-    , m_book(m_terms, began.epoch)
-    , m_loads(loadLifetime)
+    , m_leases(m_terms, began.epoch)
+    , m_loads(loadReportLifetime)
 {
     readPublished();
 }
 
 template<typename Handler>
-auto DomainSteward::whileAlive(Handler handler) const
+auto DomainLeader::whileAlive(Handler handler) const
 {
-    return [life = std::weak_ptr<Life>(m_life), handler = std::move(handler)](auto &&...values) {
-        if (!life.expired())
+    return [lifetime = std::weak_ptr<LifetimeToken>(m_lifetime),
+            handler = std::move(handler)](auto &&...values) {
+        if (!lifetime.expired())
             handler(std::forward<decltype(values)>(values)...);
     };
 }
 
-void DomainSteward::tick(Instant now, bool isOut)
+void DomainLeader::tick(Instant now, bool isPlatformOut)
 {
     if (m_recovery)
         finishRecovery(now);
@@ -162,54 +163,55 @@
     if (!m_handover)
         return;
 
-    if (isOut != m_isOut) {
-        m_isOut = isOut;
-        handle(PlatformOutage{isOut});
+    if (isPlatformOut != m_isPlatformOut) {
+        m_isPlatformOut = isPlatformOut;
+        handle(PlatformOutage{isPlatformOut});
     }
-    handle(TenureExtended{m_seat.tenureUntil()});
-    noteSilence(now);
+    handle(TenureExtended{m_leadership.tenureUntil()});
+    detectSilentDaemons(now);
     planIfDue(now);
-    m_book.expire(now);
+    m_leases.expire(now);
     handle(TimePassed{});
 }
 
-std::optional<LeaseReply> DomainSteward::answerPull(const LeaseRequest &request, Instant now)
+std::optional<LeaseReply> DomainLeader::answerPull(const LeaseRequest &request, Instant now)
 {
-    if (!m_handover || !m_seat.mayGrantAt(now))
+    if (!m_handover || !m_leadership.mayGrantAt(now))
         return std::nullopt;
 
-    noteLost(request);
-    m_heard.insert(request.incarnation);
-    if (m_silent.erase(request.incarnation) > 0)
+    updateLostServers(request);
+    m_pulledDaemons.insert(request.incarnation);
+    if (m_silentDaemons.erase(request.incarnation) > 0)
         handle(AttendantFound{request.incarnation});
     handle(TimePassed{});
-    auto reply = m_book.answer(request, m_handover->version(), now, m_seat.routingLeaseUntil(now));
+    auto reply =
+        m_leases.answer(request, m_handover->version(), now, m_leadership.routingLeaseUntil(now));
     handle(TimePassed{});
     return reply;
 }
 
-void DomainSteward::orderEnded(OrderId order, const OrderEnd &end)
+void DomainLeader::handleOrderResult(OrderId order, const OrderResult &result)
 {
     if (!m_handover)
         return;
-    if (end.highest)
-        handle(GrantRefused{order, *end.highest});
-    else if (end.isConfirmed)
-        handle(OrderConfirmed{order, end.running});
+    if (result.highest)
+        handle(GrantRefused{order, *result.highest});
+    else if (result.isConfirmed)
+        handle(OrderConfirmed{order, result.running});
 }
 
-void DomainSteward::noteLoads(const Incarnation &daemon, std::map<ServiceName, LoadReport> reports,
-                              Instant now)
+void DomainLeader::recordLoads(const Incarnation &daemon, std::map<ServiceName, LoadReport> reports,
+                               Instant now)
 {
     m_loads.note(daemon, std::move(reports), now);
 }
 
-std::size_t DomainSteward::moveCount() const
+std::size_t DomainLeader::moveCount() const
 {
     return m_handover ? m_handover->moveCount() : 0;
 }
 
-void DomainSteward::readPublished()
+void DomainLeader::readPublished()
 {
     m_isReading = true;
     m_context.counters.add(Counter::PlatformReads);
@@ -218,26 +220,26 @@
             m_isReading = false;
             if (result.error || result.rows.empty())
                 return;
-            publishedRead(result.rows.front().value, result.rows.front().version);
+            applyPublishedRow(result.rows.front().value, result.rows.front().version);
         }));
 }
 
-void DomainSteward::publishedRead(const Json::Value &value, std::uint64_t rowVersion)
+void DomainLeader::applyPublishedRow(const Json::Value &value, std::uint64_t rowVersion)
 {
-    m_publishedRow = rowVersion;
-    m_published = io::decodeFence(value).value_or(Fence{});
+    m_publishedRowVersion = rowVersion;
+    m_publishedVersion = io::decodeFence(value).value_or(Fence{});
     if (m_handover) {
-        handle(PublishedRead{m_published});
+        handle(PublishedRead{m_publishedVersion});
         return;
     }
     if (value.isNull()) {
         startRecovery(Assignment{m_domain, {}, {}, {}});
         return;
     }
-    readObject(value["object"].asString());
+    readAssignmentObject(value["object"].asString());
 }
 
-void DomainSteward::readObject(const std::string &name)
+void DomainLeader::readAssignmentObject(const std::string &name)
 {
     m_isReading = true;
     m_context.platform.getObject(name, whileAlive([this](const io::ObjectResult &result) {
@@ -250,31 +252,31 @@
                                  }));
 }
 
-void DomainSteward::startRecovery(Assignment published)
+void DomainLeader::startRecovery(Assignment published)
 {
     if (m_recovery || m_handover)
         return;
 
     const Instant now = io::hostNow();
     m_publishedSlices = published.slices;
-    m_recovery.emplace(std::move(published), m_mayGrantFrom, now + recoveryPatience);
+    m_recovery.emplace(std::move(published), m_mayGrantFrom, now + recoveryTimeout);
     std::set<Incarnation> daemons;
     std::set<ServerName> servers;
-    for (const MemberRecord &member : m_hooks.daemons())
+    for (const MemberRecord &member : m_callbacks.daemons())
         daemons.insert(member.incarnation);
     for (const BackendServer &server : m_context.settings.servers) {
-        if (isInReach(server))
+        if (isManaged(server))
             servers.insert(server.name);
     }
     m_recovery->setAsked(daemons, servers);
-    m_recovery->addView(m_context.self.incarnation, m_hooks.ownView());
-    for (const MemberRecord &member : m_hooks.daemons())
-        askDaemon(member);
+    m_recovery->addView(m_context.self.incarnation, m_callbacks.localAssignment());
+    for (const MemberRecord &member : m_callbacks.daemons())
+        requestView(member);
     for (const ServerName &server : servers)
         readGrantsOf(server);
 }
 
-void DomainSteward::askDaemon(const MemberRecord &member)
+void DomainLeader::requestView(const MemberRecord &member)
 {
     if (member.incarnation == m_context.self.incarnation)
         return;
@@ -282,7 +284,7 @@
     Json::Value parameters{Json::objectValue};
     parameters["domain"] = m_domain.value();
     m_context.peers.call(
-        member.address, "assignment.view", parameters, recoveryPatience,
+        member.address, "assignment.view", parameters, recoveryTimeout,
         whileAlive([this, daemon = member.incarnation](const io::RpcReply &reply) {
             if (reply.error || !m_recovery)
                 return;
@@ -291,7 +293,7 @@
         }));
 }
 
-void DomainSteward::readGrantsOf(const ServerName &server)
+void DomainLeader::readGrantsOf(const ServerName &server)
 {
     m_servers.readGrants(server, whileAlive([this, server](bool isAnswered, auto grants) {
                              if (isAnswered && m_recovery)
@@ -299,21 +301,21 @@
                          }));
 }
 
-std::vector<SliceOwner> DomainSteward::ownGrants(std::span<const SliceOwner> grants) const
+std::vector<SliceOwner> DomainLeader::ownGrants(std::span<const SliceOwner> grants) const
 {
-    // A server may hold slices of another domain's steward too, whose fences don't compare.
+    // A server may also hold slices of another domain's leader, whose fences are not comparable.
     std::vector<SliceOwner> own;
     for (const SliceOwner &grant : grants) {
-        // A slice may have been split since its grant, so that several cover it.
+        // A slice may have been split since its grant, so several slices may cover the grant.
         if (isCovered(grant, m_publishedSlices))
             own.push_back(grant);
     }
     return own;
 }
 
-void DomainSteward::finishRecovery(Instant now)
+void DomainLeader::finishRecovery(Instant now)
 {
-    if (!m_seat.mayGrantAt(now))
+    if (!m_leadership.mayGrantAt(now))
         return;
     const auto inForce = m_recovery->result(now);
     if (!inForce)
@@ -322,8 +324,8 @@
     m_recovery.reset();
     m_recoveredAt = now;
     m_attendances = AttendanceTable{inForce->attendances};
-    m_handover =
-        std::make_unique<Handover>(HandoverTerms{}, m_epoch, *inForce, m_published, m_book);
+    m_handover = std::make_unique<Handover>(HandoverTerms{}, m_epoch, *inForce, m_publishedVersion,
+                                            m_leases);
     std::set<ServerName> checking;
     for (const BackendServer &server : m_context.settings.servers) {
         if (server.checksFence)
@@ -336,17 +338,17 @@
                   {"slices", std::to_string(inForce->slices.size())}});
 }
 
-void DomainSteward::planIfDue(Instant now)
+void DomainLeader::planIfDue(Instant now)
 {
-    if (m_plannedAt && now < *m_plannedAt + planInterval)
+    if (m_lastPlanAt && now < *m_lastPlanAt + planInterval)
         return;
-    m_plannedAt = now;
+    m_lastPlanAt = now;
     m_loads.expire(now);
 
     const std::vector<ServerState> servers = serverStates();
     AssignmentWanted wanted;
     wanted.wanted.domain = m_domain;
-    for (const auto &[service, preference] : m_hooks.keyedServices()) {
+    for (const auto &[service, preference] : m_callbacks.keyedServices()) {
         const auto slices = plannedSlices(service, preference, servers, now);
         wanted.wanted.slices.insert(wanted.wanted.slices.end(), slices.begin(), slices.end());
     }
@@ -354,16 +356,16 @@
     handle(wanted);
 }
 
-std::vector<SliceOwner> DomainSteward::plannedSlices(const ServiceName &service,
-                                                     Preference preference,
-                                                     const std::vector<ServerState> &servers,
-                                                     Instant now)
+std::vector<SliceOwner> DomainLeader::plannedSlices(const ServiceName &service,
+                                                    Preference preference,
+                                                    const std::vector<ServerState> &servers,
+                                                    Instant now)
 {
     const Assignment inForce = m_handover->assignment();
     const auto current = slicesOf(inForce, service);
     if (current.empty()) {
-        const auto parts = m_parts.find(service);
-        if (parts == m_parts.end()) {
+        const auto parts = m_partitionRanges.find(service);
+        if (parts == m_partitionRanges.end()) {
             readPartition(service);
             return {};
         }
@@ -383,46 +385,46 @@
         std::count_if(servers.begin(), servers.end(),
                       [&](const ServerState &state) { return state.service == service; });
     const LoadReport loads =
-        m_loads.merged(service, ranges, leastLoadPerServer * static_cast<double>(serverCount));
+        m_loads.merged(service, ranges, minLoadPerServer * static_cast<double>(serverCount));
     const PlanInput input{service, current, servers, loads.slices, loads.hotKeys};
     return appliedPlan(current, planner.plan(input, now));
 }
 
-std::vector<ServerState> DomainSteward::serverStates() const
+std::vector<ServerState> DomainLeader::serverStates() const
 {
-    const std::set<ServerName> leaving = m_hooks.leavingServers();
+    const std::set<ServerName> leaving = m_callbacks.leavingServers();
     std::vector<ServerState> states;
     for (const BackendServer &server : m_context.settings.servers) {
-        if (!isInReach(server))
+        if (!isManaged(server))
             continue;
         ServerState state;
         state.server = server.name;
         state.service = server.service;
         state.capacity = server.slots;
         state.isLeaving = leaving.contains(server.name);
-        state.isLost = m_lost.contains(server.name);
+        state.isLost = m_lostServers.contains(server.name);
         states.push_back(std::move(state));
     }
     return states;
 }
 
-std::vector<Attendance> DomainSteward::plannedAttendances(const std::vector<ServerState> &servers)
+std::vector<Attendance> DomainLeader::plannedAttendances(const std::vector<ServerState> &servers)
 {
     std::set<ServerName> own;
     std::vector<Attendance> others;
     for (const ServerState &state : servers) {
-        const Incarnation attendant = m_hooks.attendantOf(state.server);
+        const Incarnation manager = m_callbacks.managerOf(state.server);
         const auto server = std::find_if(
             m_context.settings.servers.begin(), m_context.settings.servers.end(),
             [&](const BackendServer &candidate) { return candidate.name == state.server; });
         if (server->domain == m_domain)
             own.insert(state.server);
-        else if (!attendant.isEmpty())
-            others.push_back({state.server, attendant});
+        else if (!manager.isEmpty())
+            others.push_back({state.server, manager});
     }
     std::set<Incarnation> daemons;
-    for (const MemberRecord &member : m_hooks.daemons()) {
-        if (member.state == MemberState::Alive && !m_silent.contains(member.incarnation))
+    for (const MemberRecord &member : m_callbacks.daemons()) {
+        if (member.state == MemberState::Alive && !m_silentDaemons.contains(member.incarnation))
             daemons.insert(member.incarnation);
     }
     m_attendances.fit(own, daemons);
@@ -434,77 +436,78 @@
     return others;
 }
 
-bool DomainSteward::isInReach(const BackendServer &server) const
+bool DomainLeader::isManaged(const BackendServer &server) const
 {
     return server.domain == m_domain || server.domain == m_context.settings.domain;
 }
 
-void DomainSteward::noteSilence(Instant now)
+void DomainLeader::detectSilentDaemons(Instant now)
 {
-    for (const Incarnation &daemon : m_book.silentSince(now - m_terms.length))
-        noteLostAttendant(daemon);
-    if (now >= m_recoveredAt + m_terms.length && !std::exchange(m_hasCheckedHeard, true))
-        noteNeverHeard();
+    for (const Incarnation &daemon : m_leases.silentSince(now - m_terms.length))
+        markManagerLost(daemon);
+    if (now >= m_recoveredAt + m_terms.length && !std::exchange(m_hasCheckedAbsentManagers, true))
+        markAbsentManagersLost();
 }
 
-void DomainSteward::noteNeverHeard()
+void DomainLeader::markAbsentManagersLost()
 {
-    // An attendant that died before this epoch never pulls in it, and holds nothing of it.
+    // A manager that stopped before this epoch never pulls in it and holds no lease of it.
     const Assignment inForce = m_handover->assignment();
     for (const Attendance &attendance : inForce.attendances) {
-        if (!attendance.attendant.isEmpty() && !m_heard.contains(attendance.attendant))
-            noteLostAttendant(attendance.attendant);
+        if (!attendance.attendant.isEmpty() && !m_pulledDaemons.contains(attendance.attendant))
+            markManagerLost(attendance.attendant);
     }
 }
 
-void DomainSteward::noteLostAttendant(const Incarnation &daemon)
+void DomainLeader::markManagerLost(const Incarnation &daemon)
 {
-    if (!m_silent.insert(daemon).second)
+    if (!m_silentDaemons.insert(daemon).second)
         return;
     handle(AttendantLost{daemon});
-    m_plannedAt.reset();
+    m_lastPlanAt.reset();
 }
 
-void DomainSteward::noteLost(const LeaseRequest &request)
+void DomainLeader::updateLostServers(const LeaseRequest &request)
 {
-    m_lostBy[request.incarnation] = {request.lostServers.begin(), request.lostServers.end()};
+    m_lostServersByDaemon[request.incarnation] = {request.lostServers.begin(),
+                                                  request.lostServers.end()};
     std::set<ServerName> lost;
-    for (const auto &[daemon, servers] : m_lostBy)
+    for (const auto &[daemon, servers] : m_lostServersByDaemon)
         lost.insert(servers.begin(), servers.end());
     for (const ServerName &server : lost) {
-        if (!m_lost.contains(server))
+        if (!m_lostServers.contains(server))
             handle(ServerLost{server});
     }
-    for (const ServerName &server : m_lost) {
+    for (const ServerName &server : m_lostServers) {
         if (!lost.contains(server))
             handle(ServerFound{server});
     }
-    if (lost != m_lost)
-        m_plannedAt.reset();
-    m_lost = std::move(lost);
+    if (lost != m_lostServers)
+        m_lastPlanAt.reset();
+    m_lostServers = std::move(lost);
 }
 
-void DomainSteward::readPartition(const ServiceName &service)
+void DomainLeader::readPartition(const ServiceName &service)
 {
-    if (!m_partsAsked.insert(service).second)
+    if (!m_requestedPartitions.insert(service).second)
         return;
 
     m_context.counters.add(Counter::PlatformReads);
     m_context.platform.read({{partitionTable, service.value()}},
                             whileAlive([this, service](const io::RowsResult &result) {
-                                m_partsAsked.erase(service);
+                                m_requestedPartitions.erase(service);
                                 if (result.error || result.rows.empty())
                                     return;
                                 if (result.rows.front().value.isNull())
                                     createPartition(service);
                                 else
-                                    takePartition(service, result.rows.front().value);
+                                    applyPartition(service, result.rows.front().value);
                             }));
 }
 
-void DomainSteward::createPartition(const ServiceName &service)
+void DomainLeader::createPartition(const ServiceName &service)
 {
-    m_partsAsked.insert(service);
+    m_requestedPartitions.insert(service);
     const io::RowId id{partitionTable, service.value()};
     io::Transaction transaction;
     transaction.id =
@@ -513,13 +516,14 @@
     transaction.conditions = {{id, 0}};
     transaction.writes = {{id, evenPartition(m_context.settings, service)}};
     m_context.counters.add(Counter::PlatformWrites);
-    // Whatever became of it, the next plan reads the row that is there.
-    m_context.platform.transact(
-        transaction,
-        whileAlive([this, service](const io::TransactOutcome &) { m_partsAsked.erase(service); }));
+    // The next plan reads the row, whatever the outcome of this write is.
+    m_context.platform.transact(transaction,
+                                whileAlive([this, service](const io::TransactOutcome &) {
+                                    m_requestedPartitions.erase(service);
+                                }));
 }
 
-void DomainSteward::takePartition(const ServiceName &service, const Json::Value &value)
+void DomainLeader::applyPartition(const ServiceName &service, const Json::Value &value)
 {
     io::JsonReader reader{value};
     std::vector<SliceRange> ranges;
@@ -531,33 +535,34 @@
         if (domain == m_domain && begin && end)
             ranges.push_back({*begin, *end});
     }
-    m_parts[service] = std::move(ranges);
-    m_plannedAt.reset();
+    m_partitionRanges[service] = std::move(ranges);
+    m_lastPlanAt.reset();
 }
 
-void DomainSteward::handle(const HandoverEvent &event)
+void DomainLeader::handle(const HandoverEvent &event)
 {
     const Instant now = io::hostNow();
-    if (!m_seat.isStewardAt(now))
+    if (!m_leadership.isStewardAt(now))
         return;
     for (const HandoverAction &action : m_handover->handle(event, now))
         perform(action);
 }
 
-void DomainSteward::perform(const HandoverAction &action)
+void DomainLeader::perform(const HandoverAction &action)
 {
     std::visit([this](const auto &kind) { performAction(kind); }, action);
 }
 
-void DomainSteward::performAction(const ServerOrder &order)
+void DomainLeader::performAction(const ServerOrder &order)
 {
     if (order.through == m_context.self.incarnation || order.through.isEmpty()) {
-        m_servers.execute(
-            {m_domain, m_epoch}, order,
-            whileAlive([this, id = order.order](const OrderEnd &end) { orderEnded(id, end); }));
+        m_servers.execute({m_domain, m_epoch}, order,
+                          whileAlive([this, id = order.order](const OrderResult &result) {
+                              handleOrderResult(id, result);
+                          }));
         return;
     }
-    for (const MemberRecord &member : m_hooks.daemons()) {
+    for (const MemberRecord &member : m_callbacks.daemons()) {
         if (member.incarnation != order.through)
             continue;
         Json::Value parameters = io::encodeServerOrder(order);
@@ -570,23 +575,23 @@
     }
 }
 
-void DomainSteward::performAction(const CommitAssignment &commit)
+void DomainLeader::performAction(const CommitAssignment &commit)
 {
     const std::string object = objectName(m_domain, commit.next.version);
     m_context.counters.add(Counter::PlatformWrites);
     m_context.platform.putObject(object, io::compactText(io::encodeAssignment(commit.next)),
                                  whileAlive([this, commit, object](std::error_code error) {
                                      if (error)
-                                         commitEnded(commit, CommitOutcome::Unknown);
+                                         handleCommitResult(commit, CommitOutcome::Unknown);
                                      else
                                          publishRow(commit, object);
                                  }));
 }
 
-void DomainSteward::publishRow(const CommitAssignment &commit, const std::string &object)
+void DomainLeader::publishRow(const CommitAssignment &commit, const std::string &object)
 {
-    if (commit.expected != m_published) {
-        commitEnded(commit, CommitOutcome::Conflict);
+    if (commit.expected != m_publishedVersion) {
+        handleCommitResult(commit, CommitOutcome::Conflict);
         return;
     }
 
@@ -594,21 +599,21 @@
     io::Transaction transaction;
     transaction.id = io::TransactionId{object};
     transaction.writer = m_context.self.incarnation;
-    transaction.conditions = {{id, m_publishedRow}};
+    transaction.conditions = {{id, m_publishedRowVersion}};
     transaction.writes = {{id, rowValue(commit.next.version, object)}};
     m_context.counters.add(Counter::PlatformWrites);
     m_context.platform.transact(
         transaction, whileAlive([this, commit](const io::TransactOutcome &outcome) {
             if (const auto *committed = std::get_if<io::Committed>(&outcome)) {
-                m_published = commit.next.version;
-                m_publishedRow = committed->versions.at(0);
+                m_publishedVersion = commit.next.version;
+                m_publishedRowVersion = committed->versions.at(0);
             }
-            commitEnded(commit,
-                        std::visit([](const auto &kind) { return outcomeOf(kind); }, outcome));
+            handleCommitResult(
+                commit, std::visit([](const auto &kind) { return outcomeOf(kind); }, outcome));
         }));
 }
 
-void DomainSteward::commitEnded(const CommitAssignment &commit, CommitOutcome outcome)
+void DomainLeader::handleCommitResult(const CommitAssignment &commit, CommitOutcome outcome)
 {
     if (outcome == CommitOutcome::Committed)
         m_context.counters.add(Counter::AssignmentsPublished);
@@ -617,31 +622,31 @@
     handle(CommitEnded{commit.commit, outcome});
 }
 
-void DomainSteward::performAction(const ReadPublished & /*action*/)
+void DomainLeader::performAction(const ReadPublished & /*action*/)
 {
     if (!m_isReading)
         readPublished();
 }
 
-void DomainSteward::performAction(const AssignmentInForce &action)
+void DomainLeader::performAction(const AssignmentInForce &action)
 {
-    m_hooks.inForce(action.assignment);
+    m_callbacks.onAssignmentInForce(action.assignment);
 }
 
-void DomainSteward::performAction(const PromptPull &action)
+void DomainLeader::performAction(const PromptPull &action)
 {
     Json::Value parameters{Json::objectValue};
     parameters["domain"] = m_domain.value();
     parameters["epoch"] = io::jsonOf(m_epoch);
     parameters["steward"] = m_context.self.address;
-    for (const MemberRecord &member : m_hooks.daemons()) {
+    for (const MemberRecord &member : m_callbacks.daemons()) {
         if (member.incarnation == action.daemon)
             m_context.peers.call(member.address, "lease.prompt", parameters, peerCallTimeout,
                                  [](const io::RpcReply &) {});
     }
 }
 
-void DomainSteward::performAction(const StewardshipLost & /*action*/)
+void DomainLeader::performAction(const StewardshipLost & /*action*/)
 {
     io::logEvent(LogLevel::Warning, "stewardship-overtaken", {{"domain", m_domain.value()}});
 }
--- a/src/bulrushswitchd/domainshares.cpp
+++ b/src/bulrushswitchd/domainshares.cpp
@@ -9,14 +9,14 @@
 
 constexpr std::uint64_t firstEpoch = 1;
 
-/** Requests at once are given whole. */
-constexpr double wholeRequests = 1.0;
-constexpr double anyAmount = 0.0;
+/** Concurrency is granted in units of one request. */
+constexpr double wholeRequestUnit = 1.0;
+constexpr double anyUnit = 0.0;
 
 ShareTerms shareTerms(const DaemonSettings &settings)
 {
     ShareTerms terms;
-    terms.loanLength = {}; // nothing is lent, so no successor need wait for a loan's end
+    terms.loanLength = {}; // shares are not lent, so a successor need not wait for loans to expire
     terms.driftPpm = settings.leases.driftPpm;
     return terms;
 }
@@ -30,7 +30,7 @@
     , m_beganAt(beganAt)
     , m_terms(shareTerms(settings))
     , m_domainCount(static_cast<std::uint32_t>(settings.domains.size()))
-    , m_place(static_cast<std::uint32_t>(std::ranges::count_if(
+    , m_domainIndex(static_cast<std::uint32_t>(std::ranges::count_if(
           settings.domains, [this](const DomainName &other) { return other < m_domain; })))
 { }
 
@@ -38,12 +38,13 @@
                                Instant now)
 {
     ShareReply reply;
-    reply.isSettled = isFirst() || now >= m_beganAt + stretched(m_terms.length, m_terms.driftPpm);
+    reply.isSettled =
+        isFirstEpoch() || now >= m_beganAt + stretched(m_terms.length, m_terms.driftPpm);
     for (const OrganisationDemand &asked : request.organisations) {
         const auto contract = contracts.find(asked.organisation);
         if (contract == contracts.end())
             continue;
-        Ledgers &held = ledgers(*contract->second);
+        ShareTables &held = shareTables(*contract->second);
         OrganisationGrant grant;
         grant.organisation = asked.organisation;
         grant.rate = held.rate.renew(request.incarnation, asked.rate.demand, asked.rate.held, now);
@@ -54,28 +55,29 @@
     return reply;
 }
 
-bool DomainShares::isFirst() const
+bool DomainShares::isFirstEpoch() const
 {
     return m_epoch <= firstEpoch;
 }
 
-ShareLedger DomainShares::ledger(double own, double unit) const
+ShareLedger DomainShares::makeShareTable(double own, double unit) const
 {
     ShareTerms terms = m_terms;
     terms.unit = unit;
-    if (isFirst())
+    if (isFirstEpoch())
         return ShareLedger{own, m_epoch, terms};
     return ShareLedger::successor(own, m_epoch, terms, m_beganAt);
 }
 
-DomainShares::Ledgers &DomainShares::ledgers(const Contract &contract)
+DomainShares::ShareTables &DomainShares::shareTables(const Contract &contract)
 {
     const double rate = ownRate(contract.limits);
     const double concurrency = ownConcurrency(contract.limits);
-    const auto found = m_ledgers.find(contract.organisation);
-    if (found == m_ledgers.end()) {
-        Ledgers ledgers{ledger(rate, anyAmount), ledger(concurrency, wholeRequests)};
-        return m_ledgers.emplace(contract.organisation, std::move(ledgers)).first->second;
+    const auto found = m_shareTables.find(contract.organisation);
+    if (found == m_shareTables.end()) {
+        ShareTables shareTables{makeShareTable(rate, anyUnit),
+                                makeShareTable(concurrency, wholeRequestUnit)};
+        return m_shareTables.emplace(contract.organisation, std::move(shareTables)).first->second;
     }
     found->second.rate.setOwn(rate);
     found->second.concurrency.setOwn(concurrency);
@@ -87,10 +89,10 @@
     return static_cast<double>(limits.requestsPerSecond) / m_domainCount;
 }
 
-/** What doesn't divide goes to the first domains, one each. */
+/** The remainder of the division goes to the first domains, one each. */
 double DomainShares::ownConcurrency(const OrganisationLimits &limits) const
 {
-    const bool hasRest = m_place < limits.concurrency % m_domainCount;
+    const bool hasRest = m_domainIndex < limits.concurrency % m_domainCount;
     const auto even = limits.concurrency / m_domainCount;
     return static_cast<double>(even) + (hasRest ? 1.0 : 0.0);
 }
--- a/src/bulrushswitchd/domainshares.h
+++ b/src/bulrushswitchd/domainshares.h
@@ -11,38 +11,40 @@
 
 namespace bulrush {
 
-/** The contracts in force, as a daemon knows them. */
+/** The contracts in force at a daemon. */
 using ContractMap = std::map<OrganisationName, std::shared_ptr<const Contract>>;
 
 /**
- * One failure domain's even parts of all organisations' limits, as its steward of one epoch hands
- * them out to the domain's daemons. Nothing is lent to other domains, so the parts add up to no
- * more than the limits, whoever is cut off.
+ * One failure domain's equal parts of all organisations' limits, which its leader of one epoch
+ * distributes to the domain's daemons. Parts are never lent to other domains, so that their sum
+ * cannot exceed the limits even if domains are partitioned.
  *
- * It must outlive interruptions of its epoch: what was given counts on. Not thread safe.
+ * It must be kept during interruptions of its epoch, since granted shares remain valid. Not thread
+ * safe.
  */
 class DomainShares
 {
 public:
-    /** The epoch of the steward begins at \a beganAt, when its predecessor can give no more. */
+    /** The leader's \a epoch begins at \a beganAt, from when its predecessor cannot grant shares.
+     */
     DomainShares(const DaemonSettings &settings, DomainName domain, std::uint64_t epoch,
                  Instant beganAt);
 
     std::uint64_t epoch() const;
 
-    /** A daemon asks. \pre the steward may grant at \a now. */
+    /** Answers a daemon's request for shares. \pre the leader may grant at \a now. */
     ShareReply renew(const ShareRequest &request, const ContractMap &contracts, Instant now);
 
 private:
-    struct Ledgers
+    struct ShareTables
     {
         ShareLedger rate;
         ShareLedger concurrency;
     };
 
-    bool isFirst() const;
-    ShareLedger ledger(double own, double unit) const;
-    Ledgers &ledgers(const Contract &contract);
+    bool isFirstEpoch() const;
+    ShareLedger makeShareTable(double own, double unit) const;
+    ShareTables &shareTables(const Contract &contract);
     double ownRate(const OrganisationLimits &limits) const;
     double ownConcurrency(const OrganisationLimits &limits) const;
 
@@ -50,10 +52,11 @@
     std::uint64_t m_epoch;
     Instant m_beganAt;
     ShareTerms m_terms;
-    /** How many domains share the limits, and this one's place among them by name. */
+    /** The number of domains that share the limits, and the index of this one among them by name.
+     */
     std::uint32_t m_domainCount;
-    std::uint32_t m_place;
-    std::map<OrganisationName, Ledgers> m_ledgers;
+    std::uint32_t m_domainIndex;
+    std::map<OrganisationName, ShareTables> m_shareTables;
 };
 
 inline std::uint64_t DomainShares::epoch() const
--- a/src/bulrushswitchd/stewardservice.cpp
+++ b/src/bulrushswitchd/leadershipservice.cpp
@@ -1,8 +1,8 @@
-#include "stewardservice.h"
+#include "leadershipservice.h"
 
 #include "connection/peerclient.h"
 #include "controlcontext.h"
-#include "domainsteward.h"
+#include "domainleader.h"
 #include "process/counters.h"
 #include "process/hostclock.h"
 #include "process/logging.h"
@@ -22,7 +22,7 @@
     return {member.incarnation, member.domain, member.address};
 }
 
-/** \returns the row as the seat takes it; nothing if it can't be read. */
+/** \returns the decoded row, or nothing if it is malformed. */
 std::optional<VersionedStewardRow> versionedRow(const io::TableRow &row)
 {
     if (row.value.isNull())
@@ -59,7 +59,7 @@
 
 } // namespace
 
-StewardTimings stewardTimings(const LeaseTimings &leases)
+StewardTimings leadershipTimings(const LeaseTimings &leases)
 {
     StewardTimings timings;
     timings.leaseLength = leases.stewardLease;
@@ -75,27 +75,28 @@
     return timings;
 }
 
-StewardService::StewardService(ControlContext &context, DomainName domain, StewardNotices notices)
+LeadershipService::LeadershipService(ControlContext &context, DomainName domain,
+                                     LeadershipCallbacks callbacks)
     : m_context(context)
     , m_domain(std::move(domain))
-    , m_notices(std::move(notices))
-    , m_seat(candidateOf(context.self), m_domain, stewardTimings(context.settings.leases))
+    , m_callbacks(std::move(callbacks))
+    , m_leadership(candidateOf(context.self), m_domain, leadershipTimings(context.settings.leases))
 { }
 
-void StewardService::tick(Instant now)
+void LeadershipService::tick(Instant now)
 {
-    for (const StewardAction &action : m_seat.handle(StewardTick{}, now))
+    for (const StewardAction &action : m_leadership.handle(StewardTick{}, now))
         perform(action);
 }
 
-Json::Value StewardService::answerQuestion(const Json::Value &question)
+Json::Value LeadershipService::answerPromiseRequest(const Json::Value &promiseRequest)
 {
-    const auto asked = io::decodePromiseQuestion(question);
-    if (!asked || question["to"].asString() != m_context.self.incarnation.value())
+    const auto asked = io::decodePromiseQuestion(promiseRequest);
+    if (!asked || promiseRequest["to"].asString() != m_context.self.incarnation.value())
         return {};
 
     m_lastAnswer.reset();
-    tell(*asked);
+    handleEvent(*asked);
     if (!m_lastAnswer)
         return {};
 
@@ -104,37 +105,37 @@
                                     m_lastAnswer->askId, m_lastAnswer->verdict});
 }
 
-void StewardService::tell(const StewardEvent &event)
+void LeadershipService::handleEvent(const StewardEvent &event)
 {
-    for (const StewardAction &action : m_seat.handle(event, io::hostNow()))
+    for (const StewardAction &action : m_leadership.handle(event, io::hostNow()))
         perform(action);
 }
 
-bool StewardService::isByPromises(Instant now) const
+bool LeadershipService::holdsByPromisesOnly(Instant now) const
 {
-    const Duration patience = m_context.settings.leases.stewardLease;
-    return m_seat.isStewardAt(now)
-        && (!m_platformAnsweredAt || now > *m_platformAnsweredAt + patience);
+    const Duration platformTimeout = m_context.settings.leases.stewardLease;
+    return m_leadership.isStewardAt(now)
+        && (!m_platformAnsweredAt || now > *m_platformAnsweredAt + platformTimeout);
 }
 
-void StewardService::perform(const StewardAction &action)
+void LeadershipService::perform(const StewardAction &action)
 {
     std::visit([this](const auto &kind) { performAction(kind); }, action);
 }
 
-void StewardService::performAction(const ReadStewardRow & /*action*/)
+void LeadershipService::performAction(const ReadStewardRow & /*action*/)
 {
     m_context.platform.read({{stewardTable, m_domain.value()}}, [this](const io::RowsResult &read) {
         const auto row =
             read.error || read.rows.empty() ? std::nullopt : versionedRow(read.rows.front());
         if (row)
-            tell(StewardRowRead{*row});
+            handleEvent(StewardRowRead{*row});
         else
-            tell(StewardReadFailed{});
+            handleEvent(StewardReadFailed{});
     });
 }
 
-void StewardService::performAction(const WriteStewardRow &action)
+void LeadershipService::performAction(const WriteStewardRow &action)
 {
     const io::RowId id{stewardTable, m_domain.value()};
     io::Transaction transaction;
@@ -148,12 +149,12 @@
             || std::holds_alternative<io::Conflict>(outcome);
         if (hasAnswered)
             m_platformAnsweredAt = io::hostNow();
-        tell(StewardWriteAnswered{
+        handleEvent(StewardWriteAnswered{
             attempt, std::visit([](const auto &kind) { return outcomeOf(kind); }, outcome)});
     });
 }
 
-void StewardService::performAction(const AskPromise &action)
+void LeadershipService::performAction(const AskPromise &action)
 {
     m_context.counters.add(Counter::PromisesAsked);
     m_context.peers.call(action.to.address, "steward.promise",
@@ -162,41 +163,41 @@
                              const auto answer =
                                  reply.error ? std::nullopt : io::decodePromiseAnswer(reply.result);
                              if (answer)
-                                 tell(*answer);
+                                 handleEvent(*answer);
                          });
 }
 
-void StewardService::performAction(const AnswerPromise &action)
+void LeadershipService::performAction(const AnswerPromise &action)
 {
     m_lastAnswer = action;
 }
 
-void StewardService::performAction(const ReleasePromise &action)
+void LeadershipService::performAction(const ReleasePromise &action)
 {
     m_context.peers.call(action.to.address, "steward.release",
                          io::encodePromiseRelease(m_domain, action), peerCallTimeout,
                          [](const io::RpcReply &) {});
 }
 
-void StewardService::performAction(const AnnounceSteward &action)
+void LeadershipService::performAction(const AnnounceSteward &action)
 {
-    m_notices.announced(action);
+    m_callbacks.onLeaderChanged(action);
 }
 
-void StewardService::performAction(const StewardshipBegan &action)
+void LeadershipService::performAction(const StewardshipBegan &action)
 {
     m_context.counters.add(Counter::StewardshipsBegun);
     io::logEvent(LogLevel::Info, "stewardship-began",
                  {{"domain", m_domain.value()}, {"epoch", std::to_string(action.epoch)}});
-    m_notices.began(action);
+    m_callbacks.onBegan(action);
 }
 
-void StewardService::performAction(const StewardshipEnded &action)
+void LeadershipService::performAction(const StewardshipEnded &action)
 {
     m_context.counters.add(Counter::StewardshipsEnded);
     io::logEvent(LogLevel::Warning, "stewardship-ended",
                  {{"domain", m_domain.value()}, {"epoch", std::to_string(action.epoch)}});
-    m_notices.ended(action);
+    m_callbacks.onEnded(action);
 }
 
 } // namespace bulrush
--- a/src/bulrushswitchd/leaseservice.cpp
+++ b/src/bulrushswitchd/leaseservice.cpp
@@ -2,16 +2,16 @@
 
 #include "connection/peerclient.h"
 #include "controlcontext.h"
+#include "dispatchgate.h"
 #include "process/counters.h"
 #include "process/hostclock.h"
 #include "process/leasecodec.h"
-#include "rightgate.h"
 
 #include <utility>
 
 namespace bulrush {
 
-LeaseService::LeaseService(ControlContext &context, RightGate &gate, LocalPull localPull,
+LeaseService::LeaseService(ControlContext &context, DispatchGate &gate, LocalPull localPull,
                            NewVersion onNewVersion)
     : m_context(context)
     , m_gate(gate)
@@ -19,24 +19,24 @@
     , m_onNewVersion(std::move(onNewVersion))
 { }
 
-void LeaseService::stewardKnown(const DomainName &domain, const KnownSteward &steward)
+void LeaseService::setLeader(const DomainName &domain, const KnownLeader &leader)
 {
     DomainPull &pull = m_pulls[domain];
-    if (steward.epoch <= pull.steward.epoch || steward.address.empty())
+    if (leader.epoch <= pull.leader.epoch || leader.address.empty())
         return;
-    pull.steward = steward;
+    pull.leader = leader;
     pull.sentAt.reset();
 }
 
-void LeaseService::setConcerned(const DomainName &domain, bool isConcerned)
+void LeaseService::setShouldPull(const DomainName &domain, bool shouldPull)
 {
-    m_pulls[domain].isConcerned = isConcerned;
+    m_pulls[domain].shouldPull = shouldPull;
 }
 
 void LeaseService::pull(const DomainName &domain)
 {
     const auto found = m_pulls.find(domain);
-    if (found != m_pulls.end() && !found->second.steward.address.empty())
+    if (found != m_pulls.end() && !found->second.leader.address.empty())
         send(domain, found->second, io::hostNow());
 }
 
@@ -45,9 +45,9 @@
     for (auto &[domain, pull] : m_pulls) {
         const bool isDue =
             !pull.sentAt || now >= *pull.sentAt + m_context.settings.leases.renewEvery;
-        const bool isConcerned =
-            domain == m_context.settings.domain || pull.isConcerned || m_gate.hasRights(domain);
-        if (pull.steward.address.empty() || !isConcerned)
+        const bool shouldPull =
+            domain == m_context.settings.domain || pull.shouldPull || m_gate.hasRights(domain);
+        if (pull.leader.address.empty() || !shouldPull)
             continue;
         if (isDue || m_gate.wantsPull(domain))
             send(domain, pull, now);
@@ -59,12 +59,12 @@
     m_pulls[domain].knownVersion = version;
 }
 
-std::optional<KnownSteward> LeaseService::steward(const DomainName &domain) const
+std::optional<KnownLeader> LeaseService::leader(const DomainName &domain) const
 {
     const auto found = m_pulls.find(domain);
-    if (found == m_pulls.end() || found->second.steward.address.empty())
+    if (found == m_pulls.end() || found->second.leader.address.empty())
         return std::nullopt;
-    return found->second.steward;
+    return found->second.leader;
 }
 
 void LeaseService::send(const DomainName &domain, DomainPull &pull, Instant now)
@@ -74,18 +74,18 @@
         io::encodeLeaseRequest(m_gate.makeRequest(domain, pull.knownVersion, now));
     request["domain"] = domain.value();
     m_context.counters.add(Counter::LeaseRequestsSent);
-    if (pull.steward.address == m_context.self.address) {
-        replied(domain, m_localPull(domain, request));
+    if (pull.leader.address == m_context.self.address) {
+        handleReply(domain, m_localPull(domain, request));
         return;
     }
-    m_context.peers.call(pull.steward.address, "lease.pull", request, peerCallTimeout,
+    m_context.peers.call(pull.leader.address, "lease.pull", request, peerCallTimeout,
                          [this, domain](const io::RpcReply &reply) {
                              if (!reply.error)
-                                 replied(domain, reply.result);
+                                 handleReply(domain, reply.result);
                          });
 }
 
-void LeaseService::replied(const DomainName &domain, const Json::Value &reply)
+void LeaseService::handleReply(const DomainName &domain, const Json::Value &reply)
 {
     const auto decoded = io::decodeLeaseReply(reply);
     if (!decoded) {
--- a/src/bulrushswitchd/leaseservice.h
+++ b/src/bulrushswitchd/leaseservice.h
@@ -14,69 +14,70 @@
 namespace bulrush {
 
 struct ControlContext;
-class RightGate;
+class DispatchGate;
 
-/** Where a failure domain's steward is, as far as this daemon knows. */
-struct KnownSteward
+/** The latest leader of a failure domain that this daemon has been told of. */
+struct KnownLeader
 {
     std::string address;
     std::uint64_t epoch = 0;
 };
 
 /**
- * Pulls this daemon's routing leases from the stewards of the failure domains that it serves.
+ * Pulls this daemon's routing leases from the leaders of the failure domains that it serves.
  *
  * Used on the control thread.
  */
 class LeaseService
 {
 public:
-    /** \returns the reply to a pull from this daemon's own steward, or null. */
+    /** \returns the reply of a leader in this daemon to a pull, or null. */
     using LocalPull = std::function<Json::Value(const DomainName &, const Json::Value &)>;
-    /** Called when a reply tells of a newer assignment than is known. */
+    /** Called when a reply has a newer assignment version than the one in use. */
     using NewVersion = std::function<void(const DomainName &, Fence version)>;
 
-    LeaseService(ControlContext &context, RightGate &gate, LocalPull localPull,
+    LeaseService(ControlContext &context, DispatchGate &gate, LocalPull localPull,
                  NewVersion onNewVersion);
 
     LeaseService(const LeaseService &) = delete;
     LeaseService &operator=(const LeaseService &) = delete;
 
-    /** A steward has made itself known. One of an older epoch is ignored. */
-    void stewardKnown(const DomainName &domain, const KnownSteward &steward);
+    /** Sets the leader of \a domain. A leader of an older or the same epoch is ignored. */
+    void setLeader(const DomainName &domain, const KnownLeader &leader);
 
     /**
-     * Sets whether this daemon pulls in \a domain although it holds no rights there yet: its
-     * steward may be in this daemon's failure domain, and have it attend servers.
+     * Sets whether this daemon pulls in \a domain even if it holds no rights there yet. This is
+     * needed if the leader of \a domain is in this daemon's failure domain, since it may assign
+     * servers to this daemon.
      */
-    void setConcerned(const DomainName &domain, bool isConcerned);
+    void setShouldPull(const DomainName &domain, bool shouldPull);
 
-    /** Pulls from \a domain's steward now. */
+    /** Pulls from \a domain's leader now. */
     void pull(const DomainName &domain);
 
-    /** Pulls whatever is due. \a knownVersions are those of the assignments routed by. */
+    /** Sends the pulls that are due. */
     void tick(Instant now);
 
     /** Sets the version of the assignment of \a domain that this daemon routes by. */
     void setKnownVersion(const DomainName &domain, Fence version);
 
-    /** \returns the steward of \a domain, as far as it is known. */
-    std::optional<KnownSteward> steward(const DomainName &domain) const;
+    /** \returns the leader of \a domain, or nothing if none is known. */
+    std::optional<KnownLeader> leader(const DomainName &domain) const;
 
 private:
     struct DomainPull
     {
-        KnownSteward steward;
+        KnownLeader leader;
         Fence knownVersion;
         std::optional<Instant> sentAt;
-        bool isConcerned = false;
+        bool shouldPull = false;
     };
 
     void send(const DomainName &domain, DomainPull &pull, Instant now);
-    void replied(const DomainName &domain, const Json::Value &reply);
+    void handleReply(const DomainName &domain, const Json::Value &reply);
 
     ControlContext &m_context;
-    RightGate &m_gate;
+    DispatchGate &m_gate;
     LocalPull m_localPull;
     NewVersion m_onNewVersion;
     std::map<DomainName, DomainPull> m_pulls;
--- a/src/bulrushswitchd/limitboard.cpp
+++ b/src/bulrushswitchd/limitboard.cpp
@@ -6,24 +6,24 @@
 
 namespace {
 
-/** When a caller may come back to an organisation whose requests at once are too many. */
-constexpr Duration concurrencyPause = std::chrono::seconds{1};
+/** Delay after which a caller may retry if its organisation exceeds its concurrency share. */
+constexpr Duration concurrencyRetryDelay = std::chrono::seconds{1};
 
 } // namespace
 
-LimitTicket::LimitTicket(LimitBoard &board, ConcurrencyLimiter &limiter)
-    : m_board(&board)
+LimitTicket::LimitTicket(LimitBoard &registry, ConcurrencyLimiter &limiter)
+    : m_registry(&registry)
     , m_limiter(&limiter)
 { }
 
 LimitTicket::~LimitTicket()
 {
-    if (m_board)
-        m_board->ended(*m_limiter);
+    if (m_registry)
+        m_registry->release(*m_limiter);
 }
 
 LimitTicket::LimitTicket(LimitTicket &&other) noexcept
-    : m_board(std::exchange(other.m_board, nullptr))
+    : m_registry(std::exchange(other.m_registry, nullptr))
     , m_limiter(std::exchange(other.m_limiter, nullptr))
 { }
 
@@ -36,9 +36,9 @@
 {
     const std::scoped_lock lock{m_mutex};
     Limiters &limits = limiters(organisation);
-    // First, so that a request refused here costs nothing of the rate.
+    // Checked first, so that a request refused here does not count against the rate.
     if (!limits.concurrency.start(now))
-        return LimitRefusal{FailurePoint::Overloaded, concurrencyPause};
+        return LimitRefusal{FailurePoint::Overloaded, concurrencyRetryDelay};
     if (!limits.rate.admits(now)) {
         limits.concurrency.ended();
         return LimitRefusal{FailurePoint::RateLimited, limits.rate.retryAfter()};
@@ -61,13 +61,14 @@
     return demands;
 }
 
-void LimitBoard::granted(std::span<const OrganisationGrant> grants, Instant askedAt, Instant now)
+void LimitBoard::granted(std::span<const OrganisationGrant> grants, Instant requestedAt,
+                         Instant now)
 {
     const std::scoped_lock lock{m_mutex};
     for (const OrganisationGrant &grant : grants) {
         Limiters &limits = limiters(grant.organisation);
-        limits.rate.shareGranted(grant.rate, askedAt, now);
-        limits.concurrency.shareGranted(grant.concurrency, askedAt);
+        limits.rate.shareGranted(grant.rate, requestedAt, now);
+        limits.concurrency.shareGranted(grant.concurrency, requestedAt);
     }
 }
 
@@ -99,7 +100,7 @@
     return entry.first->second;
 }
 
-void LimitBoard::ended(ConcurrencyLimiter &limiter)
+void LimitBoard::release(ConcurrencyLimiter &limiter)
 {
     const std::scoped_lock lock{m_mutex};
     limiter.ended();
--- a/src/bulrushswitchd/limitboard.h
+++ b/src/bulrushswitchd/limitboard.h
@@ -18,24 +18,24 @@
 class LimitBoard;
 
 /**
- * Counts one request against its organisation's concurrency, from its admission until this object
- * ends. Used by one thread at a time; the board outlives it.
+ * Counts one request against its organisation's concurrency limit, from its admission until this
+ * object is destroyed. Used by one thread at a time. The registry must outlive it.
  */
 class LimitTicket
 {
 public:
-    LimitTicket(LimitBoard &board, ConcurrencyLimiter &limiter);
+    LimitTicket(LimitBoard &registry, ConcurrencyLimiter &limiter);
     ~LimitTicket();
 
     LimitTicket(LimitTicket &&other) noexcept;
     LimitTicket &operator=(LimitTicket &&other) = delete;
 
 private:
-    LimitBoard *m_board;
+    LimitBoard *m_registry;
     ConcurrencyLimiter *m_limiter;
 };
 
-/** Why an organisation's limits let a request not pass. */
+/** The reason why an organisation's limits refuse a request. */
 struct LimitRefusal
 {
     FailurePoint reason;
@@ -43,8 +43,8 @@
 };
 
 /**
- * A daemon's shares of the limits of all organisations: traffic threads are admitted by it, the
- * control thread renews it. Thread safe.
+ * A daemon's shares of the limits of all organisations. Traffic threads admit requests by them, and
+ * the control thread renews them. Thread safe.
  */
 class LimitBoard
 {
@@ -54,22 +54,25 @@
     LimitBoard(const LimitBoard &) = delete;
     LimitBoard &operator=(const LimitBoard &) = delete;
 
-    /** A request of \a organisation has come: it holds its ticket until it has ended, or is refused
-     *  and has no part in the limits any more. */
+    /**
+     * Admits or refuses a request of \a organisation. An admitted request holds its ticket until it
+     * completes; a refused request does not count against the limits.
+     */
     std::variant<LimitTicket, LimitRefusal> admit(const OrganisationName &organisation,
                                                   Instant now);
 
-    /** \returns what to ask the steward for at \a now; the answer counts from then. */
+    /** \returns the demands to send to the leader at \a now. The resulting shares are valid from
+     * then. */
     std::vector<OrganisationDemand> demands(std::span<const OrganisationName> organisations,
                                             Instant now);
 
-    /** Shares have come, for demands told at \a askedAt. */
-    void granted(std::span<const OrganisationGrant> grants, Instant askedAt, Instant now);
+    /** Applies the leader's shares for the demands of \a requestedAt. */
+    void granted(std::span<const OrganisationGrant> grants, Instant requestedAt, Instant now);
 
-    /** \returns whether the shares of \a organisation at \a now let any request pass. */
+    /** \returns whether the shares of \a organisation at \a now admit any request. */
     bool canAdmit(const OrganisationName &organisation, Instant now) const;
 
-    /** \returns each organisation's shares and its requests in flight, for operators. */
+    /** \returns each organisation's shares and requests in flight, for operators. */
     Json::Value status(Instant now) const;
 
 private:
@@ -82,11 +85,11 @@
     };
 
     Limiters &limiters(const OrganisationName &organisation);
-    void ended(ConcurrencyLimiter &limiter);
+    void release(ConcurrencyLimiter &limiter);
 
     std::int64_t m_driftPpm;
     mutable std::mutex m_mutex;
-    /** Tickets point into it, so entries stay. */
+    /** Entries are never removed, since tickets point to them. */
     std::map<OrganisationName, Limiters> m_limiters;
 };
 
--- a/src/bulrushswitchd/loadboard.cpp
+++ b/src/bulrushswitchd/loadrecorder.cpp
@@ -1,4 +1,4 @@
-#include "loadboard.h"
+#include "loadrecorder.h"
 
 #include "version/assignment.h"
 #include "version/loadreportcodec.h"
@@ -12,7 +12,7 @@
 
 constexpr Duration halfLife = std::chrono::seconds{5};
 
-/** Keys with a counter: any with a part of the load above 1 / this is found. */
+/** Number of counted keys; finds every key with a share of the load above 1 / keyCounters. */
 constexpr std::size_t keyCounters = 1024;
 
 std::map<ServiceName, std::vector<SliceRange>> rangesByService(const Assignment &assignment)
@@ -25,7 +25,7 @@
 
 } // namespace
 
-void LoadBoard::follow(const Assignment &assignment, Instant now)
+void LoadRecorder::setAssignment(const Assignment &assignment, Instant now)
 {
     const auto ranges = rangesByService(assignment);
     const std::scoped_lock lock{m_mutex};
@@ -45,7 +45,8 @@
     }
 }
 
-void LoadBoard::add(const DomainName &domain, const ServiceName &service, KeyHash hash, Instant now)
+void LoadRecorder::add(const DomainName &domain, const ServiceName &service, KeyHash hash,
+                       Instant now)
 {
     const std::scoped_lock lock{m_mutex};
     const auto services = m_domains.find(domain);
@@ -58,7 +59,7 @@
     meters->second.keys.add(hash, now);
 }
 
-std::map<ServiceName, LoadReport> LoadBoard::reports(const DomainName &domain, Instant now)
+std::map<ServiceName, LoadReport> LoadRecorder::reports(const DomainName &domain, Instant now)
 {
     std::map<ServiceName, LoadReport> reports;
     const std::scoped_lock lock{m_mutex};
--- a/src/bulrushswitchd/loadboard.h
+++ b/src/bulrushswitchd/loadrecorder.h
@@ -14,19 +14,19 @@
 struct Assignment;
 
 /**
- * Counts the keyed work that this daemon sends to the servers that it attends, by slice and by hot
- * key. Fed by all traffic threads. Thread safe.
+ * Counts the requests with a key that this daemon sends to the servers that it manages, by slice
+ * and by hot key. Used by all traffic threads. Thread safe.
  */
-class LoadBoard
+class LoadRecorder
 {
 public:
-    /** Goes over to the slices of \a assignment, and forgets services that it doesn't divide. */
-    void follow(const Assignment &assignment, Instant now);
+    /** Applies the slices of \a assignment, and removes services that it does not contain. */
+    void setAssignment(const Assignment &assignment, Instant now);
 
-    /** Counts a request for \a hash; one of a service that no assignment divides is passed over. */
+    /** Counts a request for \a hash. Ignores services that are in no assignment. */
     void add(const DomainName &domain, const ServiceName &service, KeyHash hash, Instant now);
 
-    /** \returns what was counted for each service of \a domain, bounded as the codec's reports. */
+    /** \returns the load of each service of \a domain, within the codec's limits for reports. */
     std::map<ServiceName, LoadReport> reports(const DomainName &domain, Instant now);
 
 private:
--- a/src/bulrushswitchd/main.cpp
+++ b/src/bulrushswitchd/main.cpp
@@ -13,31 +13,31 @@
 
 using namespace bulrush;
 
-constexpr const char *exitCodes = "Exit codes: 0 ended with nothing in flight; 2 the command line "
-                                  "can't be used; 3 the settings can't be used; 4 an address can't "
-                                  "be listened on; 5 ended with requests in flight; 6 a later run "
-                                  "of a daemon has taken this host's place.";
+constexpr const char *exitCodes = "Exit codes: 0 stopped with no requests in flight; 2 invalid "
+                                  "command line; 3 invalid settings; 4 cannot listen on an "
+                                  "address; 5 stopped with requests in flight; 6 superseded by a "
+                                  "newer daemon on this host.";
 
-int codeOf(ExitCode code)
+int toProcessExitCode(ExitCode code)
 {
     return static_cast<int>(code);
 }
 
-int reportProblems(const io::ConfigProblems &problems, std::error_code error)
+int printProblems(const io::ConfigProblems &problems, std::error_code error)
 {
     for (const io::ConfigProblem &problem : problems)
         std::cerr << io::toString(problem) << '\n';
     std::cerr << "bulrushswitchd: " << error.message() << '\n';
-    return codeOf(ExitCode::Settings);
+    return toProcessExitCode(ExitCode::Settings);
 }
 
-int reportUsable(const std::string &settingsPath)
+int printSettingsUsable(const std::string &settingsPath)
 {
     std::cout << settingsPath << ": can be used\n";
-    return codeOf(ExitCode::Ok);
+    return toProcessExitCode(ExitCode::Ok);
 }
 
-ExitCode codeOf(EntryEnd end)
+ExitCode toExitCode(EntryEnd end)
 {
     switch (end) {
     case EntryEnd::Drained:
@@ -50,18 +50,18 @@
     return ExitCode::CutOff;
 }
 
-/** Runs an entry daemon on a metadata store. */
+/** Runs a daemon that stores its state in a metadata store. */
 int runEntry(const std::string &settingsPath, bool isCheckOnly)
 {
-    const io::EntrySettingsReading reading = io::readEntrySettings(settingsPath);
-    if (reading.error)
-        return reportProblems(reading.problems, reading.error);
+    const io::EntrySettingsReading result = io::readEntrySettings(settingsPath);
+    if (result.error)
+        return printProblems(result.problems, result.error);
     if (isCheckOnly)
-        return reportUsable(settingsPath);
-    io::startLogging(reading.settings.logLevel, reading.settings.host.value());
-    const EntryEnd end = EntryDaemon{reading.settings}.run();
+        return printSettingsUsable(settingsPath);
+    io::startLogging(result.settings.logLevel, result.settings.host.value());
+    const EntryEnd end = EntryDaemon{result.settings}.run();
     io::stopLogging();
-    return codeOf(codeOf(end));
+    return toProcessExitCode(toExitCode(end));
 }
 
 } // namespace
@@ -74,23 +74,24 @@
     std::string settingsPath;
     app.add_option("--settings", settingsPath, "YAML file of settings")->required();
     bool isCheckOnly = false;
-    app.add_flag("--check", isCheckOnly, "check the settings and end");
+    app.add_flag("--check", isCheckOnly, "check the settings and exit");
     try {
         app.parse(argc, argv);
     } catch (const CLI::ParseError &error) {
-        return app.exit(error) == 0 ? codeOf(ExitCode::Ok) : codeOf(ExitCode::Usage);
+        return app.exit(error) == 0 ? toProcessExitCode(ExitCode::Ok)
+                                    : toProcessExitCode(ExitCode::Usage);
     }
 
     if (io::hasStore(settingsPath))
         return runEntry(settingsPath, isCheckOnly);
 
-    const io::SettingsReading reading = io::readSettings(settingsPath);
-    if (reading.error)
-        return reportProblems(reading.problems, reading.error);
+    const io::SettingsReading result = io::readSettings(settingsPath);
+    if (result.error)
+        return printProblems(result.problems, result.error);
     if (isCheckOnly)
-        return reportUsable(settingsPath);
-    io::startLogging(reading.settings.logLevel, reading.settings.host.value());
-    const ExitCode code = Daemon{reading.settings}.run();
+        return printSettingsUsable(settingsPath);
+    io::startLogging(result.settings.logLevel, result.settings.host.value());
+    const ExitCode code = Daemon{result.settings}.run();
     io::stopLogging();
-    return codeOf(code);
+    return toProcessExitCode(code);
 }
--- a/src/bulrushswitchd/operatorpages.cpp
+++ b/src/bulrushswitchd/operatorpages.cpp
@@ -71,7 +71,7 @@
     if (target == "/status")
         return json(m_control.status());
     if (target == "/burn")
-        return jsonText(m_control.burn());
+        return jsonText(m_control.burnSnapshot());
     if (target.starts_with(domainQuery))
         return json(m_control.assignment(DomainName{target.substr(domainQuery.size())}));
     if (target.starts_with("/assignment"))
--- a/src/bulrushswitchd/operatorpages.h
+++ b/src/bulrushswitchd/operatorpages.h
@@ -11,14 +11,14 @@
 class Counters;
 
 /**
- * The operators' port: /metrics, /healthz, /readyz, /status, /burn and /assignment.
+ * Serves the operators' port: /metrics, /healthz, /readyz, /status, /burn and /assignment.
  *
  * Used on the control thread.
  */
 class OperatorPages
 {
 public:
-    /** \pre both outlive this object. */
+    /** \pre \a control and \a counters outlive this object. */
     OperatorPages(const ControlPlane &control, const Counters &counters);
 
     /** Answers a request of an operator or a monitoring system. */
--- a/src/bulrushswitchd/relayedexchange.cpp
+++ b/src/bulrushswitchd/relayedexchange.cpp
@@ -15,13 +15,13 @@
 
 constexpr int badRequest = 400;
 
-std::string fieldOf(const io::RequestHead &head, std::string_view name)
+std::string headerValue(const io::RequestHead &head, std::string_view name)
 {
     const io::HttpHeader *field = io::findField(head.headers, name);
     return field ? field->value : std::string{};
 }
 
-std::optional<Duration> timeoutOf(const std::string &text)
+std::optional<Duration> parseTimeout(const std::string &text)
 {
     std::int64_t milliseconds = 0;
     const char *const end = text.data() + text.size();
@@ -31,26 +31,26 @@
     return std::chrono::milliseconds{milliseconds};
 }
 
-std::optional<KeyedWork> keyedWork(const io::RequestHead &head)
+std::optional<KeyRouting> parseKeyRouting(const io::RequestHead &head)
 {
-    KeyedWork keyed;
-    keyed.domain = DomainName{fieldOf(head, relayfields::domain)};
-    keyed.key = fieldOf(head, serverfields::key);
-    keyed.hash = hashOfKey(keyed.key);
-    const auto routedBy = fenceOf(fieldOf(head, relayfields::routedBy));
-    if (keyed.domain.isEmpty() || !routedBy)
+    KeyRouting keyRouting;
+    keyRouting.domain = DomainName{headerValue(head, relayfields::domain)};
+    keyRouting.key = headerValue(head, serverfields::key);
+    keyRouting.hash = hashOfKey(keyRouting.key);
+    const auto assignmentVersion = parseFence(headerValue(head, relayfields::routedBy));
+    if (keyRouting.domain.isEmpty() || !assignmentVersion)
         return std::nullopt;
-    keyed.routedBy = *routedBy;
-    return keyed;
+    keyRouting.assignmentVersion = *assignmentVersion;
+    return keyRouting;
 }
 
 } // namespace
 
-RelayedExchange::RelayedExchange(TrafficContext &context, CallerEnds ends)
+RelayedExchange::RelayedExchange(TrafficContext &context, CallerStreams caller)
     : m_context(context)
-    , m_ends(std::move(ends))
+    , m_caller(std::move(caller))
     , m_view(context.view.view())
-    , m_requestId(fieldOf(m_ends.request->head(), serverfields::request))
+    , m_requestId(headerValue(m_caller.request->head(), serverfields::request))
 {
     ++m_context.openRequests;
 }
@@ -62,15 +62,17 @@
 
 void RelayedExchange::start()
 {
-    auto order = readOrder();
-    if (!order) {
+    auto spec = readAttemptSpec();
+    if (!spec) {
         answer(badRequest, "no", "malformed-relay", std::chrono::seconds{1});
         return;
     }
-    m_attempt = std::make_shared<ServerAttempt>(
-        m_context, m_ends, *std::move(order),
-        [self = shared_from_this()](const AttemptEnd &end) { self->ended(end); });
-    m_ends.request->setGoneHandler([weak = weak_from_this()] {
+    m_attempt =
+        std::make_shared<ServerAttempt>(m_context, m_caller, *std::move(spec),
+                                        [self = shared_from_this()](const AttemptResult &result) {
+                                            self->handleAttemptResult(result);
+                                        });
+    m_caller.request->setGoneHandler([weak = weak_from_this()] {
         const auto self = weak.lock();
         if (self && self->m_attempt)
             std::exchange(self->m_attempt, nullptr)->abandon();
@@ -78,38 +80,38 @@
     m_attempt->start();
 }
 
-std::optional<WorkOrder> RelayedExchange::readOrder() const
+std::optional<AttemptSpec> RelayedExchange::readAttemptSpec() const
 {
-    const io::RequestHead &head = m_ends.request->head();
-    const auto timeout = timeoutOf(fieldOf(head, relayfields::timeout));
-    WorkOrder order;
-    order.server = m_view->server(ServerName{fieldOf(head, relayfields::server)});
-    if (!order.server || !timeout || m_requestId.empty())
+    const io::RequestHead &head = m_caller.request->head();
+    const auto timeout = parseTimeout(headerValue(head, relayfields::timeout));
+    AttemptSpec spec;
+    spec.server = m_view->server(ServerName{headerValue(head, relayfields::server)});
+    if (!spec.server || !timeout || m_requestId.empty())
         return std::nullopt;
 
-    order.policy.deadline = io::hostNow() + *timeout;
-    order.policy.isIdempotent = fieldOf(head, relayfields::idempotent) == "yes";
-    order.policy.requestClass = fieldOf(head, relayfields::priority) == "yes"
+    spec.policy.deadline = io::hostNow() + *timeout;
+    spec.policy.isIdempotent = headerValue(head, relayfields::idempotent) == "yes";
+    spec.policy.requestClass = headerValue(head, relayfields::priority) == "yes"
         ? RequestClass::Priority
         : RequestClass::Ordinary;
-    order.requestId = m_requestId;
-    order.idempotencyKey = fieldOf(head, serverfields::idempotencyKey);
-    order.isRelayed = true;
-    if (!fieldOf(head, relayfields::domain).empty()) {
-        order.keyed = keyedWork(head);
-        if (!order.keyed)
+    spec.requestId = m_requestId;
+    spec.idempotencyKey = headerValue(head, serverfields::idempotencyKey);
+    spec.isRelayed = true;
+    if (!headerValue(head, relayfields::domain).empty()) {
+        spec.keyRouting = parseKeyRouting(head);
+        if (!spec.keyRouting)
             return std::nullopt;
     }
-    return order;
+    return spec;
 }
 
-void RelayedExchange::ended(const AttemptEnd &end)
+void RelayedExchange::handleAttemptResult(const AttemptResult &result)
 {
     m_attempt.reset();
-    if (!end.failure || m_ends.writer->isOver())
+    if (!result.failure || m_caller.writer->isOver())
         return;
     const CallerResponse response =
-        callerResponse(outcomeOf(*end.failure, end.retryAfter), end.hasBegunAnswer);
+        callerResponse(outcomeOf(*result.failure, result.retryAfter), result.hasBegunAnswer);
     if (const auto *refusal = std::get_if<RefusalResponse>(&response))
         answer(refusal->status, refusal->ran, refusal->reason, refusal->retryAfter);
 }
@@ -123,7 +125,7 @@
                         {serverfields::reason, std::string{reason}},
                         {serverfields::request, m_requestId},
                         {"Retry-After", std::to_string(retryAfter.count())}};
-    m_ends.writer->send(response);
+    m_caller.writer->send(response);
 }
 
 } // namespace bulrush
--- a/src/bulrushswitchd/routingview.cpp
+++ b/src/bulrushswitchd/routingview.cpp
@@ -17,7 +17,7 @@
     routes->assignment = std::make_shared<const Assignment>(assignment);
     routes->slices = SliceMap{assignment};
     for (const Attendance &attendance : assignment.attendances)
-        m_attendants[attendance.server] = attendance.attendant;
+        m_managers[attendance.server] = attendance.attendant;
     m_domains[assignment.domain] = std::move(routes);
 }
 
@@ -49,7 +49,7 @@
         const auto route = routes->slices.find(service, hash);
         if (!route)
             continue;
-        return KeyRoute{domain, server(*route->server), attendantOf(*route->server),
+        return KeyRoute{domain, server(*route->server), managerOf(*route->server),
                         routes->slices.version()};
     }
     return std::nullopt;
@@ -68,10 +68,10 @@
     return result;
 }
 
-Incarnation RoutingView::attendantOf(const ServerName &server) const
+Incarnation RoutingView::managerOf(const ServerName &server) const
 {
-    const auto found = m_attendants.find(server);
-    return found == m_attendants.end() ? Incarnation{} : found->second;
+    const auto found = m_managers.find(server);
+    return found == m_managers.end() ? Incarnation{} : found->second;
 }
 
 const PeerRoute *RoutingView::peer(const Incarnation &incarnation) const
--- a/src/bulrushswitchd/routingview.h
+++ b/src/bulrushswitchd/routingview.h
@@ -13,7 +13,7 @@
 
 namespace bulrush {
 
-/** Another daemon, as far as relaying to it goes. */
+/** The data that is needed to relay requests to another daemon. */
 struct PeerRoute
 {
     HostName host;
@@ -21,31 +21,31 @@
     std::string relayAddress;
 };
 
-/** Where a request for a key goes. Pointers are valid as long as the view is. */
+/** The route of a request for a key. Pointers are valid as long as the view exists. */
 struct KeyRoute
 {
     DomainName domain;
     const BackendServer *server = nullptr;
-    Incarnation attendant;
-    /** Version of the assignment that the route follows from. */
-    Fence routedBy;
+    Incarnation manager;
+    /** Version of the assignment that contains the route. */
+    Fence assignmentVersion;
 };
 
 /**
- * All that a traffic thread routes by, at one instant: contracts, assignments, daemons and servers.
- * Never changed once it is shared; the control thread makes a new one.
+ * A snapshot of the routing data of traffic threads: contracts, assignments, daemons and servers.
+ * It is immutable once it is shared; the control thread replaces it by a new one.
  *
- * Any number of threads may read it at a time.
+ * Any number of threads may read it concurrently.
  */
 class RoutingView
 {
 public:
     explicit RoutingView(const std::vector<BackendServer> &servers);
 
-    /** Puts \a assignment in the place of the one of its domain. \pre not yet shared. */
+    /** Replaces the assignment of the domain of \a assignment. \pre not yet shared. */
     void setAssignment(const Assignment &assignment);
 
-    /** Puts \a contract in the place of the one of its organisation. \pre not yet shared. */
+    /** Replaces the contract of the organisation of \a contract. \pre not yet shared. */
     void setContract(std::shared_ptr<const Contract> contract);
 
     /** \pre not yet shared. */
@@ -54,20 +54,20 @@
     /** \returns the contract of \a organisation, or null. */
     std::shared_ptr<const Contract> contract(const OrganisationName &organisation) const;
 
-    /** \returns the only contract there is, or null if there is none or more than one. */
+    /** \returns the contract if there is exactly one, or else null. */
     std::shared_ptr<const Contract> onlyContract() const;
 
-    /** \returns who owns \a hash of \a service, or nothing if no assignment says so. */
+    /** \returns the route to the owner of \a hash of \a service, or nothing if it is unassigned. */
     std::optional<KeyRoute> routeOf(const ServiceName &service, KeyHash hash) const;
 
     /** \returns the servers of \a service, those of \a domain first. */
     std::vector<const BackendServer *> serversOf(const ServiceName &service,
                                                  const DomainName &domain) const;
 
-    /** \returns the daemon that attends \a server; empty if no assignment names one. */
-    Incarnation attendantOf(const ServerName &server) const;
+    /** \returns the daemon that manages \a server; empty if no assignment names one. */
+    Incarnation managerOf(const ServerName &server) const;
 
-    /** \returns the daemon \a incarnation, or null if it isn't known. */
+    /** \returns the daemon \a incarnation, or null if it is unknown. */
     const PeerRoute *peer(const Incarnation &incarnation) const;
 
     /** \returns the server \a name, or null. */
@@ -87,7 +87,7 @@
 
     std::map<ServerName, BackendServer> m_servers;
     std::map<DomainName, std::shared_ptr<const DomainRoutes>> m_domains;
-    std::map<ServerName, Incarnation> m_attendants;
+    std::map<ServerName, Incarnation> m_managers;
     std::map<OrganisationName, std::shared_ptr<const Contract>> m_contracts;
     std::map<Incarnation, PeerRoute> m_peers;
 };
--- a/src/bulrushswitchd/servercontrol.cpp
+++ b/src/bulrushswitchd/servercontrol.cpp
@@ -17,8 +17,8 @@
 constexpr int httpOk = 200;
 constexpr int httpConflict = 409;
 
-/** A server without an answer for this long is taken for lost. */
-constexpr Duration silenceLimit = std::chrono::milliseconds{1000};
+/** A server that does not answer for this long is marked as lost. */
+constexpr Duration serverSilenceTimeout = std::chrono::milliseconds{1000};
 
 std::string urlOf(const BackendServer &server, const std::string &path)
 {
@@ -38,8 +38,8 @@
     return request;
 }
 
-/** Reads a load report; the clock counts as of the answer's arrival, which is later. */
-void takeReport(ServerReading &reading, const io::HttpResult &result, Instant arrivedAt)
+/** Reads a load report. The clock is taken as of the answer's arrival, later than it was read. */
+void applyLoadReport(ServerStatus &status, const io::HttpResult &result, Instant arrivedAt)
 {
     const Json::Value json = io::parsedJson(result.response.body);
     io::JsonReader reader{json};
@@ -50,10 +50,10 @@
     if (!reader.isGood())
         return;
 
-    reading.clock = ServerClockReading{std::chrono::milliseconds{clockMs}, arrivedAt};
-    reading.reportedLoad = static_cast<std::uint32_t>(load);
-    reading.isDraining = isDraining;
-    reading.isCold = isCold;
+    status.clock = ServerClockReading{std::chrono::milliseconds{clockMs}, arrivedAt};
+    status.reportedLoad = static_cast<std::uint32_t>(load);
+    status.isDraining = isDraining;
+    status.isCold = isCold;
 }
 
 std::string orderBody(const SliceOwner &slice, const Incarnation &sender)
@@ -90,18 +90,18 @@
 
 } // namespace
 
-struct ServerControl::OpenOrder
+struct ServerControl::PendingOrder
 {
     ServerOrder order;
     OrderHandler handler;
     std::size_t waiting = 0;
-    OrderEnd end;
+    OrderResult result;
 };
 
-ServerControl::ServerControl(ControlContext &context, ServerBoard &board, LossHandler onLoss,
-                             AnswerHandler onAnswer)
+ServerControl::ServerControl(ControlContext &context, ServerStatusRegistry &statuses,
+                             LossHandler onLoss, AnswerHandler onAnswer)
     : m_context(context)
-    , m_board(board)
+    , m_serverStatuses(statuses)
     , m_onLoss(std::move(onLoss))
     , m_onAnswer(std::move(onAnswer))
 { }
@@ -116,7 +116,7 @@
         const auto [entry, isNew] = m_probes.try_emplace(name);
         if (isNew)
             entry->second.silentSince = now;
-        judge(name, entry->second, now);
+        updateLoss(name, entry->second, now);
         if (!entry->second.isWaiting)
             sendProbe(*server, entry->second);
     }
@@ -138,65 +138,66 @@
 
                              const Instant now = io::hostNow();
                              answered.silentSince = now;
-                             takeReport(answered.reading, result, now);
-                             judge(name, answered, now);
-                             m_onAnswer(name, answered.reading.isDraining);
+                             applyLoadReport(answered.status, result, now);
+                             updateLoss(name, answered, now);
+                             m_onAnswer(name, answered.status.isDraining);
                          });
 }
 
-void ServerControl::judge(const ServerName &server, Probe &probe, Instant now)
+void ServerControl::updateLoss(const ServerName &server, Probe &probe, Instant now)
 {
-    const bool isLost = now - probe.silentSince > silenceLimit;
-    if (isLost != probe.reading.isLost) {
-        probe.reading.isLost = isLost;
+    const bool isLost = now - probe.silentSince > serverSilenceTimeout;
+    if (isLost != probe.status.isLost) {
+        probe.status.isLost = isLost;
         io::logEvent(isLost ? LogLevel::Warning : LogLevel::Info,
                      isLost ? "server-lost" : "server-found", {{"server", server.value()}});
         m_onLoss(server, isLost);
     }
-    m_board.setReading(server, probe.reading);
+    m_serverStatuses.setStatus(server, probe.status);
 }
 
-void ServerControl::execute(const OrderGiver &giver, const ServerOrder &order, OrderHandler handler)
+void ServerControl::execute(const OrderSource &source, const ServerOrder &order,
+                            OrderHandler handler)
 {
     const BackendServer *server = find(order.server);
-    // No server of the brief's can be asked to load state ahead; the step costs nothing.
+    // Servers have no call that loads state ahead of a grant, so this step is confirmed at once.
     if (!server || order.kind == ServerOrderKind::Prepare || order.slices.empty()) {
-        handler(OrderEnd{server != nullptr, 0, std::nullopt});
+        handler(OrderResult{server != nullptr, 0, std::nullopt});
         return;
     }
 
-    if (!m_running[giver].insert(order.order).second)
+    if (!m_runningOrders[source].insert(order.order).second)
         return;
-    auto open = std::make_shared<OpenOrder>();
-    open->order = order;
-    open->handler = [this, giver, id = order.order,
-                     handler = std::move(handler)](const OrderEnd &end) {
-        m_running[giver].erase(id);
-        handler(end);
+    auto pending = std::make_shared<PendingOrder>();
+    pending->order = order;
+    pending->handler = [this, source, id = order.order,
+                        handler = std::move(handler)](const OrderResult &result) {
+        m_runningOrders[source].erase(id);
+        handler(result);
     };
-    open->waiting = order.slices.size();
-    open->end.isConfirmed = true;
+    pending->waiting = order.slices.size();
+    pending->result.isConfirmed = true;
     for (const SliceOwner &slice : order.slices)
-        sendSlice(*server, open, slice);
+        sendSlice(*server, pending, slice);
 }
 
-void ServerControl::sendSlice(const BackendServer &server, const std::shared_ptr<OpenOrder> &open,
-                              const SliceOwner &slice)
+void ServerControl::sendSlice(const BackendServer &server,
+                              const std::shared_ptr<PendingOrder> &pending, const SliceOwner &slice)
 {
-    const char *const path = open->order.kind == ServerOrderKind::Grant ? "grant" : "revoke";
+    const char *const path = pending->order.kind == ServerOrderKind::Grant ? "grant" : "revoke";
     io::HttpRequest request =
         controlRequest(server, path, orderBody(slice, m_context.self.incarnation));
-    m_context.http.fetch(std::move(request), [open](const io::HttpResult &result) {
+    m_context.http.fetch(std::move(request), [pending](const io::HttpResult &result) {
         const Json::Value json = io::parsedJson(result.response.body);
         io::JsonReader reader{json};
         if (!result.error && result.response.status == httpConflict)
-            open->end.highest = reader.fence("highest");
+            pending->result.highest = reader.fence("highest");
         if (result.error || result.response.status != httpOk)
-            open->end.isConfirmed = false;
-        else if (open->order.kind == ServerOrderKind::Revoke)
-            open->end.running += static_cast<std::uint32_t>(reader.number("running"));
-        if (--open->waiting == 0)
-            open->handler(open->end);
+            pending->result.isConfirmed = false;
+        else if (pending->order.kind == ServerOrderKind::Revoke)
+            pending->result.running += static_cast<std::uint32_t>(reader.number("running"));
+        if (--pending->waiting == 0)
+            pending->handler(pending->result);
     });
 }
 
--- a/src/bulrushswitchd/servercontrol.h
+++ b/src/bulrushswitchd/servercontrol.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "process/handovermessages.h"
-#include "serverboard.h"
+#include "serverstatusregistry.h"
 
 #include <functional>
 #include <map>
@@ -14,35 +14,35 @@
 
 struct ControlContext;
 
-/** The steward that an order comes from. */
-struct OrderGiver
+/** The leader that issued an order. */
+struct OrderSource
 {
     DomainName domain;
     std::uint64_t epoch = 0;
 
-    auto operator<=>(const OrderGiver &) const = default;
+    auto operator<=>(const OrderSource &) const = default;
 };
 
-/** How an order to a backend server ended. */
-struct OrderEnd
+/** Result of an order to a backend server. */
+struct OrderResult
 {
     bool isConfirmed = false;
-    /** Work that still ran when the server answered. */
+    /** Number of requests that still ran when the server answered. */
     std::uint32_t running = 0;
-    /** The server refused: it knows this higher fence. */
+    /** The higher fence that the server holds, if it refused the order. */
     std::optional<Fence> highest;
 };
 
 /**
  * The control calls to backend servers: reads the clock and health of those that this daemon
- * attends, carries a steward's orders out, and reads the grants that a server holds.
+ * manages, executes leaders' orders, and reads the grants that a server holds.
  *
- * Used on the control thread; the readings go to a board that all threads see.
+ * Used on the control thread. The results are stored in a registry that all threads read.
  */
 class ServerControl
 {
 public:
-    using OrderHandler = std::function<void(const OrderEnd &)>;
+    using OrderHandler = std::function<void(const OrderResult &)>;
     using GrantsHandler = std::function<void(bool isAnswered, std::span<const SliceOwner> grants)>;
     /** Called when a server is lost or found again. */
     using LossHandler = std::function<void(const ServerName &server, bool isLost)>;
@@ -50,20 +50,20 @@
     /** Called when a server has answered a probe. */
     using AnswerHandler = std::function<void(const ServerName &server, bool isDraining)>;
 
-    ServerControl(ControlContext &context, ServerBoard &board, LossHandler onLoss,
+    ServerControl(ControlContext &context, ServerStatusRegistry &statuses, LossHandler onLoss,
                   AnswerHandler onAnswer);
 
     ServerControl(const ServerControl &) = delete;
     ServerControl &operator=(const ServerControl &) = delete;
 
-    /** Probes each of \a servers, and judges those that stay silent. */
+    /** Probes each of \a servers, and marks those that do not answer as lost. */
     void probe(const std::set<ServerName> &servers, Instant now);
 
     /**
-     * Carries the \a order of \a giver out; \a handler is called at its end. An order that is being
-     * carried out already is passed over: its giver repeats it until it hears of the end.
+     * Executes the \a order of \a source; \a handler is called with the result. An order that is
+     * already being executed is ignored: the leader repeats it until it receives the result.
      */
-    void execute(const OrderGiver &giver, const ServerOrder &order, OrderHandler handler);
+    void execute(const OrderSource &source, const ServerOrder &order, OrderHandler handler);
 
     /** Reads the grants that \a server holds. */
     void readGrants(const ServerName &server, GrantsHandler handler);
@@ -73,25 +73,25 @@
     {
         bool isWaiting = false;
         Instant silentSince;
-        ServerReading reading;
+        ServerStatus status;
     };
 
-    /** The orders of one kind that are still to be answered. */
-    struct OpenOrder;
+    /** An order with the number of its slices that the server has not answered yet. */
+    struct PendingOrder;
 
     void sendProbe(const BackendServer &server, Probe &probe);
-    void judge(const ServerName &server, Probe &probe, Instant now);
-    void sendSlice(const BackendServer &server, const std::shared_ptr<OpenOrder> &open,
+    void updateLoss(const ServerName &server, Probe &probe, Instant now);
+    void sendSlice(const BackendServer &server, const std::shared_ptr<PendingOrder> &open,
                    const SliceOwner &slice);
     const BackendServer *find(const ServerName &server) const;
 
     ControlContext &m_context;
-    ServerBoard &m_board;
+    ServerStatusRegistry &m_serverStatuses;
     LossHandler m_onLoss;
     AnswerHandler m_onAnswer;
     std::map<ServerName, Probe> m_probes;
-    /** Orders that are being carried out, by their givers. */
-    std::map<OrderGiver, std::set<OrderId>> m_running;
+    /** Orders that are being executed, by the leader that issued them. */
+    std::map<OrderSource, std::set<OrderId>> m_runningOrders;
 };
 
 } // namespace bulrush
--- a/src/bulrushswitchd/burnboard.cpp
+++ b/src/bulrushswitchd/sharedburnrecorder.cpp
@@ -1,4 +1,4 @@
-#include "burnboard.h"
+#include "sharedburnrecorder.h"
 
 namespace bulrush {
 
@@ -8,11 +8,11 @@
 
 } // namespace
 
-BurnBoard::BurnBoard(Instant startedAt)
+SharedBurnRecorder::SharedBurnRecorder(Instant startedAt)
     : m_recorder(startedAt)
 { }
 
-void BurnBoard::setTargets(const Contract &contract)
+void SharedBurnRecorder::setTargets(const Contract &contract)
 {
     const std::scoped_lock lock{m_mutex};
     for (const Operation &operation : contract.operations) {
@@ -22,14 +22,16 @@
     }
 }
 
-void BurnBoard::record(Instant now, const OrganisationName &organisation,
-                       const OperationName &operation, ServiceOutcome outcome, Duration latency)
+void SharedBurnRecorder::record(Instant now, const OrganisationName &organisation,
+                                const OperationName &operation, ServiceOutcome outcome,
+                                Duration latency)
 {
     const std::scoped_lock lock{m_mutex};
     m_recorder.record(now, organisation, operation, outcome, latency);
 }
 
-BurnSnapshot BurnBoard::snapshot(Instant now, const HostName &host, const Incarnation &incarnation)
+BurnSnapshot SharedBurnRecorder::snapshot(Instant now, const HostName &host,
+                                          const Incarnation &incarnation)
 {
     const std::scoped_lock lock{m_mutex};
     return m_recorder.snapshot(now, host, incarnation);
--- a/src/bulrushswitchd/burnboard.h
+++ b/src/bulrushswitchd/sharedburnrecorder.h
@@ -8,21 +8,21 @@
 namespace bulrush {
 
 /**
- * The service-level counts of a daemon, fed by all traffic threads. Thread safe.
+ * The service-level counts of a daemon, recorded by all traffic threads. Thread safe.
  */
-class BurnBoard
+class SharedBurnRecorder
 {
 public:
-    explicit BurnBoard(Instant startedAt);
+    explicit SharedBurnRecorder(Instant startedAt);
 
-    /** Sets what \a contract promises for its operations. */
+    /** Sets the service-level targets of the operations of \a contract. */
     void setTargets(const Contract &contract);
 
-    /** Counts a request that has its end. */
+    /** Counts a completed request. */
     void record(Instant now, const OrganisationName &organisation, const OperationName &operation,
                 ServiceOutcome outcome, Duration latency);
 
-    /** \returns the counts of the windows that end at \a now. */
+    /** \returns the counts of the time windows that end at \a now. */
     BurnSnapshot snapshot(Instant now, const HostName &host, const Incarnation &incarnation);
 
 private:
