--- a/src/bulrushswitchd/shareservice.cpp
+++ b/src/bulrushswitchd/shareservice.cpp
@@ -16,10 +16,10 @@
 constexpr Duration renewInterval = std::chrono::milliseconds{250};
 
 /**
- * How long a daemon that gets nothing waits to be ready: where demand is beyond the limit it gets
- * a share only once callers have come to it.
+ * How long a daemon without a share waits until it is ready. While demand exceeds the limit, a
+ * daemon gets a share only after it has received requests.
  */
-constexpr Duration emptySharePatience = std::chrono::seconds{2};
+constexpr Duration emptyShareTimeout = std::chrono::seconds{2};
 
 } // namespace
 
@@ -29,23 +29,23 @@
     , m_localRenewal(std::move(localRenewal))
 { }
 
-void ShareService::began(const DomainName &domain, std::uint64_t epoch, Instant now)
+void ShareService::beginTerm(const DomainName &domain, std::uint64_t epoch, Instant now)
 {
-    const auto found = m_given.find(domain);
-    if (found != m_given.end() && found->second.epoch() == epoch)
-        return; // a lapse ended; what was given before it counts on
-    m_given.insert_or_assign(domain, DomainShares{m_context.settings, domain, epoch, now});
+    const auto found = m_sharesByDomain.find(domain);
+    if (found != m_sharesByDomain.end() && found->second.epoch() == epoch)
+        return; // resumed after a lapse; earlier shares still count
+    m_sharesByDomain.insert_or_assign(domain, DomainShares{m_context.settings, domain, epoch, now});
 }
 
-void ShareService::tick(Instant now, const std::optional<KnownSteward> &steward,
+void ShareService::tick(Instant now, const std::optional<KnownLeader> &leader,
                         const ContractMap &contracts)
 {
-    if (!steward || contracts.empty())
+    if (!leader || contracts.empty())
         return;
 
     bool isDue = !m_sentAt || now >= *m_sentAt + renewInterval;
-    if (steward->epoch != m_steward.epoch || contracts.size() != m_organisations.size()) {
-        m_steward = *steward;
+    if (leader->epoch != m_leader.epoch || contracts.size() != m_organisations.size()) {
+        m_leader = *leader;
         m_organisations.clear();
         for (const auto &[organisation, contract] : contracts)
             m_organisations.push_back(organisation);
@@ -61,15 +61,15 @@
     const auto request = io::decodeShareRequest(parameters);
     if (!request)
         throw std::invalid_argument("share request: a field is missing or of another type");
-    const auto shares = m_given.find(domain);
-    if (shares == m_given.end())
+    const auto shares = m_sharesByDomain.find(domain);
+    if (shares == m_sharesByDomain.end())
         return {};
     return io::encodeShareReply(shares->second.renew(*request, contracts, now));
 }
 
-bool ShareService::haveArrived(Instant now) const
+bool ShareService::hasValidShares(Instant now) const
 {
-    return m_haveArrived && now < m_validUntil;
+    return m_hasShares && now < m_validUntil;
 }
 
 void ShareService::renew(Instant now)
@@ -78,40 +78,40 @@
     const ShareRequest request{m_context.self.incarnation, m_limits.demands(m_organisations, now)};
     Json::Value parameters = io::encodeShareRequest(request);
     parameters["domain"] = m_context.settings.domain.value();
-    if (m_steward.address == m_context.self.address) {
-        replied(m_localRenewal(parameters), now);
+    if (m_leader.address == m_context.self.address) {
+        handleReply(m_localRenewal(parameters), now);
         return;
     }
-    m_context.peers.call(m_steward.address, "share.renew", parameters, peerCallTimeout,
+    m_context.peers.call(m_leader.address, "share.renew", parameters, peerCallTimeout,
                          [this, now](const io::RpcReply &reply) {
                              if (!reply.error)
-                                 replied(reply.result, now);
+                                 handleReply(reply.result, now);
                          });
 }
 
-void ShareService::replied(const Json::Value &reply, Instant askedAt)
+void ShareService::handleReply(const Json::Value &reply, Instant requestedAt)
 {
     const auto decoded = io::decodeShareReply(reply);
     if (!decoded || decoded->organisations.empty())
         return;
 
     const Instant now = io::hostNow();
-    m_limits.granted(decoded->organisations, askedAt, now);
+    m_limits.granted(decoded->organisations, requestedAt, now);
     if (now >= m_validUntil) {
-        m_haveArrived = false;
+        m_hasShares = false;
         m_firstReplyAt.reset();
     }
     const Duration length = decoded->organisations.front().rate.length;
-    m_validUntil = askedAt + shortened(length, m_context.settings.leases.driftPpm);
-    if (!isWhole(*decoded))
+    m_validUntil = requestedAt + shortened(length, m_context.settings.leases.driftPpm);
+    if (!isComplete(*decoded))
         return;
     if (!m_firstReplyAt)
         m_firstReplyAt = now;
-    if (canAdmitAll(now) || now >= *m_firstReplyAt + emptySharePatience)
-        m_haveArrived = true;
+    if (canAdmitAll(now) || now >= *m_firstReplyAt + emptyShareTimeout)
+        m_hasShares = true;
 }
 
-bool ShareService::isWhole(const ShareReply &reply) const
+bool ShareService::isComplete(const ShareReply &reply) const
 {
     return reply.isSettled && reply.organisations.size() == m_organisations.size();
 }
--- a/src/bulrushswitchd/shareservice.h
+++ b/src/bulrushswitchd/shareservice.h
@@ -16,15 +16,15 @@
 class LimitBoard;
 
 /**
- * Renews this daemon's shares of the organisations' limits with the steward of its failure domain,
- * and answers the renewals of others for the domains that this daemon is steward of.
+ * Renews this daemon's shares of the organisations' limits with the leader of its failure domain,
+ * and answers the renewals of other daemons for the domains that this daemon leads.
  *
  * Used on the control thread.
  */
 class ShareService
 {
 public:
-    /** \returns the reply to a renewal by this daemon's own steward, or null. */
+    /** \returns the reply of a leader in this daemon to a renewal, or null. */
     using LocalRenewal = std::function<Json::Value(const Json::Value &)>;
 
     ShareService(ControlContext &context, LimitBoard &limits, LocalRenewal localRenewal);
@@ -32,36 +32,35 @@
     ShareService(const ShareService &) = delete;
     ShareService &operator=(const ShareService &) = delete;
 
-    /** This daemon is steward of \a domain, again or anew. */
-    void began(const DomainName &domain, std::uint64_t epoch, Instant now);
+    /** Starts or resumes the distribution of shares as the leader of \a domain. */
+    void beginTerm(const DomainName &domain, std::uint64_t epoch, Instant now);
 
-    /** Renews when it is due: at once upon a new steward or contract, and each 250 ms. */
-    void tick(Instant now, const std::optional<KnownSteward> &steward,
-              const ContractMap &contracts);
+    /** Renews at once after a change of leader or contracts, and otherwise every 250 ms. */
+    void tick(Instant now, const std::optional<KnownLeader> &leader, const ContractMap &contracts);
 
     /** Answers the renewal \a parameters. \pre this daemon may grant for \a domain at \a now. */
     Json::Value answer(const DomainName &domain, const Json::Value &parameters,
                        const ContractMap &contracts, Instant now);
 
-    /** \returns whether shares of all known organisations have come, and none has run out since. */
-    bool haveArrived(Instant now) const;
+    /** \returns whether valid shares of all known organisations have been received. */
+    bool hasValidShares(Instant now) const;
 
 private:
     void renew(Instant now);
-    void replied(const Json::Value &reply, Instant askedAt);
-    bool isWhole(const ShareReply &reply) const;
+    void handleReply(const Json::Value &reply, Instant requestedAt);
+    bool isComplete(const ShareReply &reply) const;
     bool canAdmitAll(Instant now) const;
 
     ControlContext &m_context;
     LimitBoard &m_limits;
     LocalRenewal m_localRenewal;
-    std::map<DomainName, DomainShares> m_given;
-    KnownSteward m_steward;
+    std::map<DomainName, DomainShares> m_sharesByDomain;
+    KnownLeader m_leader;
     std::vector<OrganisationName> m_organisations;
     std::optional<Instant> m_sentAt;
-    /** When a steward that hands shares out first answered for all organisations. */
+    /** When a leader whose shares are settled first answered for all organisations. */
     std::optional<Instant> m_firstReplyAt;
-    bool m_haveArrived = false;
+    bool m_hasShares = false;
     Instant m_validUntil{};
 };
 
--- a/src/bulrushswitchd/trafficcontext.h
+++ b/src/bulrushswitchd/trafficcontext.h
@@ -1,15 +1,15 @@
 #pragma once
 
-#include "burnboard.h"
-#include "claimdesk.h"
+#include "claimhandler.h"
+#include "dispatchgate.h"
 #include "limitboard.h"
-#include "loadboard.h"
+#include "loadrecorder.h"
 #include "process/daemonsettings.h"
 #include "process/memberrecord.h"
-#include "rightgate.h"
 #include "routingview.h"
-#include "serverboard.h"
-#include "serverlane.h"
+#include "serverqueue.h"
+#include "serverstatusregistry.h"
+#include "sharedburnrecorder.h"
 #include "viewholder.h"
 
 #include <atomic>
@@ -26,28 +26,28 @@
 class LoopTimers;
 } // namespace io
 
-/** The parts of a daemon that all traffic threads share. Each is thread safe. */
+/** State of a daemon that all traffic threads share. Each part is thread safe. */
 struct TrafficShared
 {
     const DaemonSettings &settings;
     MemberRecord self;
     Counters &counters;
-    RightGate &gate;
-    ServerBoard &board;
-    ServerLanes &lanes;
+    DispatchGate &gate;
+    ServerStatusRegistry &serverStatuses;
+    ServerQueues &serverQueues;
     ViewHolder<RoutingView> &view;
-    ClaimDesk &claims;
-    BurnBoard &burn;
+    ClaimHandler &claims;
+    SharedBurnRecorder &burnRecorder;
     LimitBoard &limits;
-    LoadBoard &loads;
-    /** Whether new work is refused, since this daemon leaves. */
+    LoadRecorder &loads;
+    /** Whether new requests are refused because this daemon is draining. */
     const std::atomic<bool> &isRefusing;
-    /** Requests of callers that have not ended. */
+    /** Number of requests from callers and peers that have not completed. */
     std::atomic<std::size_t> &openRequests;
 };
 
 /**
- * What the requests of one traffic thread share: the daemon's parts, and the thread's own.
+ * State that the requests of one traffic thread share: that of the daemon, and that of the thread.
  */
 struct TrafficContext : TrafficShared
 {
--- a/src/bulrushswitchd/trafficworker.cpp
+++ b/src/bulrushswitchd/trafficworker.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr Duration laneInterval = std::chrono::milliseconds{5};
+constexpr Duration queueAdvanceInterval = std::chrono::milliseconds{5};
 
 } // namespace
 
@@ -34,14 +34,14 @@
         m_loop, serverSettings({m_context.settings.addresses.callers.address, ports.callers}),
         [this](auto request, auto writer) {
             std::make_shared<CallerExchange>(m_context,
-                                             CallerEnds{std::move(request), std::move(writer)})
+                                             CallerStreams{std::move(request), std::move(writer)})
                 ->start();
         });
     m_relay = std::make_unique<io::CallerServer>(
         m_loop, serverSettings({m_context.settings.addresses.peers.address, ports.relay}),
         [this](auto request, auto writer) {
             std::make_shared<RelayedExchange>(m_context,
-                                              CallerEnds{std::move(request), std::move(writer)})
+                                              CallerStreams{std::move(request), std::move(writer)})
                 ->start();
         });
     if (const std::error_code error = m_callers->listen())
@@ -55,9 +55,9 @@
 
 void TrafficWorker::start()
 {
-    m_timers.every(laneInterval, [this](Instant now) {
-        for (auto &[server, lane] : m_context.lanes)
-            lane->advance(now);
+    m_timers.every(queueAdvanceInterval, [this](Instant now) {
+        for (auto &[server, queue] : m_context.serverQueues)
+            queue->advance(now);
     });
     m_thread = std::thread{[this] {
         m_loop.run();
--- a/src/bulrushswitchd/trafficworker.h
+++ b/src/bulrushswitchd/trafficworker.h
@@ -15,7 +15,7 @@
 
 namespace bulrush {
 
-/** Where a traffic thread listens; a port of 0 lets the host choose. */
+/** Ports on which a traffic thread listens; the operating system chooses a port for 0. */
 struct TrafficPorts
 {
     std::uint16_t callers = 0;
@@ -23,10 +23,10 @@
 };
 
 /**
- * One thread that carries traffic: its loop, its servers towards callers and other daemons, and its
- * client towards backend servers.
+ * A traffic thread with its event loop, its HTTP servers for callers and other daemons, and its
+ * HTTP client for backend servers.
  *
- * Made, started and destroyed on one thread; the rest happens on its own.
+ * Created, started and destroyed on one thread; requests are handled on the thread of the worker.
  */
 class TrafficWorker
 {
@@ -37,16 +37,16 @@
     TrafficWorker(const TrafficWorker &) = delete;
     TrafficWorker &operator=(const TrafficWorker &) = delete;
 
-    /** Listens, before the thread runs. \a ports are updated to those that were chosen. */
+    /** Listens; call it before start(). Sets \a ports to the ports in use. */
     std::error_code listen(TrafficPorts &ports);
 
-    /** Runs the loop on a thread of its own. */
+    /** Runs the loop on a new thread. */
     void start();
 
-    /** Stops taking connections and lets those with requests finish. Thread safe. */
+    /** Stops accepting connections and lets pending requests complete. Thread safe. */
     void drain();
 
-    /** Ends the loop and its thread. */
+    /** Stops the loop and joins the thread. */
     void stop();
 
 private:
--- a/src/bulrushswitchd/viewholder.h
+++ b/src/bulrushswitchd/viewholder.h
@@ -7,8 +7,7 @@
 namespace bulrush {
 
 /**
- * Hands the latest of a thing that never changes from the thread that makes it to those that read
- * it. Thread safe.
+ * Holds the latest immutable snapshot, which one thread publishes and others read. Thread safe.
  */
 template<typename View>
 class ViewHolder
