--- a/tests/fleet/fleet.cpp
+++ b/tests/fleet/fleet.cpp
@@ -18,21 +18,22 @@
 constexpr auto pollInterval = std::chrono::milliseconds{50};
 constexpr auto pollLimit = std::chrono::seconds{60};
 
-std::string binary(const std::string &name)
+std::string binaryPath(const std::string &name)
 {
     return std::string{BULRUSH_BINARY_DIR} + "/" + name;
 }
 
-/** A loopback network of this process's own, so that fixed ports in it are free. */
-std::string ownPrefix()
+/** \returns the prefix of loopback addresses unique to this process, so that fixed ports are free.
+ */
+std::string loopbackPrefix()
 {
     const auto pid = static_cast<unsigned>(::getpid());
     return "127." + std::to_string(100 + (pid >> 16U) % 100) + "."
         + std::to_string((pid >> 8U) % 256) + "." + std::to_string(pid % 256);
 }
 
-/** Runs a program that ends by itself. \returns its exit code, or -1. */
-int runToEnd(const std::string &program, std::vector<std::string> words)
+/** Runs a program until it exits. \returns its exit code, or -1. */
+int runProgram(const std::string &program, std::vector<std::string> words)
 {
     words.insert(words.begin(), program);
     std::vector<char *> arguments;
@@ -47,8 +48,8 @@
     return WIFEXITED(status) ? WEXITSTATUS(status) : -1;
 }
 
-std::string serverEntry(const std::string &name, const std::string &domain,
-                        const std::string &service, const std::string &address, bool checksFence)
+std::string serverSettings(const std::string &name, const std::string &domain,
+                           const std::string &service, const std::string &address, bool checksFence)
 {
     return "  - {name: " + name + ", domain: " + domain + ", service: " + service + ", address: \""
         + address + "\", slots: 3, connectionLimit: 110, checksFence: "
@@ -60,13 +61,14 @@
 Fleet::Fleet(FleetShape shape, int portOffset)
     : m_shape(shape)
     , m_portOffset(portOffset)
-    , m_folder((std::filesystem::temp_directory_path()
-                / ("bulrushfleet-" + std::to_string(::getpid()) + "-" + std::to_string(portOffset)))
-                   .string())
-    , m_prefix(ownPrefix())
-{
-    std::filesystem::remove_all(m_folder);
-    std::filesystem::create_directories(m_folder);
+    , m_directory(
+          (std::filesystem::temp_directory_path()
+           / ("bulrushfleet-" + std::to_string(::getpid()) + "-" + std::to_string(portOffset)))
+              .string())
+    , m_prefix(loopbackPrefix())
+{
+    std::filesystem::remove_all(m_directory);
+    std::filesystem::create_directories(m_directory);
     startPlatform();
     startServers();
     putContract(contractText());
@@ -84,7 +86,7 @@
         return true;
     });
     if (!isReady)
-        throw std::runtime_error("the fleet never became ready: " + m_lastProblem);
+        throw std::runtime_error("fleet did not become ready: " + m_lastProblem);
 }
 
 Fleet::~Fleet()
@@ -93,7 +95,7 @@
     m_servers.clear();
     m_platform.reset();
     std::error_code ignored;
-    std::filesystem::remove_all(m_folder, ignored);
+    std::filesystem::remove_all(m_directory, ignored);
 }
 
 std::vector<std::string> Fleet::hosts() const
@@ -163,10 +165,10 @@
 std::string Fleet::stewardOf(const std::string &domain, const std::string &asked)
 {
     const Json::Value view = status(asked);
-    for (const Json::Value &steward : view["stewards"]) {
-        if (steward["domain"].asString() != domain)
+    for (const Json::Value &leader : view["stewards"]) {
+        if (leader["domain"].asString() != domain)
             continue;
-        const std::string holder = steward["holder"].asString();
+        const std::string holder = leader["holder"].asString();
         return holder.substr(0, holder.find('#'));
     }
     return {};
@@ -181,17 +183,18 @@
     m_http.post(m_platform->address("a") + "/_faults", fault.toStyledString());
 }
 
-int Fleet::release(const std::string &domain)
+int Fleet::releaseLeadership(const std::string &domain)
 {
-    return runToEnd(binary("bulrushctl"),
-                    {"--platform", m_platform->address(domain), "steward", "release", domain,
-                     "--confirm-gone"});
+    return runProgram(binaryPath("bulrushctl"),
+                      {"--platform", m_platform->address(domain), "steward", "release", domain,
+                       "--confirm-gone"});
 }
 
-int Fleet::leave(const std::string &host)
+int Fleet::scheduleDeparture(const std::string &host)
 {
-    return runToEnd(binary("bulrushctl"),
-                    {"--platform", m_platform->address("a"), "host", "leave", "--unlisted", host});
+    return runProgram(
+        binaryPath("bulrushctl"),
+        {"--platform", m_platform->address("a"), "host", "leave", "--unlisted", host});
 }
 
 std::uint64_t Fleet::putContract(const std::string &text)
@@ -211,7 +214,7 @@
     const SyncHttpResult result =
         m_http.post(m_platform->address("a") + "/table/transact", transaction.toStyledString());
     if (result.status != 200)
-        throw std::runtime_error("the contract was not taken: " + result.body);
+        throw std::runtime_error("platform rejected the contract: " + result.body);
     m_contractVersion = result.json()["versions"][0].asUInt64();
     return m_contractVersion;
 }
@@ -240,7 +243,7 @@
             continue;
         const Json::Value log = m_http.get(process->address() + "/_control/observed").json();
         if (!log.isObject() || log["dropped"].asUInt64() != 0)
-            throw std::runtime_error(name + " has no whole log of its work");
+            throw std::runtime_error(name + " has an incomplete log of its requests");
         for (const Json::Value &entry : log["observed"]) {
             ObservedWork work;
             work.server = name;
@@ -258,7 +261,7 @@
     return all;
 }
 
-int Fleet::runsOf(const std::string &idempotencyKey)
+int Fleet::runCountOf(const std::string &idempotencyKey)
 {
     const std::vector<ObservedWork> all = observed();
     return static_cast<int>(std::count_if(all.begin(), all.end(), [&](const ObservedWork &work) {
@@ -317,7 +320,7 @@
         arguments.emplace_back("--listen");
         arguments.push_back(std::string(1, static_cast<char>('a' + domain)) + "=127.0.0.1:0");
     }
-    m_platform = std::make_unique<ChildProcess>(binary("platform-standin"), arguments);
+    m_platform = std::make_unique<ChildProcess>(binaryPath("platform-standin"), arguments);
 }
 
 void Fleet::startServers()
@@ -334,12 +337,13 @@
                               bool checksFence) {
         const std::string name = service + "-" + domain + std::to_string(number);
         m_servers[name] = std::make_unique<ChildProcess>(
-            binary("backend-standin"),
+            binaryPath("backend-standin"),
             std::vector<std::string>{"--listen", "127.0.0.1:0", "--name", name, "--service-ms",
                                      std::to_string(m_shape.serviceMs), "--checks-fence",
                                      checksFence ? "true" : "false", "--observed-limit",
                                      "1000000"});
-        m_fleetYaml += serverEntry(name, domain, service, m_servers[name]->address(), checksFence);
+        m_fleetYaml +=
+            serverSettings(name, domain, service, m_servers[name]->address(), checksFence);
     };
     for (int domain = 0; domain < m_shape.domains; ++domain) {
         const std::string letter(1, static_cast<char>('a' + domain));
@@ -360,13 +364,13 @@
                   + "\"]\naddresses:\n  callers: \"127.0.0.1:0\"\n  peers: \"" + peers
                   + "\"\n  operators: \"127.0.0.1:0\"\ntrafficThreads: 1\n");
     m_daemons[host] = std::make_unique<ChildProcess>(
-        binary("bulrushswitchd"),
-        std::vector<std::string>{"--settings", m_folder + "/" + host + ".yaml"});
+        binaryPath("bulrushswitchd"),
+        std::vector<std::string>{"--settings", m_directory + "/" + host + ".yaml"});
 }
 
 void Fleet::writeFile(const std::string &name, const std::string &text) const
 {
-    std::ofstream file{m_folder + "/" + name};
+    std::ofstream file{m_directory + "/" + name};
     file << text;
 }
 
--- a/tests/fleet/fleet.h
+++ b/tests/fleet/fleet.h
@@ -14,7 +14,7 @@
 
 namespace bulrush::test {
 
-/** How many of what a fleet has. */
+/** Size and behaviour of a fleet. */
 struct FleetShape
 {
     int domains = 3;
@@ -22,30 +22,30 @@
     int catalogueServersPerDomain = 2;
     int paymentServersPerDomain = 1;
     bool catalogueChecksFence = true;
-    /** Time for a piece of work. */
+    /** Time that a server needs for a request, in milliseconds. */
     int serviceMs = 2;
 };
 
-/** Work that a backend server started, on the clock that all processes share. */
+/** A request that a backend server started, with times of the clock that all processes share. */
 struct ObservedWork
 {
     std::string server;
     std::string key;
     std::string idempotencyKey;
     std::int64_t startUs = 0;
-    /** Of work that has not ended: the latest there is. */
+    /** The maximum value if the request still runs. */
     std::int64_t endUs = 0;
 };
 
 /**
- * A platform, backend servers and daemons as real processes on loopback addresses of their own,
- * with a contract of three operations: GET /catalogue/{item} by key, POST /deposits and PUT
- * /uploads/{name}. All end with the object. Not thread safe.
+ * A platform, backend servers and daemons as real processes on separate loopback addresses, with a
+ * contract of three operations: GET /catalogue/{item} by key, POST /deposits and PUT
+ * /uploads/{name}. The destructor stops all processes. Not thread safe.
  */
 class Fleet
 {
 public:
-    /** \a portOffset keeps two fleets of one process apart. */
+    /** \a portOffset separates the ports of several fleets in one process. */
     explicit Fleet(FleetShape shape = {}, int portOffset = 0);
     ~Fleet();
 
@@ -58,7 +58,7 @@
     ChildProcess &daemon(const std::string &host);
     ChildProcess &server(const std::string &name);
 
-    /** Starts the daemon of \a host again, as a new incarnation. */
+    /** Restarts the daemon of \a host as a new incarnation. */
     void restart(const std::string &host);
 
     /** Sends a request to \a host's daemon. */
@@ -66,44 +66,45 @@
     SyncHttpResult get(const std::string &host, const std::string &path);
     SyncHttpResult deposit(const std::string &host, const std::string &idempotencyKey);
 
-    /** \returns a daemon's view for operators; null if it does not answer. */
+    /** \returns a daemon's status page; an empty object if it does not answer. */
     Json::Value status(const std::string &host);
 
     /** \returns the assignment of \a domain that \a host's daemon has; null if it has none. */
     Json::Value assignment(const std::string &host, const std::string &domain);
 
-    /** \returns the host whose daemon is the steward of \a domain, as \a asked sees it, or "". */
+    /** \returns the host of the leader of \a domain by the status of host \a asked, or "". */
     std::string stewardOf(const std::string &domain, const std::string &asked);
 
-    /** Sets the platform's faults towards one domain, or "*". */
+    /** Sets the platform's faults for the calls of one domain, or of all domains for "*". */
     void setPlatformFault(const std::string &domain, const std::string &mode, int loseAnswers = 0);
 
     /** Runs `bulrushctl steward release` for \a domain. \returns its exit code. */
-    int release(const std::string &domain);
+    int releaseLeadership(const std::string &domain);
 
     /** Runs `bulrushctl host leave`. \returns its exit code. */
-    int leave(const std::string &host);
+    int scheduleDeparture(const std::string &host);
 
     /** Writes \a text as the contract's next version; \returns that version. */
     std::uint64_t putContract(const std::string &text);
     static std::string contractText();
 
-    /** \returns all work that the servers say they started, by start. */
+    /** \returns all requests that the servers have started, ordered by start. */
     std::vector<ObservedWork> observed();
 
-    /** \returns how often work with \a idempotencyKey was started, at all servers. */
-    int runsOf(const std::string &idempotencyKey);
+    /** \returns how often requests with \a idempotencyKey were started at all servers. */
+    int runCountOf(const std::string &idempotencyKey);
 
-    /** \returns the first pair of overlapping pieces of work on one key at two servers, or "". */
+    /** \returns a description of the first requests for one key that overlap at two servers, or "".
+     */
     std::string firstOverlap();
 
     /**
-     * Calls \a condition until it holds. \returns false if that takes more than a minute, which no
-     * machine should need.
+     * Calls \a condition until it holds. \returns false after one minute, a limit far above the
+     * time needed on any test machine.
      */
     static bool eventually(const std::function<bool()> &condition);
 
-    /** \returns whether \a count keys in a row are served through \a host. */
+    /** \returns whether the first \a count keys are all served through \a host. */
     bool servesKeys(const std::string &host, int count);
 
 private:
@@ -117,7 +118,7 @@
 
     FleetShape m_shape;
     int m_portOffset;
-    std::string m_folder;
+    std::string m_directory;
     std::string m_prefix;
     std::string m_fleetYaml;
     std::unique_ptr<ChildProcess> m_platform;
--- a/tests/fleet/test_drains.cpp
+++ b/tests/fleet/test_drains.cpp
@@ -9,7 +9,7 @@
 using namespace bulrush::test;
 using namespace std::chrono_literals;
 
-BOOST_AUTO_TEST_CASE(leavingDaemonCutsNothingOff)
+BOOST_AUTO_TEST_CASE(drainingDaemonCompletesRequestsInFlight)
 {
     FleetShape shape;
     shape.serviceMs = 100;
@@ -35,17 +35,17 @@
     BOOST_TEST(Fleet::eventually([&] { return fleet.servesKeys("a2", 10); }));
 }
 
-BOOST_AUTO_TEST_CASE(hostThatOperatorsPlanToLeaveEndsByItself)
+BOOST_AUTO_TEST_CASE(daemonStopsAfterItsDepartureIsScheduled)
 {
     Fleet fleet;
-    BOOST_TEST(fleet.leave("b1") == 0);
+    BOOST_TEST(fleet.scheduleDeparture("b1") == 0);
     BOOST_TEST(Fleet::eventually([&] { return !fleet.daemon("b1").isRunning(); }));
     BOOST_TEST(fleet.daemon("b1").terminate().code.value_or(-1) == 0);
     BOOST_TEST(Fleet::eventually([&] { return fleet.servesKeys("b2", 30); }));
     BOOST_TEST(fleet.firstOverlap() == "");
 }
 
-BOOST_AUTO_TEST_CASE(daemonsReplacedInTurnKeepServing)
+BOOST_AUTO_TEST_CASE(rollingRestartKeepsServing)
 {
     Fleet fleet;
     for (const std::string &host : fleet.hosts()) {
--- a/tests/fleet/test_freezes.cpp
+++ b/tests/fleet/test_freezes.cpp
@@ -23,7 +23,7 @@
     }));
     BOOST_TEST(now != frozen);
 
-    // What lies in its sockets is past its deadline when it thaws.
+    // Requests in the server's socket buffers are past their deadline when the process resumes.
     fleet.server(frozen).resume();
     BOOST_TEST(Fleet::eventually([&] { return fleet.servesKeys("a1", 60); }));
     BOOST_TEST(fleet.firstOverlap() == "");
@@ -36,24 +36,24 @@
     frozenServerLosesItsKeys(true);
 }
 
-BOOST_AUTO_TEST_CASE(frozenServerThatChecksNothingLosesItsKeys)
+BOOST_AUTO_TEST_CASE(frozenServerThatChecksNoFencesLosesItsKeys)
 {
     frozenServerLosesItsKeys(false);
 }
 
-BOOST_AUTO_TEST_CASE(frozenStewardIsReplacedAndThawsAsAnOrdinaryDaemon)
+BOOST_AUTO_TEST_CASE(frozenLeaderIsReplacedAndResumesWithoutLeadership)
 {
     Fleet fleet;
-    const std::string steward = fleet.stewardOf("b", "b1");
-    BOOST_REQUIRE(!steward.empty());
-    const std::string other = steward == "b1" ? "b2" : "b1";
-    fleet.daemon(steward).stop();
+    const std::string leader = fleet.stewardOf("b", "b1");
+    BOOST_REQUIRE(!leader.empty());
+    const std::string other = leader == "b1" ? "b2" : "b1";
+    fleet.daemon(leader).stop();
 
     BOOST_TEST(Fleet::eventually([&] { return fleet.stewardOf("b", other) == other; }));
     BOOST_TEST(Fleet::eventually([&] { return fleet.servesKeys(other, 60); }));
 
-    fleet.daemon(steward).resume();
-    BOOST_TEST(Fleet::eventually([&] { return fleet.servesKeys(steward, 60); }));
-    BOOST_TEST(fleet.stewardOf("b", steward) == other);
+    fleet.daemon(leader).resume();
+    BOOST_TEST(Fleet::eventually([&] { return fleet.servesKeys(leader, 60); }));
+    BOOST_TEST(fleet.stewardOf("b", leader) == other);
     BOOST_TEST(fleet.firstOverlap() == "");
 }
--- a/tests/fleet/test_losses.cpp
+++ b/tests/fleet/test_losses.cpp
@@ -12,16 +12,17 @@
 
 namespace {
 
-/** A daemon serves within this time of the first one: the bound for a key to be served again. */
-constexpr std::chrono::seconds servedAgainBound{4};
+/** Maximum time between the first daemon that serves keys again and any other. */
+constexpr std::chrono::seconds maxUnavailableTime{4};
 
 /**
- * Asks \a host for each key until it has answered all or the bound after \a start is over.
- * \returns the server of the first answer to each key.
+ * Requests each key from \a host until it has answered all or the time limit after \a start has
+ * passed. \returns the server of the first answer to each key.
  */
-std::map<std::string, std::string> answersWithin(Fleet &fleet, const std::string &host,
-                                                 const std::map<std::string, std::string> &owners,
-                                                 std::chrono::steady_clock::time_point start)
+std::map<std::string, std::string>
+answersWithinBound(Fleet &fleet, const std::string &host,
+                   const std::map<std::string, std::string> &owners,
+                   std::chrono::steady_clock::time_point start)
 {
     std::map<std::string, std::string> answers;
     do {
@@ -33,31 +34,31 @@
                 answers[path] = result.json()["server"].asString();
         }
     } while (answers.size() < owners.size()
-             && std::chrono::steady_clock::now() - start < servedAgainBound);
+             && std::chrono::steady_clock::now() - start < maxUnavailableTime);
     return answers;
 }
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(killedStewardAndAttendantAreReplaced)
+BOOST_AUTO_TEST_CASE(killedLeaderAndServerManagerAreReplaced)
 {
     Fleet fleet;
-    const std::string steward = fleet.stewardOf("a", "a1");
-    BOOST_REQUIRE(!steward.empty());
-    const std::string other = steward == "a1" ? "a2" : "a1";
-    fleet.daemon(steward).kill();
+    const std::string leader = fleet.stewardOf("a", "a1");
+    BOOST_REQUIRE(!leader.empty());
+    const std::string other = leader == "a1" ? "a2" : "a1";
+    fleet.daemon(leader).kill();
 
     BOOST_TEST(Fleet::eventually([&] { return fleet.stewardOf("a", other) == other; }));
     BOOST_TEST(Fleet::eventually([&] { return fleet.servesKeys(other, 60); }));
     BOOST_TEST(fleet.servesKeys("b1", 60));
     BOOST_TEST(fleet.firstOverlap() == "");
 
-    fleet.restart(steward);
-    BOOST_TEST(Fleet::eventually([&] { return fleet.servesKeys(steward, 60); }));
+    fleet.restart(leader);
+    BOOST_TEST(Fleet::eventually([&] { return fleet.servesKeys(leader, 60); }));
     BOOST_TEST(fleet.firstOverlap() == "");
 }
 
-BOOST_AUTO_TEST_CASE(keysOfADomainWithoutDaemonsAreServedFromOthers)
+BOOST_AUTO_TEST_CASE(keysOfADomainWithoutDaemonsAreServedByOtherDomains)
 {
     Fleet fleet;
     fleet.daemon("a1").kill();
@@ -86,7 +87,7 @@
     BOOST_TEST(now != lost);
 }
 
-BOOST_AUTO_TEST_CASE(allDaemonsKilledAtOnceKeepTheAssignmentUponAnOperatorsRelease)
+BOOST_AUTO_TEST_CASE(assignmentIsKeptAfterAllDaemonsAreKilledAndLeadershipIsReleased)
 {
     Fleet fleet;
     std::map<std::string, std::string> owners;
@@ -99,18 +100,18 @@
     for (const std::string &host : fleet.hosts())
         fleet.restart(host);
 
-    // Holder and candidates are all gone without a word: who takes over can't know that, and no
-    // daemon does; an operator who does says so.
+    // The holder and all candidates were killed without releasing their promises. No new daemon can
+    // detect that, so an operator has to release the leadership.
     for (const std::string domain : {"a", "b", "c"})
-        BOOST_TEST(fleet.release(domain) == 0);
+        BOOST_TEST(fleet.releaseLeadership(domain) == 0);
     BOOST_TEST(Fleet::eventually([&] { return fleet.servesKeys("c2", 30); }));
 
-    // Each daemon asks for its own right to route, so they do not all serve at the same instant.
+    // Each daemon pulls its own routing lease, so they do not start to serve at the same time.
     const auto firstServed = std::chrono::steady_clock::now();
-    // Another host first: right after the first daemon serves is when others may not yet.
+    // Starts with another host: it may not serve yet just after the first daemon does.
     for (const std::string host : {"b2", "a1", "a2", "b1", "c1", "c2"}) {
         std::map<std::string, std::string> answers =
-            answersWithin(fleet, host, owners, firstServed);
+            answersWithinBound(fleet, host, owners, firstServed);
         BOOST_TEST(answers.size() == owners.size(), host << " serves only " << answers.size());
         for (const auto &[path, server] : answers)
             BOOST_TEST(server == owners[path], host << " has " << server << " for " << path);
--- a/tests/fleet/test_outages.cpp
+++ b/tests/fleet/test_outages.cpp
@@ -11,29 +11,29 @@
 
 namespace {
 
-/** Several times every lease. */
-constexpr auto longOutage = 6s;
+/** Several times the duration of each lease. */
+constexpr auto outageDuration = 6s;
 
-bool isByPromises(Fleet &fleet, const std::string &domain, const std::string &host)
+bool holdsByPromisesOnly(Fleet &fleet, const std::string &domain, const std::string &host)
 {
     const Json::Value view = fleet.status(host);
-    for (const Json::Value &steward : view["stewards"]) {
-        if (steward["domain"].asString() == domain && steward["isSelf"].asBool())
-            return !steward["platformLease"].asBool();
+    for (const Json::Value &leader : view["stewards"]) {
+        if (leader["domain"].asString() == domain && leader["isSelf"].asBool())
+            return !leader["platformLease"].asBool();
     }
     return false;
 }
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(keysAreServedThroughAnOutageOfThePlatform)
+BOOST_AUTO_TEST_CASE(keysAreServedDuringAPlatformOutage)
 {
     Fleet fleet;
-    const std::string steward = fleet.stewardOf("a", "a1");
+    const std::string leader = fleet.stewardOf("a", "a1");
     fleet.setPlatformFault("*", "down");
-    BOOST_TEST(Fleet::eventually([&] { return isByPromises(fleet, "a", steward); }));
+    BOOST_TEST(Fleet::eventually([&] { return holdsByPromisesOnly(fleet, "a", leader); }));
 
-    const auto end = std::chrono::steady_clock::now() + longOutage;
+    const auto end = std::chrono::steady_clock::now() + outageDuration;
     while (std::chrono::steady_clock::now() < end)
         BOOST_TEST(fleet.servesKeys("a1", 20));
 
@@ -41,34 +41,34 @@
     BOOST_TEST(refused.status == 503);
     BOOST_TEST(refused.header("X-Bulrush-Ran").value_or("") == "no");
     BOOST_TEST(refused.header("Retry-After").has_value());
-    BOOST_TEST(fleet.runsOf("in-outage") == 0);
+    BOOST_TEST(fleet.runCountOf("in-outage") == 0);
 
     fleet.setPlatformFault("*", "none");
     BOOST_TEST(Fleet::eventually([&] { return fleet.deposit("a1", "after").status == 200; }));
-    BOOST_TEST(fleet.runsOf("in-outage") == 0);
+    BOOST_TEST(fleet.runCountOf("in-outage") == 0);
     BOOST_TEST(fleet.firstOverlap() == "");
 }
 
-BOOST_AUTO_TEST_CASE(serverLostInAnOutageIsReplacedWithinItsDomain)
+BOOST_AUTO_TEST_CASE(serverLostDuringAnOutageIsReplacedWithinItsDomain)
 {
     Fleet fleet;
-    const std::string steward = fleet.stewardOf("a", "a1");
+    const std::string leader = fleet.stewardOf("a", "a1");
     fleet.setPlatformFault("*", "down");
-    BOOST_TEST(Fleet::eventually([&] { return isByPromises(fleet, "a", steward); }));
+    BOOST_TEST(Fleet::eventually([&] { return holdsByPromisesOnly(fleet, "a", leader); }));
     fleet.server("catalogue-a1").kill();
 
     BOOST_TEST(Fleet::eventually([&] { return fleet.servesKeys("a1", 60); }));
     fleet.setPlatformFault("*", "none");
-    BOOST_TEST(Fleet::eventually([&] { return !isByPromises(fleet, "a", steward); }));
+    BOOST_TEST(Fleet::eventually([&] { return !holdsByPromisesOnly(fleet, "a", leader); }));
     BOOST_TEST(Fleet::eventually([&] { return fleet.servesKeys("b2", 60); }));
 }
 
-BOOST_AUTO_TEST_CASE(domainCutFromThePlatformGoesOnServing)
+BOOST_AUTO_TEST_CASE(domainWithoutThePlatformKeepsServing)
 {
     Fleet fleet;
-    const std::string steward = fleet.stewardOf("c", "c1");
+    const std::string leader = fleet.stewardOf("c", "c1");
     fleet.setPlatformFault("c", "down");
-    std::this_thread::sleep_for(longOutage);
+    std::this_thread::sleep_for(outageDuration);
 
     BOOST_TEST(fleet.servesKeys("c1", 60));
     BOOST_TEST(fleet.servesKeys("a1", 60));
@@ -77,16 +77,16 @@
     BOOST_TEST(fleet.firstOverlap() == "");
 }
 
-BOOST_AUTO_TEST_CASE(lostAnswersOfThePlatformChangeNothing)
+BOOST_AUTO_TEST_CASE(lostPlatformAnswersCauseNoRepeatedRuns)
 {
     Fleet fleet;
     fleet.setPlatformFault("*", "none", 40);
     for (int i = 0; i < 10; ++i) {
         const std::string key = "lost-answer-" + std::to_string(i);
         fleet.deposit("b1", key);
-        // Until the first claim is settled the caller is told to come back.
+        // Until the first claim is settled, the daemon asks the caller to retry later.
         BOOST_TEST(Fleet::eventually([&] { return fleet.deposit("c1", key).status == 200; }));
-        BOOST_TEST(fleet.runsOf(key) == 1);
+        BOOST_TEST(fleet.runCountOf(key) == 1);
     }
     BOOST_TEST(Fleet::eventually([&] { return fleet.servesKeys("a1", 60); }));
     BOOST_TEST(fleet.firstOverlap() == "");
--- a/tests/fleet/test_wholepath.cpp
+++ b/tests/fleet/test_wholepath.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/** One fleet for the cases that leave it as they found it. */
+/** The fleet of the test cases that leave its state unchanged. */
 Fleet &sharedFleet()
 {
     static Fleet fleet;
@@ -21,7 +21,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(keyIsServedByItsOneOwnerFromAnyDaemon)
+BOOST_AUTO_TEST_CASE(everyDaemonRoutesAKeyToItsOneOwner)
 {
     Fleet &fleet = sharedFleet();
     std::set<std::string> owners;
@@ -41,7 +41,7 @@
     BOOST_TEST(fleet.firstOverlap() == "");
 }
 
-BOOST_AUTO_TEST_CASE(depositSentAgainThroughOtherDaemonsRunsOnce)
+BOOST_AUTO_TEST_CASE(repeatedDepositThroughOtherDaemonsRunsOnce)
 {
     Fleet &fleet = sharedFleet();
     const SyncHttpResult first = fleet.deposit("a1", "deposit-1");
@@ -51,10 +51,10 @@
         BOOST_TEST(again.status == 200);
         BOOST_TEST(again.body == first.body);
     }
-    BOOST_TEST(fleet.runsOf("deposit-1") == 1);
+    BOOST_TEST(fleet.runCountOf("deposit-1") == 1);
 }
 
-BOOST_AUTO_TEST_CASE(largeUploadPassesWhole)
+BOOST_AUTO_TEST_CASE(largeUploadIsForwardedCompletely)
 {
     SyncHttpRequest put;
     put.method = "PUT";
@@ -65,7 +65,7 @@
     BOOST_TEST(result.json()["length"].asUInt64() == std::uint64_t{64} << 20U);
 }
 
-BOOST_AUTO_TEST_CASE(requestsThatCantBeTakenAreToldWhy)
+BOOST_AUTO_TEST_CASE(rejectedRequestsGetAReason)
 {
     Fleet &fleet = sharedFleet();
     SyncHttpRequest stranger;
@@ -90,7 +90,7 @@
 
 BOOST_AUTO_TEST_CASE(assignmentOfManySlicesReachesAllDomains)
 {
-    // 600 slices a domain: more than one message between daemons holds at once.
+    // 600 slices per domain exceed the size of one message between daemons.
     FleetShape shape;
     shape.daemonsPerDomain = 1;
     shape.catalogueServersPerDomain = 6;
@@ -100,7 +100,7 @@
     BOOST_TEST(fleet.firstOverlap() == "");
 }
 
-BOOST_AUTO_TEST_CASE(changedContractIsInForceEverywhere)
+BOOST_AUTO_TEST_CASE(changedContractTakesEffectAtAllDaemons)
 {
     Fleet &fleet = sharedFleet();
     std::string text = Fleet::contractText();
