--- a/tests/ownershipobserver/observer.cpp
+++ b/tests/ownershipobserver/observer.cpp
@@ -16,7 +16,7 @@
 {
     std::vector<WorkOverlap> found;
     for (const auto &[key, byStart] : m_work) {
-        // Of each server, only the work that ends last can still overlap what starts later.
+        // Of each server, only the request that ends last can overlap with later requests.
         std::map<bulrush::ServerName, AcceptedWork> lastEnds;
         for (const auto &[start, work] : byStart) {
             for (const auto &[server, earlier] : lastEnds) {
--- a/tests/ownershipobserver/observer.h
+++ b/tests/ownershipobserver/observer.h
@@ -9,7 +9,7 @@
 #include <vector>
 
 /**
- * Work that a server accepted, in true time: a clock that no process of the world reads.
+ * A request that a server accepted, in true time, which no simulated process can read.
  */
 struct AcceptedWork
 {
@@ -20,7 +20,7 @@
     bulrush::Instant end;
 };
 
-/** Two servers that worked at one key at one time. */
+/** Requests for one key that ran at two servers at the same time. */
 struct WorkOverlap
 {
     AcceptedWork first;
@@ -28,16 +28,16 @@
 };
 
 /**
- * Watches what servers really did; knows nothing of leases, fences' meaning or assignments.
+ * Records the requests that servers ran, independently of leases, fences and assignments.
  */
 class OwnershipObserver
 {
 public:
     void record(const AcceptedWork &work);
-    /** \returns every pair of overlapping work at neighbouring starts of one key. */
+    /** \returns the pairs of requests for one key that overlap at different servers. */
     std::vector<WorkOverlap> overlaps() const;
     std::size_t workCount() const;
-    /** \returns the longest time between starts of work at \a key that touches the span. */
+    /** \returns the longest time without a start of a request for \a key in the given span. */
     bulrush::Duration longestGap(bulrush::KeyHash key, bulrush::Instant from,
                                  bulrush::Instant until) const;
 
--- a/tests/ownershipobserver/ownershipworld.cpp
+++ b/tests/ownershipobserver/ownershipworld.cpp
@@ -7,11 +7,11 @@
 
 namespace {
 
-constexpr Duration daemonTick = 2ms;
-constexpr Duration stewardTick = 2ms;
+constexpr Duration daemonTickInterval = 2ms;
+constexpr Duration leaderTickInterval = 2ms;
 constexpr Duration platformTimeout = 100ms;
 constexpr Duration lateWriteDelay = 300ms;
-constexpr Duration callerPatience = 2s;
+constexpr Duration callerTimeout = 2s;
 const ServiceName service("catalogue");
 
 std::string text(Fence fence)
@@ -19,7 +19,7 @@
     return std::to_string(fence.epoch) + "." + std::to_string(fence.sequence);
 }
 
-/** Names are a letter and a number from 1. */
+/** \returns the index in \a name, which is a letter and a number from 1. */
 std::size_t indexOf(const std::string &name)
 {
     return std::stoul(name.substr(1)) - 1;
@@ -58,15 +58,15 @@
         after(1ms * i, [this, &daemon] { tickDaemon(daemon); });
     }
     for (int key = 0; key < settings.keys; ++key) {
-        m_homes.push_back(key % settings.servers);
+        m_plannedServers.push_back(key % settings.servers);
         if (settings.askedKeys.empty())
             after(settings.requestPeriod * key / settings.keys, [this, key] { request(key); });
     }
     for (const int key : settings.askedKeys)
         after(1ms, [this, key] { request(key); });
-    m_row.domain = DomainName("north");
-    m_rowEpoch = 0;
-    takeOver();
+    m_publishedAssignment.domain = DomainName("north");
+    m_publishedEpoch = 0;
+    startNewLeader();
 }
 
 void OwnershipWorld::at(Duration time, std::function<void()> step)
@@ -90,7 +90,7 @@
     Server &server = *m_servers[index];
     note(server.process.name + " killed");
     server.process.isAlive = false;
-    endRunning(server);
+    interruptRunningWork(server);
     server.running.clear();
 }
 
@@ -99,10 +99,10 @@
     Server &server = *m_servers[index];
     note(server.process.name + " freezes");
     server.process.isFrozen = true;
-    m_interruptedWork += endRunning(server);
+    m_interruptedWork += interruptRunningWork(server);
 }
 
-int OwnershipWorld::endRunning(Server &server)
+int OwnershipWorld::interruptRunningWork(Server &server)
 {
     int ended = 0;
     for (auto &[id, running] : server.running) {
@@ -151,38 +151,38 @@
 {
     note("host of " + m_daemons[index]->process.name + " is to leave");
     m_daemons[index]->isLeaving = true;
-    plan(lastSteward());
+    plan(currentLeader());
 }
 
 void OwnershipWorld::freezeSteward()
 {
-    note("steward " + std::to_string(lastSteward().epoch) + " freezes");
-    lastSteward().process.isFrozen = true;
+    note("steward " + std::to_string(currentLeader().epoch) + " freezes");
+    currentLeader().process.isFrozen = true;
 }
 
 void OwnershipWorld::thawStewards()
 {
-    for (const auto &steward : m_stewards)
-        thaw(steward->process);
+    for (const auto &leader : m_leaders)
+        thaw(leader->process);
 }
 
 void OwnershipWorld::killSteward()
 {
-    note("steward " + std::to_string(lastSteward().epoch) + " killed");
-    lastSteward().process.isAlive = false;
+    note("steward " + std::to_string(currentLeader().epoch) + " killed");
+    currentLeader().process.isAlive = false;
 }
 
 void OwnershipWorld::startSuccessor()
 {
-    // Stands in for the seat: a takeover waits until the last tenure is over on every clock.
-    Steward &steward = lastSteward();
-    const Duration left = std::max<Duration>(steward.tenureUntil - local(steward.process), 0ns);
-    const Instant tenure = steward.tenureUntil;
+    // Replaces the leader election: a successor waits until the term has expired on every clock.
+    Leader &leader = currentLeader();
+    const Duration left = std::max<Duration>(leader.termEnd - local(leader.process), 0ns);
+    const Instant tenure = leader.termEnd;
     after(stretched(left, m_settings.terms.driftPpm) + 10ms, [this, tenure] {
-        if (lastSteward().tenureUntil != tenure)
+        if (currentLeader().termEnd != tenure)
             return;
-        if (m_platform == PlatformFault::None)
-            takeOver();
+        if (m_platformFault == PlatformFault::None)
+            startNewLeader();
         else
             startSuccessor();
     });
@@ -190,26 +190,27 @@
 
 void OwnershipWorld::moveSlice(int key, int server)
 {
-    Steward &steward = lastSteward();
+    Leader &leader = currentLeader();
     note("plan: slice " + std::to_string(key) + " to " + m_servers[server]->process.name);
-    m_homes[key] = server;
-    if (key < static_cast<int>(steward.plan.size()))
-        steward.plan[key] = server;
-    plan(steward);
+    m_plannedServers[key] = server;
+    if (key < static_cast<int>(leader.plannedServers.size()))
+        leader.plannedServers[key] = server;
+    plan(leader);
 }
 
 void OwnershipWorld::setPlatform(PlatformFault fault)
 {
-    m_platform = fault;
-    const bool isOut = fault == PlatformFault::Down;
-    note(isOut ? "platform down" : "platform fault " + std::to_string(static_cast<int>(fault)));
-    after(200ms, [this, isOut] {
-        Steward &steward = lastSteward();
-        deliver(steward.process, [this, &steward, isOut] {
-            if (isOut != (m_platform == PlatformFault::Down))
+    m_platformFault = fault;
+    const bool isPlatformOut = fault == PlatformFault::Down;
+    note(isPlatformOut ? "platform down"
+                       : "platform fault " + std::to_string(static_cast<int>(fault)));
+    after(200ms, [this, isPlatformOut] {
+        Leader &leader = currentLeader();
+        deliver(leader.process, [this, &leader, isPlatformOut] {
+            if (isPlatformOut != (m_platformFault == PlatformFault::Down))
                 return;
-            steward.isOut = isOut;
-            drive(steward, PlatformOutage{isOut});
+            leader.isPlatformOut = isPlatformOut;
+            applyEvent(leader, PlatformOutage{isPlatformOut});
         });
     });
 }
@@ -226,9 +227,9 @@
     const std::optional<OwnedPiece> owner = view.map.covering({service, range(key)});
     if (!owner)
         return;
-    Daemon *attendant = daemonOf(owner->attendant);
-    dispatch(*attendant,
-             {service, keyHash(key), owner->server, local(attendant->process) + length,
+    Daemon *manager = daemonOf(owner->attendant);
+    dispatch(*manager,
+             {service, keyHash(key), owner->server, local(manager->process) + length,
               view.assignment.version},
              length, true);
 }
@@ -270,7 +271,7 @@
 
 const Handover *OwnershipWorld::handover() const
 {
-    return m_stewards.back()->handover.get();
+    return m_leaders.back()->handover.get();
 }
 
 void OwnershipWorld::after(Duration delay, std::function<void()> step)
@@ -282,9 +283,9 @@
 {
     if (from.isIsolated != to.isIsolated)
         return;
-    const int copies = chance() < m_settings.duplicateShare ? 2 : 1;
+    const int copies = randomUnit() < m_settings.duplicateShare ? 2 : 1;
     for (int copy = 0; copy < copies; ++copy) {
-        if (chance() >= m_settings.lossShare)
+        if (randomUnit() >= m_settings.lossShare)
             after(delay(), [this, &to, step] { deliver(to, step); });
     }
 }
@@ -318,23 +319,23 @@
 
 Duration OwnershipWorld::delay(double slowShare)
 {
-    const Duration most = chance() < slowShare ? m_settings.slowDelay : m_settings.maxDelay;
+    const Duration most = randomUnit() < slowShare ? m_settings.slowDelay : m_settings.maxDelay;
     return m_settings.minDelay
         + Duration(static_cast<Duration::rep>(
-            chance() * static_cast<double>((most - m_settings.minDelay).count())));
+            randomUnit() * static_cast<double>((most - m_settings.minDelay).count())));
 }
 
-double OwnershipWorld::chance()
+double OwnershipWorld::randomUnit()
 {
     return static_cast<double>(m_random() >> 11) * 0x1.0p-53;
 }
 
 OwnershipWorld::Process OwnershipWorld::makeProcess(std::string name)
 {
-    const double drawn = chance() * 2 - 1;
+    const double drawn = randomUnit() * 2 - 1;
     const double rate = m_settings.hasExtremeClocks ? (drawn < 0 ? -1 : 1) : drawn;
     const auto ppm = static_cast<std::int64_t>(rate * static_cast<double>(m_settings.clockPpm));
-    const Duration offset(static_cast<Duration::rep>(chance() * 1e12));
+    const Duration offset(static_cast<Duration::rep>(randomUnit() * 1e12));
     return {std::move(name), offset, ppm, true, false, false, {}};
 }
 
@@ -348,9 +349,9 @@
     return *m_servers.at(indexOf(name.value()));
 }
 
-OwnershipWorld::Steward &OwnershipWorld::lastSteward()
+OwnershipWorld::Leader &OwnershipWorld::currentLeader()
 {
-    return *m_stewards.back();
+    return *m_leaders.back();
 }
 
 SliceRange OwnershipWorld::range(int key) const
@@ -369,7 +370,7 @@
 {
     if (!daemon.process.isAlive)
         return;
-    after(daemonTick, [this, &daemon] { tickDaemon(daemon); });
+    after(daemonTickInterval, [this, &daemon] { tickDaemon(daemon); });
     if (daemon.process.isFrozen)
         return;
     const Instant now = local(daemon.process);
@@ -389,8 +390,8 @@
             report.idle = true;
     }
     daemon.sentAt[request.requestId] = now;
-    const std::size_t index = daemon.steward;
-    send(daemon.process, m_stewards[index]->process,
+    const std::size_t index = daemon.leader;
+    send(daemon.process, m_leaders[index]->process,
          [this, index, request] { answerPull(index, request); });
 }
 
@@ -443,21 +444,22 @@
             continue;
         const std::optional<OwnedPiece> owner =
             entry.view->map.covering({service, {keyHash(key), keyHash(key)}});
-        Daemon *attendant = owner ? daemonOf(owner->attendant) : nullptr;
-        if (!attendant)
+        Daemon *manager = owner ? daemonOf(owner->attendant) : nullptr;
+        if (!manager)
             return;
         const Duration run = m_settings.minRun
             + Duration(static_cast<Duration::rep>(
-                chance() * static_cast<double>((m_settings.maxRun - m_settings.minRun).count())));
+                randomUnit()
+                * static_cast<double>((m_settings.maxRun - m_settings.minRun).count())));
         const DispatchQuery query{
             service, keyHash(key), owner->server, {}, entry.view->assignment.version};
-        const auto relay = [this, attendant, query, run] {
-            dispatch(*attendant, query, run, false);
+        const auto relay = [this, manager, query, run] {
+            dispatch(*manager, query, run, false);
         };
-        if (attendant == &entry)
+        if (manager == &entry)
             relay();
         else
-            send(entry.process, attendant->process, relay);
+            send(entry.process, manager->process, relay);
         return;
     }
 }
@@ -465,7 +467,7 @@
 void OwnershipWorld::dispatch(Daemon &daemon, DispatchQuery query, Duration run, bool isUpload)
 {
     const Instant now = local(daemon.process);
-    query.callerDeadline = now + callerPatience;
+    query.callerDeadline = now + callerTimeout;
     const auto reading = daemon.clocks.find(query.server);
     const DispatchDecision decision = daemon.right.mayDispatch(query, now);
     if (const auto *refusal = std::get_if<DispatchRefusal>(&decision)) {
@@ -490,12 +492,12 @@
         deliver(server.process, [this, &server, work] { receiveWork(server, work); });
     });
     if (!isUpload)
-        after(callerPatience, [this, &daemon, flight] {
+        after(callerTimeout, [this, &daemon, flight] {
             deliver(daemon.process, [&daemon, flight] { daemon.right.abandonFlight(flight); });
         });
 }
 
-bool OwnershipWorld::fenceHolds(const Server &server, const Work &work) const
+bool OwnershipWorld::isFenceAccepted(const Server &server, const Work &work) const
 {
     const auto coversWork = [&work](const SliceOwner &slice) {
         return contains(slice.range, work.key) && slice.fence >= work.fence;
@@ -512,7 +514,7 @@
 {
     Daemon &daemon = *m_daemons[static_cast<std::size_t>(work.daemon)];
     const bool isLate = local(server.process).time_since_epoch() > work.deadline;
-    const bool isFenced = m_settings.checksFence && !fenceHolds(server, work);
+    const bool isFenced = m_settings.checksFence && !isFenceAccepted(server, work);
     if (isLate || isFenced) {
         ++(isLate ? m_deadlineDrops : m_fenceDrops);
         send(server.process, daemon.process,
@@ -524,11 +526,11 @@
     server.lastStart = m_now;
     const Duration run = work.run - work.run * server.process.ppm / 1'000'000;
     after(run, [this, &server, id] {
-        deliver(server.process, [this, &server, id] { endWork(server, id); });
+        deliver(server.process, [this, &server, id] { completeWork(server, id); });
     });
 }
 
-void OwnershipWorld::endWork(Server &server, std::uint64_t id)
+void OwnershipWorld::completeWork(Server &server, std::uint64_t id)
 {
     const auto found = server.running.find(id);
     if (found == server.running.end())
@@ -546,12 +548,12 @@
          [&daemon, flight = work.flight] { daemon.right.endFlight(flight); });
 }
 
-void OwnershipWorld::receiveOrder(Server &server, const ServerOrder &order, std::size_t steward)
+void OwnershipWorld::receiveOrder(Server &server, const ServerOrder &order, std::size_t leader)
 {
     std::uint32_t running = 0;
     for (const SliceOwner &slice : order.slices) {
         const bool isCovered =
-            slice.fence <= m_row.version || m_coveredFences.contains(slice.fence);
+            slice.fence <= m_publishedAssignment.version || m_coveredFences.contains(slice.fence);
         if (order.kind == ServerOrderKind::Grant && !isCovered)
             ++m_uncoveredGrants;
         if (order.kind == ServerOrderKind::Grant)
@@ -563,7 +565,7 @@
                 return contains(slice.range, entry.second.work.key);
             }));
     }
-    confirmOrder(order, steward, OrderConfirmed{order.order, running});
+    confirmOrder(order, leader, OrderConfirmed{order.order, running});
 }
 
 void OwnershipWorld::confirmOrder(const ServerOrder &order, std::size_t index,
@@ -574,171 +576,172 @@
     send(serverOf(order.server).process, through->process,
          [this, through, name = order.server, clock, index, event] {
              through->clocks[name] = {clock, local(through->process)};
-             send(through->process, m_stewards[index]->process,
-                  [this, index, event] { drive(*m_stewards[index], event); });
+             send(through->process, m_leaders[index]->process,
+                  [this, index, event] { applyEvent(*m_leaders[index], event); });
          });
 }
 
-void OwnershipWorld::tickSteward(Steward &steward)
+void OwnershipWorld::tickLeader(Leader &leader)
 {
-    if (!steward.process.isAlive)
+    if (!leader.process.isAlive)
         return;
-    after(stewardTick, [this, &steward] { tickSteward(steward); });
-    if (steward.process.isFrozen)
+    after(leaderTickInterval, [this, &leader] { tickLeader(leader); });
+    if (leader.process.isFrozen)
         return;
-    const Instant now = local(steward.process);
-    // Stands in for the seat: the row renewed, or in an outage every candidate's promise.
-    if (m_rowEpoch == steward.epoch
-        && (steward.tenureUntil > now || steward.tenureUntil == Instant{}))
-        steward.tenureUntil = now + m_settings.tenure;
-    if (!steward.handover) {
-        finishRecovery(steward);
+    const Instant now = local(leader.process);
+    // Replaces the renewal of the term: by the platform's row or, in an outage, by promises of all
+    // candidates.
+    if (m_publishedEpoch == leader.epoch && (leader.termEnd > now || leader.termEnd == Instant{}))
+        leader.termEnd = now + m_settings.tenure;
+    if (!leader.handover) {
+        finishRecovery(leader);
         return;
     }
-    for (const auto &[incarnation, last] : steward.lastPull) {
-        if (last + m_settings.daemonQuiet >= now || !steward.lostDaemons.insert(incarnation).second)
+    for (const auto &[incarnation, last] : leader.lastPull) {
+        if (last + m_settings.daemonQuiet >= now || !leader.lostDaemons.insert(incarnation).second)
             continue;
         note("steward takes " + incarnation.value() + " for lost");
-        drive(steward, AttendantLost{incarnation});
-        plan(steward);
+        applyEvent(leader, AttendantLost{incarnation});
+        plan(leader);
     }
-    drive(steward, TenureExtended{steward.tenureUntil});
+    applyEvent(leader, TenureExtended{leader.termEnd});
 }
 
-void OwnershipWorld::takeOver()
+void OwnershipWorld::startNewLeader()
 {
-    const std::size_t index = m_stewards.size();
-    m_rowEpoch = index + 1;
-    m_stewards.push_back(std::make_unique<Steward>());
-    lastSteward().process = makeProcess("steward" + std::to_string(m_rowEpoch));
-    lastSteward().epoch = m_rowEpoch;
-    Steward &steward = lastSteward();
-    note("steward " + std::to_string(m_rowEpoch) + " takes the row");
-    const Instant now = local(steward.process);
+    const std::size_t index = m_leaders.size();
+    m_publishedEpoch = index + 1;
+    m_leaders.push_back(std::make_unique<Leader>());
+    currentLeader().process = makeProcess("steward" + std::to_string(m_publishedEpoch));
+    currentLeader().epoch = m_publishedEpoch;
+    Leader &leader = currentLeader();
+    note("steward " + std::to_string(m_publishedEpoch) + " takes the row");
+    const Instant now = local(leader.process);
     const Duration wait =
         index == 0 ? 0ms : stretched(m_settings.terms.runCap, m_settings.terms.driftPpm);
-    steward.recovery = std::make_unique<Recovery>(m_row, now + wait, now + wait + 300ms);
+    leader.recovery =
+        std::make_unique<Recovery>(m_publishedAssignment, now + wait, now + wait + 300ms);
     std::set<Incarnation> asked;
     std::set<ServerName> askedServers;
     for (const auto &daemon : m_daemons)
         asked.insert(Incarnation(daemon->process.name));
     for (const auto &server : m_servers)
         askedServers.insert(ServerName(server->process.name));
-    steward.recovery->setAsked(asked, askedServers);
+    leader.recovery->setAsked(asked, askedServers);
     for (const auto &owned : m_daemons) {
         Daemon &daemon = *owned;
-        send(steward.process, daemon.process, [this, &daemon, &steward, index] {
-            daemon.steward = std::max(daemon.steward, index);
+        send(leader.process, daemon.process, [this, &daemon, &leader, index] {
+            daemon.leader = std::max(daemon.leader, index);
             daemon.nextPull = local(daemon.process);
-            send(daemon.process, steward.process,
-                 [&steward, &daemon, view = daemon.view->assignment] {
-                     steward.recovery->addView(Incarnation(daemon.process.name), view);
+            send(daemon.process, leader.process,
+                 [&leader, &daemon, view = daemon.view->assignment] {
+                     leader.recovery->addView(Incarnation(daemon.process.name), view);
                  });
         });
     }
     for (const auto &owned : m_servers) {
         Server &server = *owned;
-        send(steward.process, server.process, [this, &server, &steward] {
-            send(server.process, steward.process, [&steward, &server, grants = server.grants] {
-                steward.recovery->addGrants(ServerName(server.process.name), grants);
+        send(leader.process, server.process, [this, &server, &leader] {
+            send(server.process, leader.process, [&leader, &server, grants = server.grants] {
+                leader.recovery->addGrants(ServerName(server.process.name), grants);
             });
         });
     }
-    after(0ms, [this, &steward] { tickSteward(steward); });
+    after(0ms, [this, &leader] { tickLeader(leader); });
 }
 
-void OwnershipWorld::finishRecovery(Steward &steward)
+void OwnershipWorld::finishRecovery(Leader &leader)
 {
-    const std::optional<Assignment> start = steward.recovery->result(local(steward.process));
+    const std::optional<Assignment> start = leader.recovery->result(local(leader.process));
     if (!start)
         return;
     LeaseTerms terms = m_settings.terms;
     if (m_settings.fault == PlantedFault::NoWaitForRunningWork)
         terms.runCap = 0ms;
-    steward.book = std::make_unique<LeaseBook>(terms, steward.epoch);
-    steward.handover = std::make_unique<Handover>(m_settings.moves, steward.epoch, *start,
-                                                  m_row.version, *steward.book);
-    steward.attendances = AttendanceTable(start->attendances);
+    leader.book = std::make_unique<LeaseBook>(terms, leader.epoch);
+    leader.handover = std::make_unique<Handover>(m_settings.moves, leader.epoch, *start,
+                                                 m_publishedAssignment.version, *leader.book);
+    leader.attendances = AttendanceTable(start->attendances);
     if (m_settings.checksFence) {
         std::set<ServerName> checking;
         for (const auto &server : m_servers)
             checking.insert(ServerName(server->process.name));
-        steward.handover->setCheckingServers(checking);
+        leader.handover->setCheckingServers(checking);
     }
-    note("steward " + std::to_string(steward.epoch) + " starts from " + text(start->version));
-    steward.isOut = m_platform == PlatformFault::Down;
+    note("steward " + std::to_string(leader.epoch) + " starts from " + text(start->version));
+    leader.isPlatformOut = m_platformFault == PlatformFault::Down;
     for (const auto &daemon : m_daemons)
-        steward.lastPull[Incarnation(daemon->process.name)] = local(steward.process);
-    drive(steward, TenureExtended{steward.tenureUntil});
-    drive(steward, PlatformOutage{steward.isOut});
-    steward.plan = m_homes;
-    plan(steward);
+        leader.lastPull[Incarnation(daemon->process.name)] = local(leader.process);
+    applyEvent(leader, TenureExtended{leader.termEnd});
+    applyEvent(leader, PlatformOutage{leader.isPlatformOut});
+    leader.plannedServers = m_plannedServers;
+    plan(leader);
 }
 
 void OwnershipWorld::answerPull(std::size_t index, const LeaseRequest &request)
 {
-    Steward &steward = *m_stewards[index];
-    if (!steward.handover)
+    Leader &leader = *m_leaders[index];
+    if (!leader.handover)
         return;
-    const Instant now = local(steward.process);
-    steward.lastPull[request.incarnation] = now;
-    if (steward.lostDaemons.erase(request.incarnation) > 0) {
-        drive(steward, AttendantFound{request.incarnation});
-        plan(steward);
+    const Instant now = local(leader.process);
+    leader.lastPull[request.incarnation] = now;
+    if (leader.lostDaemons.erase(request.incarnation) > 0) {
+        applyEvent(leader, AttendantFound{request.incarnation});
+        plan(leader);
     }
-    noteServers(steward, request);
+    updateLostServers(leader, request);
     Daemon &daemon = *daemonOf(request.incarnation);
     const std::optional<LeaseReply> reply =
-        steward.book->answer(request, steward.handover->version(), now, steward.tenureUntil);
+        leader.book->answer(request, leader.handover->version(), now, leader.termEnd);
     if (!reply)
         return;
-    const bool isSlow = m_settings.slowReplyShare > 0 && chance() < m_settings.slowReplyShare;
+    const bool isSlow = m_settings.slowReplyShare > 0 && randomUnit() < m_settings.slowReplyShare;
     const Duration extra = isSlow ? m_settings.slowDelay : Duration(0);
-    send(steward.process, daemon.process, [this, &daemon, reply = *reply, extra] {
+    send(leader.process, daemon.process, [this, &daemon, reply = *reply, extra] {
         after(extra, [this, &daemon, reply] {
             deliver(daemon.process, [this, &daemon, reply] { receiveReply(daemon, reply); });
         });
     });
-    if (steward.view && request.knownVersion < steward.view->assignment.version)
-        send(steward.process, daemon.process,
-             [this, &daemon, view = steward.view] { receiveView(daemon, view); });
-    drive(steward, TimePassed{});
+    if (leader.view && request.knownVersion < leader.view->assignment.version)
+        send(leader.process, daemon.process,
+             [this, &daemon, view = leader.view] { receiveView(daemon, view); });
+    applyEvent(leader, TimePassed{});
 }
 
-void OwnershipWorld::noteServers(Steward &steward, const LeaseRequest &request)
+void OwnershipWorld::updateLostServers(Leader &leader, const LeaseRequest &request)
 {
-    std::erase_if(steward.lostServers, [&](const auto &entry) {
+    std::erase_if(leader.lostServers, [&](const auto &entry) {
         const bool isFound = entry.second == request.incarnation
             && std::find(request.lostServers.begin(), request.lostServers.end(), entry.first)
                 == request.lostServers.end();
         if (isFound) {
-            drive(steward, ServerFound{entry.first});
-            after(0ms, [this, &steward] { plan(steward); });
+            applyEvent(leader, ServerFound{entry.first});
+            after(0ms, [this, &leader] { plan(leader); });
         }
         return isFound;
     });
     for (const ServerName &server : request.lostServers) {
         const bool attends =
-            attendantOf(steward.attendances.attendances(), server) == request.incarnation;
-        if (!attends || !steward.lostServers.emplace(server, request.incarnation).second)
+            attendantOf(leader.attendances.attendances(), server) == request.incarnation;
+        if (!attends || !leader.lostServers.emplace(server, request.incarnation).second)
             continue;
         note("steward takes " + server.value() + " for lost");
-        drive(steward, ServerLost{server});
-        plan(steward);
+        applyEvent(leader, ServerLost{server});
+        plan(leader);
     }
 }
 
-void OwnershipWorld::plan(Steward &steward)
+void OwnershipWorld::plan(Leader &leader)
 {
-    if (!steward.handover || steward.process.isFrozen)
+    if (!leader.handover || leader.process.isFrozen)
         return;
     const auto isLost = [&](int index) {
-        return steward.lostServers.contains(
+        return leader.lostServers.contains(
             ServerName(m_servers[static_cast<std::size_t>(index)]->process.name));
     };
-    Assignment wanted{m_row.domain, {}, {}, {}};
+    Assignment wanted{m_publishedAssignment.domain, {}, {}, {}};
     for (int key = 0; key < m_settings.keys; ++key) {
-        int &server = steward.plan[static_cast<std::size_t>(key)];
+        int &server = leader.plannedServers[static_cast<std::size_t>(key)];
         for (int tried = 0; isLost(server) && tried < m_settings.servers; ++tried)
             server = (server + 1) % m_settings.servers;
         wanted.slices.push_back(
@@ -751,27 +754,27 @@
     for (const auto &server : m_servers)
         servers.insert(ServerName(server->process.name));
     std::set<Incarnation> daemons;
-    for (const auto &[incarnation, last] : steward.lastPull) {
-        if (!steward.lostDaemons.contains(incarnation) && !daemonOf(incarnation)->isLeaving)
+    for (const auto &[incarnation, last] : leader.lastPull) {
+        if (!leader.lostDaemons.contains(incarnation) && !daemonOf(incarnation)->isLeaving)
             daemons.insert(incarnation);
     }
-    steward.attendances.fit(servers, daemons);
-    wanted.attendances.assign(steward.attendances.attendances().begin(),
-                              steward.attendances.attendances().end());
-    drive(steward, AssignmentWanted{wanted});
+    leader.attendances.fit(servers, daemons);
+    wanted.attendances.assign(leader.attendances.attendances().begin(),
+                              leader.attendances.attendances().end());
+    applyEvent(leader, AssignmentWanted{wanted});
 }
 
-void OwnershipWorld::drive(Steward &steward, const HandoverEvent &event)
+void OwnershipWorld::applyEvent(Leader &leader, const HandoverEvent &event)
 {
-    if (!steward.handover)
+    if (!leader.handover)
         return;
-    for (const HandoverAction &action : steward.handover->handle(event, local(steward.process)))
-        perform(steward.epoch - 1, action);
+    for (const HandoverAction &action : leader.handover->handle(event, local(leader.process)))
+        perform(leader.epoch - 1, action);
 }
 
 void OwnershipWorld::perform(std::size_t index, const HandoverAction &action)
 {
-    Steward &steward = *m_stewards[index];
+    Leader &leader = *m_leaders[index];
     if (const auto *order = std::get_if<ServerOrder>(&action)) {
         note(std::string(text(order->kind)) + " " + std::to_string(order->slices.size()) + " at "
              + order->server.value() + " through " + order->through.value() + ", fence "
@@ -780,70 +783,70 @@
         if (!through)
             return;
         Server &server = serverOf(order->server);
-        send(steward.process, through->process, [this, &server, through, order = *order, index] {
+        send(leader.process, through->process, [this, &server, through, order = *order, index] {
             send(through->process, server.process,
                  [this, &server, order, index] { receiveOrder(server, order, index); });
         });
     } else if (const auto *inForce = std::get_if<AssignmentInForce>(&action)) {
-        spread(steward, *inForce);
+        publishAssignment(leader, *inForce);
     } else if (const auto *write = std::get_if<CommitAssignment>(&action)) {
         note("commit " + text(write->next.version) + " over " + text(write->expected));
         commit(index, *write);
     } else if (std::holds_alternative<ReadPublished>(action)) {
-        if (m_platform == PlatformFault::Down)
+        if (m_platformFault == PlatformFault::Down)
             return;
         note("read the row");
         after(delay(), [this, index] {
-            const Fence seen{m_row.version};
-            send(m_stewards[index]->process, m_stewards[index]->process,
-                 [this, index, seen] { drive(*m_stewards[index], PublishedRead{seen}); });
+            const Fence seen{m_publishedAssignment.version};
+            send(m_leaders[index]->process, m_leaders[index]->process,
+                 [this, index, seen] { applyEvent(*m_leaders[index], PublishedRead{seen}); });
         });
     } else if (const auto *prompt = std::get_if<PromptPull>(&action)) {
         if (Daemon *daemon = daemonOf(prompt->daemon))
-            send(steward.process, daemon->process, [this, daemon] { pull(*daemon); });
+            send(leader.process, daemon->process, [this, daemon] { pull(*daemon); });
     } else {
-        note("steward " + std::to_string(steward.epoch) + " has lost its row");
+        note("steward " + std::to_string(leader.epoch) + " has lost its row");
     }
 }
 
-void OwnershipWorld::spread(Steward &steward, const AssignmentInForce &inForce)
+void OwnershipWorld::publishAssignment(Leader &leader, const AssignmentInForce &inForce)
 {
     note("in force " + text(inForce.assignment.version)
          + (inForce.isUnpublished ? ", unpublished" : ""));
     if (inForce.isUnpublished)
         m_coveredFences.insert(inForce.assignment.version);
-    steward.view = std::make_shared<View>(inForce.assignment);
+    leader.view = std::make_shared<View>(inForce.assignment);
     for (const auto &owned : m_daemons) {
         Daemon &daemon = *owned;
-        send(steward.process, daemon.process,
-             [this, &daemon, view = steward.view] { receiveView(daemon, view); });
+        send(leader.process, daemon.process,
+             [this, &daemon, view = leader.view] { receiveView(daemon, view); });
     }
 }
 
 CommitOutcome OwnershipWorld::write(std::uint64_t epoch, const CommitAssignment &action)
 {
-    if (epoch != m_rowEpoch)
+    if (epoch != m_publishedEpoch)
         return CommitOutcome::Refused;
-    if (action.expected != m_row.version)
+    if (action.expected != m_publishedAssignment.version)
         return CommitOutcome::Conflict;
-    m_row = action.next;
+    m_publishedAssignment = action.next;
     return CommitOutcome::Committed;
 }
 
 void OwnershipWorld::commit(std::size_t index, const CommitAssignment &action)
 {
-    const std::uint64_t epoch = m_stewards[index]->epoch;
+    const std::uint64_t epoch = m_leaders[index]->epoch;
     const auto answer = [this, index, action](CommitOutcome outcome) {
         if (m_settings.fault == PlantedFault::UnknownTakenAsCommitted
             && outcome == CommitOutcome::Unknown)
             outcome = CommitOutcome::Committed;
-        deliver(m_stewards[index]->process, [this, index, action, outcome] {
+        deliver(m_leaders[index]->process, [this, index, action, outcome] {
             note("commit " + text(action.next.version)
                  + " ends: " + std::to_string(static_cast<int>(outcome)));
-            drive(*m_stewards[index], CommitEnded{action.commit, outcome});
+            applyEvent(*m_leaders[index], CommitEnded{action.commit, outcome});
         });
     };
-    const PlatformFault fault = m_platform;
+    const PlatformFault fault = m_platformFault;
     if (fault == PlatformFault::AnswerLost)
         after(delay(), [this, epoch, action] { write(epoch, action); });
     if (fault == PlatformFault::WriteLate)
--- a/tests/ownershipobserver/ownershipworld.h
+++ b/tests/ownershipobserver/ownershipworld.h
@@ -13,7 +13,7 @@
 #include <random>
 #include <string>
 
-/** Bugs that a test plants around the decisions, to see that the observer finds them. */
+/** Bugs that a test injects, to check that the observer detects them. */
 enum class PlantedFault {
     None,
     LeaseCountedFromReceipt,
@@ -26,11 +26,11 @@
 enum class PlatformFault {
     None,
     Down,
-    /** Writes take effect, their answers are lost. */
+    /** Writes take effect, but their answers are lost. */
     AnswerLost,
-    /** Writes are lost and so are their answers. */
+    /** Writes and their answers are lost. */
     WriteLost,
-    /** Writes take effect long after they were given up. */
+    /** Writes take effect long after they have timed out. */
     WriteLate,
 };
 
@@ -41,20 +41,20 @@
     bulrush::HandoverTerms moves;
     int daemons = 3;
     int servers = 4;
-    /** Slices, with one key in each. */
+    /** Number of slices, each with one key. */
     int keys = 8;
-    /** Keys that callers ask for; all if empty. */
+    /** Keys that callers request; all if empty. */
     std::vector<int> askedKeys;
     bool checksFence = false;
     bulrush::Duration minDelay = std::chrono::microseconds{500};
     bulrush::Duration maxDelay = std::chrono::milliseconds{1};
     bulrush::Duration slowDelay = std::chrono::milliseconds{150};
     double slowShare = 0;
-    /** Share of lease replies alone that are slow. */
+    /** Share of lease replies that are slow, in addition to slowShare. */
     double slowReplyShare = 0;
     double duplicateShare = 0;
     double lossShare = 0;
-    /** Clocks run within this of true time, either way. */
+    /** Maximum rate error of clocks against true time, in either direction. */
     std::int64_t clockPpm = 0;
     /** Every clock runs at one of the two bounds. */
     bool hasExtremeClocks = false;
@@ -68,15 +68,15 @@
 };
 
 /**
- * A steward, daemons, fake backend servers and a fake platform on a virtual clock, each process
- * with a clock of its own, joined by a network that delays, doubles, reorders and loses.
+ * A simulation of a domain leader, daemons, backend servers and a platform on virtual time. Each
+ * process has its own clock. The network delays, duplicates, reorders and loses messages.
  */
 class OwnershipWorld
 {
 public:
     explicit OwnershipWorld(const WorldSettings &settings);
 
-    /** Calls \a step at a true time since the start. */
+    /** Calls \a step at true time \a time after the start. */
     void at(bulrush::Duration time, std::function<void()> step);
     void runUntil(bulrush::Duration time);
 
@@ -86,18 +86,18 @@
     void killDaemon(int daemon);
     void freezeDaemon(int daemon);
     void thawDaemon(int daemon);
-    /** Cuts a daemon and a server off from all others, but not from each other. */
+    /** Partitions a daemon and a server from all other processes, but not from each other. */
     void isolate(int daemon, int server, bool isIsolated);
-    /** The daemon's host is to leave; it attends nothing from then on. */
+    /** Schedules the departure of the daemon's host; it manages no servers from then on. */
     void leaveDaemon(int daemon);
     void freezeSteward();
     void thawStewards();
     void killSteward();
-    /** Another steward takes over once the last one's tenure is over, unless it goes on. */
+    /** Starts a new leader when the current term expires, unless that term is extended. */
     void startSuccessor();
     void moveSlice(int key, int server);
     void setPlatform(PlatformFault fault);
-    /** Assignments no longer reach the daemon by themselves; its lease pulls still do. */
+    /** Blocks the delivery of assignments to the daemon. Its lease pulls are still answered. */
     void setViewsBlocked(int daemon, bool isBlocked);
     void startUpload(int key, bulrush::Duration length);
     void note(const std::string &text);
@@ -106,12 +106,13 @@
     {
         return m_observer;
     }
-    /** Grants that neither a row nor the right of an outage covered. */
+    /** Number of grants covered neither by the published assignment nor by the rules of an outage.
+     */
     int uncoveredGrants() const
     {
         return m_uncoveredGrants;
     }
-    /** Work that a freeze of its server caught between its start and its end. */
+    /** Number of requests that ran when their server was frozen. */
     int interruptedWork() const
     {
         return m_interruptedWork;
@@ -131,21 +132,21 @@
     int refusals(bulrush::DispatchRefusal reason) const;
     bulrush::Duration unavailable(int key, bulrush::Duration from, bulrush::Duration until) const;
     bulrush::Instant lastStartAt(int server) const;
-    /** \returns whether a server and a daemon are alive. */
+    /** \returns whether at least one server and one daemon are alive. */
     bool hasLive() const;
     bulrush::Fence publishedVersion() const
     {
-        return m_row.version;
+        return m_publishedAssignment.version;
     }
     const bulrush::Handover *handover() const;
-    /** The lines of the session so far. */
+    /** The event log so far. */
     const std::string &session() const
     {
         return m_session;
     }
 
 private:
-    /** An assignment as routers hold it, shared by all that hold the same. */
+    /** An immutable assignment, shared by all routers that hold it. */
     struct View
     {
         explicit View(bulrush::Assignment held)
@@ -164,7 +165,7 @@
         std::int64_t ppm = 0;
         bool isAlive = true;
         bool isFrozen = false;
-        /** Reaches only those that are isolated too. */
+        /** Exchanges messages only with other isolated processes. */
         bool isIsolated = false;
         std::vector<std::function<void()>> inbox;
     };
@@ -207,11 +208,11 @@
         std::map<bulrush::LeaseRequestId, bulrush::Instant> sentAt;
         bulrush::Instant nextPull;
         bulrush::Instant nextPing;
-        std::size_t steward = 0;
+        std::size_t leader = 0;
         bool isViewBlocked = false;
         bool isLeaving = false;
     };
-    struct Steward
+    struct Leader
     {
         Process process;
         std::uint64_t epoch = 1;
@@ -219,13 +220,14 @@
         std::unique_ptr<bulrush::Handover> handover;
         std::unique_ptr<bulrush::Recovery> recovery;
         bulrush::AttendanceTable attendances;
-        bulrush::Instant tenureUntil;
+        bulrush::Instant termEnd;
         std::map<bulrush::Incarnation, bulrush::Instant> lastPull;
         std::set<bulrush::Incarnation> lostDaemons;
         std::map<bulrush::ServerName, bulrush::Incarnation> lostServers;
-        std::vector<int> plan;
+        /** Server of each slice by the leader's plan. */
+        std::vector<int> plannedServers;
         ViewPointer view;
-        bool isOut = false;
+        bool isPlatformOut = false;
     };
 
     void after(bulrush::Duration delay, std::function<void()> step);
@@ -238,11 +240,11 @@
         return delay(m_settings.slowShare);
     }
     bulrush::Duration delay(double slowShare);
-    double chance();
+    double randomUnit();
     Process makeProcess(std::string name);
     Daemon *daemonOf(const bulrush::Incarnation &incarnation);
     Server &serverOf(const bulrush::ServerName &name);
-    Steward &lastSteward();
+    Leader &currentLeader();
     bulrush::KeyHash keyHash(int key) const;
     bulrush::SliceRange range(int key) const;
 
@@ -255,23 +257,23 @@
     void dispatch(Daemon &daemon, bulrush::DispatchQuery query, bulrush::Duration run,
                   bool isUpload);
     void receiveWork(Server &server, const Work &work);
-    /** Records what runs as ended now. */
-    int endRunning(Server &server);
-    void endWork(Server &server, std::uint64_t id);
-    bool fenceHolds(const Server &server, const Work &work) const;
-    void receiveOrder(Server &server, const bulrush::ServerOrder &order, std::size_t steward);
-    void confirmOrder(const bulrush::ServerOrder &order, std::size_t steward,
+    /** Records running requests as ended now. \returns how many there are. */
+    int interruptRunningWork(Server &server);
+    void completeWork(Server &server, std::uint64_t id);
+    bool isFenceAccepted(const Server &server, const Work &work) const;
+    void receiveOrder(Server &server, const bulrush::ServerOrder &order, std::size_t leader);
+    void confirmOrder(const bulrush::ServerOrder &order, std::size_t leader,
                       const bulrush::HandoverEvent &event);
 
-    void tickSteward(Steward &steward);
-    void finishRecovery(Steward &steward);
-    void takeOver();
+    void tickLeader(Leader &leader);
+    void finishRecovery(Leader &leader);
+    void startNewLeader();
     void answerPull(std::size_t index, const bulrush::LeaseRequest &request);
-    void noteServers(Steward &steward, const bulrush::LeaseRequest &request);
-    void plan(Steward &steward);
-    void drive(Steward &steward, const bulrush::HandoverEvent &event);
+    void updateLostServers(Leader &leader, const bulrush::LeaseRequest &request);
+    void plan(Leader &leader);
+    void applyEvent(Leader &leader, const bulrush::HandoverEvent &event);
     void perform(std::size_t index, const bulrush::HandoverAction &action);
-    void spread(Steward &steward, const bulrush::AssignmentInForce &inForce);
+    void publishAssignment(Leader &leader, const bulrush::AssignmentInForce &inForce);
     void commit(std::size_t index, const bulrush::CommitAssignment &action);
     bulrush::CommitOutcome write(std::uint64_t epoch, const bulrush::CommitAssignment &action);
 
@@ -281,12 +283,12 @@
     std::multimap<bulrush::Instant, std::function<void()>> m_events;
     std::vector<std::unique_ptr<Server>> m_servers;
     std::vector<std::unique_ptr<Daemon>> m_daemons;
-    std::vector<std::unique_ptr<Steward>> m_stewards;
-    bulrush::Assignment m_row;
-    std::uint64_t m_rowEpoch = 1;
-    PlatformFault m_platform = PlatformFault::None;
+    std::vector<std::unique_ptr<Leader>> m_leaders;
+    bulrush::Assignment m_publishedAssignment;
+    std::uint64_t m_publishedEpoch = 1;
+    PlatformFault m_platformFault = PlatformFault::None;
     std::set<bulrush::Fence> m_coveredFences;
-    std::vector<int> m_homes;
+    std::vector<int> m_plannedServers;
     OwnershipObserver m_observer;
     std::map<bulrush::DispatchRefusal, int> m_refusals;
     std::uint64_t m_lastWork = 0;
--- a/tests/ownershipobserver/test_ownershipobserver.cpp
+++ b/tests/ownershipobserver/test_ownershipobserver.cpp
@@ -16,7 +16,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(finds_overlap_behind_a_short_piece_of_work)
+BOOST_AUTO_TEST_CASE(finds_overlap_after_a_short_request)
 {
     OwnershipObserver observer;
     observer.record(work("a", 1, 0, 100));
@@ -26,7 +26,7 @@
     BOOST_TEST((observer.overlaps()[0].first.end == Instant(100ms)));
 }
 
-BOOST_AUTO_TEST_CASE(allows_neighbours_other_keys_and_one_server)
+BOOST_AUTO_TEST_CASE(allows_adjacent_requests_other_keys_and_one_server)
 {
     OwnershipObserver observer;
     observer.record(work("a", 1, 0, 100));
