--- a/src/bulrushswitchd/attempt.h
+++ b/src/bulrushswitchd/attempt.h
@@ -85,8 +85,7 @@
     /** Starts the attempt. The handler is called once, never from within this call. */
     void start();
 
-    /** Cancels the attempt because the caller has disconnected. The handler is not called
-     * afterwards. */
+    /** Cancels the attempt when the caller disconnects. The handler is not called afterwards. */
     void abandon();
 
 private:
@@ -123,8 +122,7 @@
     /** Starts the attempt. The handler is called once, never from within this call. */
     void start();
 
-    /** Cancels the attempt because the caller has disconnected. The handler is not called
-     * afterwards. */
+    /** Cancels the attempt when the caller disconnects. The handler is not called afterwards. */
     void abandon();
 
 private:
--- a/src/bulrushswitchd/domainleader.cpp
+++ b/src/bulrushswitchd/domainleader.cpp
@@ -32,7 +32,10 @@
 
 constexpr Duration planInterval = std::chrono::milliseconds{500};
 
-/** How long a new leader waits for the views of daemons and servers once it may grant leases. */
+/**
+ * How long a new leader waits for the views of daemons and servers, if it may grant leases by then.
+ * Otherwise it waits until it may grant leases.
+ */
 constexpr Duration recoveryTimeout = std::chrono::milliseconds{400};
 
 std::string objectName(const DomainName &domain, Fence version)
--- a/src/bulrushswitchd/domainshares.h
+++ b/src/bulrushswitchd/domainshares.h
@@ -25,8 +25,7 @@
 class DomainShares
 {
 public:
-    /** The leader's \a epoch begins at \a beganAt, from when its predecessor cannot grant shares.
-     */
+    /** \a epoch begins at \a beganAt, from when the preceding leader cannot grant shares. */
     DomainShares(const DaemonSettings &settings, DomainName domain, std::uint64_t epoch,
                  Instant beganAt);
 
@@ -52,9 +51,9 @@
     std::uint64_t m_epoch;
     Instant m_beganAt;
     ShareTerms m_terms;
-    /** The number of domains that share the limits, and the index of this one among them by name.
-     */
+    /** Number of domains that share the limits. */
     std::uint32_t m_domainCount;
+    /** Index of this domain among them, ordered by name. */
     std::uint32_t m_domainIndex;
     std::map<OrganisationName, ShareTables> m_shareTables;
 };
--- a/src/bulrushswitchd/leadershipservice.cpp
+++ b/src/bulrushswitchd/leadershipservice.cpp
@@ -91,12 +91,12 @@
 
 Json::Value LeadershipService::answerPromiseRequest(const Json::Value &promiseRequest)
 {
-    const auto asked = io::decodePromiseQuestion(promiseRequest);
-    if (!asked || promiseRequest["to"].asString() != m_context.self.incarnation.value())
+    const auto decoded = io::decodePromiseQuestion(promiseRequest);
+    if (!decoded || promiseRequest["to"].asString() != m_context.self.incarnation.value())
         return {};
 
     m_lastAnswer.reset();
-    handleEvent(*asked);
+    handleEvent(*decoded);
     if (!m_lastAnswer)
         return {};
 
--- a/src/bulrushswitchd/limitboard.h
+++ b/src/bulrushswitchd/limitboard.h
@@ -61,8 +61,7 @@
     std::variant<LimitTicket, LimitRefusal> admit(const OrganisationName &organisation,
                                                   Instant now);
 
-    /** \returns the demands to send to the leader at \a now. The resulting shares are valid from
-     * then. */
+    /** \returns the demands to send to the leader. The resulting shares are valid from \a now. */
     std::vector<OrganisationDemand> demands(std::span<const OrganisationName> organisations,
                                             Instant now);
 
--- a/src/bulrushswitchd/serverstatusregistry.h
+++ b/src/bulrushswitchd/serverstatusregistry.h
@@ -9,7 +9,7 @@
 
 namespace bulrush {
 
-/** The status of a backend server by the answers to its control calls. */
+/** The status of a backend server, from its answers to control calls. */
 struct ServerStatus
 {
     std::optional<ServerClockReading> clock;
