--- a/src/bulrushswitchd/attempt.cpp
+++ b/src/bulrushswitchd/attempt.cpp
@@ -52,7 +52,7 @@
         return FailurePoint::WrittenAndSilent;
     if (error == io::TransportError::AnswerMismatched)
         return FailurePoint::AnswerNotMatching;
-    if (error == io::TransportError::CallerGone)
+    if (error == io::TransportError::CallerDisconnected)
         return FailurePoint::CancelledAfterWrite;
     return error == io::TransportError::ConnectionLost ? FailurePoint::ResetAfterWrite
                                                        : FailurePoint::AnswerCut;
@@ -69,7 +69,7 @@
 }
 
 /** Classifies the result of an exchange for the server's load accounting. */
-WorkEnd toWorkEnd(const io::ExchangeEnd &end, std::optional<FailurePoint> failure)
+WorkEnd toWorkEnd(const io::ExchangeResult &end, std::optional<FailurePoint> failure)
 {
     if (!failure || failure == FailurePoint::AnswerWithoutRan)
         return WorkEnd::Answered;
@@ -90,12 +90,12 @@
     }
 }
 
-AttemptResult toAttemptResult(const io::ExchangeEnd &end)
+AttemptResult toAttemptResult(const io::ExchangeResult &end)
 {
     AttemptResult result;
     result.failure = bulrush::failurePointOf(end);
     result.hasBegunAnswer = end.hasBegunAnswer;
-    result.isBodyIntact = end.isBodyIntact;
+    result.isBodyResendable = end.isBodyResendable;
     result.status = end.status;
     result.capturedBody = end.capturedBody;
     result.contentType = end.contentType;
@@ -131,7 +131,7 @@
     return fence;
 }
 
-std::optional<FailurePoint> failurePointOf(const io::ExchangeEnd &end)
+std::optional<FailurePoint> failurePointOf(const io::ExchangeResult &end)
 {
     if (!end.error)
         return std::nullopt;
@@ -141,7 +141,7 @@
         return named;
 
     const Outcome outcome =
-        outcomeOfAnswer(end.status, io::ranStatementOf(end.ran), end.reason, Duration{});
+        outcomeOfAnswer(end.status, io::parseRanStatement(end.ran), end.reason, Duration{});
     if (const auto *notRun = std::get_if<NotRun>(&outcome))
         return notRun->reason;
     return FailurePoint::AnswerWithoutRan;
@@ -160,7 +160,7 @@
 {
     const auto self = shared_from_this();
     m_work = m_queue.submit(
-        m_spec.policy, !m_caller.request->isBodyWhole(), m_context.loop,
+        m_spec.policy, !m_caller.request->isBodyBuffered(), m_context.loop,
         [self](const QueueDecision &decision) { self->handleQueueDecision(decision); },
         io::hostNow());
 }
@@ -215,7 +215,7 @@
     m_context.counters.add(Counter::AttemptsSent);
     m_exchange = std::make_shared<io::ProxyExchange>(
         m_context.http, m_caller.request, m_caller.writer, *proxyTarget,
-        [self = shared_from_this()](const io::ExchangeEnd &end) {
+        [self = shared_from_this()](const io::ExchangeResult &end) {
             self->handleExchangeResult(end);
         });
     m_exchange->start();
@@ -253,7 +253,7 @@
     result.requestId = m_spec.requestId;
     result.timeout = m_spec.policy.deadline - now;
     result.isFreshConnection = !m_spec.policy.isIdempotent;
-    result.passesOwnFields = m_spec.isRelayed;
+    result.relaysBulrushFields = m_spec.isRelayed;
     result.captureLimit = m_spec.captureLimit;
     addKeyHeaders(result.addedHeaders, m_spec);
     if (m_flight)
@@ -262,13 +262,13 @@
     return result;
 }
 
-void ServerAttempt::handleExchangeResult(const io::ExchangeEnd &end)
+void ServerAttempt::handleExchangeResult(const io::ExchangeResult &end)
 {
     endFlight(end);
     finish(toAttemptResult(end));
 }
 
-void ServerAttempt::endFlight(const io::ExchangeEnd &end)
+void ServerAttempt::endFlight(const io::ExchangeResult &end)
 {
     const auto failure = failurePointOf(end);
     m_queue.complete(m_work, toWorkEnd(end, failure), io::hostNow());
@@ -302,7 +302,7 @@
     m_context.counters.add(Counter::RequestsRelayed);
     m_exchange = std::make_shared<io::ProxyExchange>(
         m_context.http, m_caller.request, m_caller.writer, target(io::hostNow()),
-        [self = shared_from_this()](const io::ExchangeEnd &end) {
+        [self = shared_from_this()](const io::ExchangeResult &end) {
             if (const auto handler = std::exchange(self->m_handler, nullptr))
                 handler(toAttemptResult(end));
         });
--- a/src/bulrushswitchd/attempt.h
+++ b/src/bulrushswitchd/attempt.h
@@ -51,7 +51,7 @@
     /** Empty if the complete answer was sent to the caller. */
     std::optional<FailurePoint> failure;
     bool hasBegunAnswer = false;
-    bool isBodyIntact = true;
+    bool isBodyResendable = true;
     /** HTTP status of the answer that was relayed; 0 if none was. */
     int status = 0;
     /** The stored part of the answer; see AttemptSpec::captureLimit. */
@@ -93,8 +93,8 @@
     void send();
     std::optional<FailurePoint> admitFlight(Instant now);
     std::optional<io::ProxyTarget> target(Instant now) const;
-    void handleExchangeResult(const io::ExchangeEnd &end);
-    void endFlight(const io::ExchangeEnd &end);
+    void handleExchangeResult(const io::ExchangeResult &end);
+    void endFlight(const io::ExchangeResult &end);
     void finish(const AttemptResult &end);
 
     TrafficContext &m_context;
@@ -137,7 +137,7 @@
 };
 
 /** \returns where an exchange failed, or nothing if its complete answer was sent to the caller. */
-std::optional<FailurePoint> failurePointOf(const io::ExchangeEnd &end);
+std::optional<FailurePoint> failurePointOf(const io::ExchangeResult &end);
 
 /** Header fields of relayed requests, in addition to those of the backend servers' interface. */
 namespace relayfields {
--- a/src/bulrushswitchd/callerexchange.cpp
+++ b/src/bulrushswitchd/callerexchange.cpp
@@ -81,7 +81,7 @@
     json["status"] = result.status;
     json["contentType"] = result.contentType;
     json["body"] = result.capturedBody;
-    return io::compactText(json);
+    return io::toCompactJson(json);
 }
 
 ServiceOutcome serviceOutcomeOf(const Outcome &outcome, int status)
@@ -253,7 +253,7 @@
 
 void CallerExchange::answerStored(const std::string &storedAnswer)
 {
-    const Json::Value stored = io::parsedJson(storedAnswer);
+    const Json::Value stored = io::parseJson(storedAnswer);
     io::JsonReader reader{stored};
     io::HttpResponse answer;
     answer.status = static_cast<int>(reader.number("status"));
@@ -270,7 +270,7 @@
 
 void CallerExchange::watchCaller()
 {
-    m_caller.request->setGoneHandler([weak = weak_from_this()] {
+    m_caller.request->setDisconnectHandler([weak = weak_from_this()] {
         if (const auto self = weak.lock())
             self->handleDisconnect();
     });
@@ -396,7 +396,7 @@
 bool CallerExchange::mayRetry(const AttemptResult &result)
 {
     const Instant now = io::hostNow();
-    const bool isIntact = result.isBodyIntact && !result.hasBegunAnswer;
+    const bool isIntact = result.isBodyResendable && !result.hasBegunAnswer;
     // Waiting for the key's next owner sends no request, so it does not use the retry budget.
     if (isIntact && mayWaitForOwner(*result.failure) && isCertainlyNotRun(*result.failure))
         return m_attemptCount < maxOwnerWaitAttempts && now + ownerRetryDelay < m_policy.deadline;
@@ -405,7 +405,7 @@
     failed.point = *result.failure;
     failed.attemptCount = m_attemptCount;
     failed.hasAnswerBegun = result.hasBegunAnswer;
-    failed.isBodyReplayable = result.isBodyIntact;
+    failed.isBodyReplayable = result.isBodyResendable;
     failed.hasOtherServer = m_resolved.key.empty();
     return takeRetry(failed, m_policy, {}, m_context.retries, now);
 }
--- a/src/bulrushswitchd/controlplane.cpp
+++ b/src/bulrushswitchd/controlplane.cpp
@@ -47,7 +47,7 @@
 {
     io::JsonReader reader{parameters};
     DomainName domain{reader.text("domain")};
-    if (!reader.isGood())
+    if (!reader.isValid())
         throw std::invalid_argument("domain: a failure domain's name is missing");
     return domain;
 }
@@ -307,7 +307,7 @@
 
 void ControlPlane::performAction(const OutgoingMessage &action)
 {
-    const Json::Value parameters = io::parsedJson(io::encodePeerMessage(action.message));
+    const Json::Value parameters = io::parseJson(io::encodePeerMessage(action.message));
     m_context.peers.call(action.to, "members.message", parameters, peerCallTimeout,
                          [](const io::RpcReply &) {});
 }
@@ -358,7 +358,7 @@
 
 void ControlPlane::applyContract(const VersionedItem &item)
 {
-    io::ContractReading reading = io::readContract(*item.body, item.header.key.name);
+    io::ContractResult reading = io::readContract(*item.body, item.header.key.name);
     if (reading.error) {
         // Keeps the previous contract; the operators' client validates contracts before it writes.
         io::logEvent(LogLevel::Error, "contract-unusable",
@@ -379,7 +379,7 @@
 
 void ControlPlane::applyAssignment(const VersionedItem &item)
 {
-    const auto assignment = io::decodeAssignment(io::parsedJson(*item.body));
+    const auto assignment = io::decodeAssignment(io::parseJson(*item.body));
     if (assignment)
         adoptAssignment(*assignment);
 }
@@ -416,7 +416,7 @@
 Json::Value ControlPlane::handleMemberMessage(const Json::Value &parameters)
 {
     PeerMessage message;
-    const std::error_code error = io::decodePeerMessage(io::compactText(parameters), message);
+    const std::error_code error = io::decodePeerMessage(io::toCompactJson(parameters), message);
     if (error)
         throw std::invalid_argument(error.message());
     perform(m_membership.onMessage(io::hostNow(), message));
@@ -460,7 +460,7 @@
     io::JsonReader reader{parameters};
     const DomainName domain{reader.text("domain")};
     const KnownLeader leader{reader.text("steward"), reader.number("epoch")};
-    if (!reader.isGood())
+    if (!reader.isValid())
         throw std::invalid_argument("announcement: domain, steward or epoch is missing");
     m_leases.setLeader(domain, leader);
     m_leases.setShouldPull(domain, isInOwnDomain(leader.address));
@@ -475,7 +475,7 @@
     const std::string leader = reader.text("steward");
     const std::uint64_t epoch = reader.number("epoch");
     const DomainName domain = domainIn(parameters);
-    if (!order || !reader.isGood())
+    if (!order || !reader.isValid())
         throw std::invalid_argument("order: a field is missing or of another type");
 
     m_servers.execute({domain, epoch}, *order,
@@ -504,7 +504,7 @@
     const std::uint64_t epoch = reader.number("epoch");
     const OrderId order = reader.number("order");
     const auto leader = m_leaders.find(domainIn(parameters));
-    if (leader != m_leaders.end() && leader->second->epoch() == epoch && reader.isGood())
+    if (leader != m_leaders.end() && leader->second->epoch() == epoch && reader.isValid())
         leader->second->handleOrderResult(order, result);
     return true;
 }
@@ -526,7 +526,7 @@
     const Incarnation daemon{reader.text("daemon")};
     auto reports = io::decodeLoadReports(reader.object("services"));
     const auto leader = m_leaders.find(domainIn(parameters));
-    if (!reports || !reader.isGood())
+    if (!reports || !reader.isValid())
         throw std::invalid_argument("load report: a field is missing, unsorted or too long");
     if (leader == m_leaders.end())
         return false;
@@ -575,10 +575,10 @@
     };
     callbacks.onAssignmentInForce = [this](const Assignment &assignment) {
         adoptAssignment(assignment);
-        perform(m_membership.publish(io::hostNow(),
-                                     makeItem({ItemKind::Assignment, assignment.domain.value()},
-                                              assignment.version,
-                                              io::compactText(io::encodeAssignment(assignment)))));
+        perform(m_membership.publish(
+            io::hostNow(),
+            makeItem({ItemKind::Assignment, assignment.domain.value()}, assignment.version,
+                     io::toCompactJson(io::encodeAssignment(assignment)))));
     };
     callbacks.localAssignment = [this, domain] {
         const auto found = m_assignments.find(domain);
--- a/src/bulrushswitchd/daemon.cpp
+++ b/src/bulrushswitchd/daemon.cpp
@@ -112,15 +112,16 @@
     const auto handlePeer = [this](const std::shared_ptr<io::IncomingRequest> &request,
                                    const std::shared_ptr<io::ResponseWriter> &writer) {
         // A large assignment exceeds the limit up to which the server buffers a request body.
-        io::readWholeBody(request, [this, writer](std::error_code error, const std::string &body) {
-            if (error)
-                return; // releasing the writer closes the connection
-            io::HttpResponse response;
-            response.status = 200;
-            response.headers = {{"Content-Type", "application/json"}};
-            response.body = m_control->answerCall(body);
-            writer->send(response);
-        });
+        io::readCompleteBody(request,
+                             [this, writer](std::error_code error, const std::string &body) {
+                                 if (error)
+                                     return; // releasing the writer closes the connection
+                                 io::HttpResponse response;
+                                 response.status = 200;
+                                 response.headers = {{"Content-Type", "application/json"}};
+                                 response.body = m_control->answerCall(body);
+                                 writer->send(response);
+                             });
     };
     io::CallerServerSettings peers;
     peers.address = m_settings.addresses.peers.address;
--- a/src/bulrushswitchd/domainleader.cpp
+++ b/src/bulrushswitchd/domainleader.cpp
@@ -73,8 +73,8 @@
             before == total ? std::numeric_limits<KeyHash>::max() : unit * before - 1;
         Json::Value part{Json::objectValue};
         part["domain"] = domain.value();
-        part["begin"] = io::hexOfHash(begin);
-        part["end"] = io::hexOfHash(end);
+        part["begin"] = io::hashToHex(begin);
+        part["end"] = io::hashToHex(end);
         parts.append(std::move(part));
         begin = end + 1;
     }
@@ -249,7 +249,7 @@
                                      m_isReading = false;
                                      const auto assignment = result.error
                                          ? std::nullopt
-                                         : io::decodeAssignment(io::parsedJson(result.body));
+                                         : io::decodeAssignment(io::parseJson(result.body));
                                      if (assignment)
                                          startRecovery(*assignment);
                                  }));
@@ -533,8 +533,8 @@
     for (const Json::Value &entry : reader.list("parts")) {
         io::JsonReader part{entry};
         const DomainName domain{part.text("domain")};
-        const auto begin = io::hashOfHex(part.text("begin"));
-        const auto end = io::hashOfHex(part.text("end"));
+        const auto begin = io::hashFromHex(part.text("begin"));
+        const auto end = io::hashFromHex(part.text("end"));
         if (domain == m_domain && begin && end)
             ranges.push_back({*begin, *end});
     }
@@ -582,7 +582,7 @@
 {
     const std::string object = objectName(m_domain, commit.next.version);
     m_context.counters.add(Counter::PlatformWrites);
-    m_context.platform.putObject(object, io::compactText(io::encodeAssignment(commit.next)),
+    m_context.platform.putObject(object, io::toCompactJson(io::encodeAssignment(commit.next)),
                                  whileAlive([this, commit, object](std::error_code error) {
                                      if (error)
                                          handleCommitResult(commit, CommitOutcome::Unknown);
--- a/src/bulrushswitchd/leadershipservice.cpp
+++ b/src/bulrushswitchd/leadershipservice.cpp
@@ -91,7 +91,7 @@
 
 Json::Value LeadershipService::answerPromiseRequest(const Json::Value &promiseRequest)
 {
-    const auto decoded = io::decodePromiseQuestion(promiseRequest);
+    const auto decoded = io::decodePromiseRequest(promiseRequest);
     if (!decoded || promiseRequest["to"].asString() != m_context.self.incarnation.value())
         return {};
 
@@ -158,7 +158,7 @@
 {
     m_context.counters.add(Counter::PromisesAsked);
     m_context.peers.call(action.to.address, "steward.promise",
-                         io::encodePromiseQuestion(m_domain, m_context.self.incarnation, action),
+                         io::encodePromiseRequest(m_domain, m_context.self.incarnation, action),
                          peerCallTimeout, [this](const io::RpcReply &reply) {
                              const auto answer =
                                  reply.error ? std::nullopt : io::decodePromiseAnswer(reply.result);
--- a/src/bulrushswitchd/loadrecorder.cpp
+++ b/src/bulrushswitchd/loadrecorder.cpp
@@ -40,7 +40,7 @@
             continue;
         }
         Meters &meters = found->second;
-        const auto hotKeys = keyLoads(meters.keys.report(now, io::maximumReportedKeys));
+        const auto hotKeys = keyLoads(meters.keys.report(now, io::maxReportedKeys));
         meters.slices.changeSlices(slices, hotKeys, now);
     }
 }
@@ -64,8 +64,8 @@
     std::map<ServiceName, LoadReport> reports;
     const std::scoped_lock lock{m_mutex};
     for (auto &[service, meters] : m_domains[domain]) {
-        const auto hitters = meters.keys.report(now, io::maximumReportedKeys);
-        reports[service] = {boundedLoads(meters.slices.loads(now), io::maximumReportedSlices),
+        const auto hitters = meters.keys.report(now, io::maxReportedKeys);
+        reports[service] = {boundedLoads(meters.slices.loads(now), io::maxReportedSlices),
                             keyLoads(hitters)};
     }
     return reports;
--- a/src/bulrushswitchd/main.cpp
+++ b/src/bulrushswitchd/main.cpp
@@ -37,14 +37,14 @@
     return toProcessExitCode(ExitCode::Ok);
 }
 
-ExitCode toExitCode(EntryEnd end)
+ExitCode toExitCode(EntryResult end)
 {
     switch (end) {
-    case EntryEnd::Drained:
+    case EntryResult::Drained:
         return ExitCode::Ok;
-    case EntryEnd::ListenFailed:
+    case EntryResult::ListenFailed:
         return ExitCode::Listen;
-    case EntryEnd::CutOff:
+    case EntryResult::CutOff:
         break;
     }
     return ExitCode::CutOff;
@@ -53,13 +53,13 @@
 /** Runs a daemon that stores its state in a metadata store. */
 int runEntry(const std::string &settingsPath, bool isCheckOnly)
 {
-    const io::EntrySettingsReading result = io::readEntrySettings(settingsPath);
+    const io::EntrySettingsResult result = io::readEntrySettings(settingsPath);
     if (result.error)
         return printProblems(result.problems, result.error);
     if (isCheckOnly)
         return printSettingsUsable(settingsPath);
     io::startLogging(result.settings.logLevel, result.settings.host.value());
-    const EntryEnd end = EntryDaemon{result.settings}.run();
+    const EntryResult end = EntryDaemon{result.settings}.run();
     io::stopLogging();
     return toProcessExitCode(toExitCode(end));
 }
@@ -85,7 +85,7 @@
     if (io::hasStore(settingsPath))
         return runEntry(settingsPath, isCheckOnly);
 
-    const io::SettingsReading result = io::readSettings(settingsPath);
+    const io::SettingsResult result = io::readSettings(settingsPath);
     if (result.error)
         return printProblems(result.problems, result.error);
     if (isCheckOnly)
--- a/src/bulrushswitchd/operatorpages.cpp
+++ b/src/bulrushswitchd/operatorpages.cpp
@@ -35,7 +35,7 @@
 
 io::HttpResponse json(const Json::Value &value)
 {
-    return jsonText(io::compactText(value) + "\n");
+    return jsonText(io::toCompactJson(value) + "\n");
 }
 
 constexpr std::string_view domainQuery = "/assignment?domain=";
--- a/src/bulrushswitchd/relayedexchange.cpp
+++ b/src/bulrushswitchd/relayedexchange.cpp
@@ -72,7 +72,7 @@
                                         [self = shared_from_this()](const AttemptResult &result) {
                                             self->handleAttemptResult(result);
                                         });
-    m_caller.request->setGoneHandler([weak = weak_from_this()] {
+    m_caller.request->setDisconnectHandler([weak = weak_from_this()] {
         const auto self = weak.lock();
         if (self && self->m_attempt)
             std::exchange(self->m_attempt, nullptr)->abandon();
--- a/src/bulrushswitchd/servercontrol.cpp
+++ b/src/bulrushswitchd/servercontrol.cpp
@@ -41,13 +41,13 @@
 /** Reads a load report. The clock is taken as of the answer's arrival, later than it was read. */
 void applyLoadReport(ServerStatus &status, const io::HttpResult &result, Instant arrivedAt)
 {
-    const Json::Value json = io::parsedJson(result.response.body);
+    const Json::Value json = io::parseJson(result.response.body);
     io::JsonReader reader{json};
     const std::uint64_t clockMs = reader.number("clockMs");
     const std::uint64_t load = reader.number("running") + reader.number("queued");
     const bool isDraining = reader.flag("draining");
     const bool isCold = reader.flag("cold");
-    if (!reader.isGood())
+    if (!reader.isValid())
         return;
 
     status.clock = ServerClockReading{std::chrono::milliseconds{clockMs}, arrivedAt};
@@ -60,11 +60,11 @@
 {
     Json::Value json{Json::objectValue};
     json["service"] = slice.service.value();
-    json["begin"] = io::hexOfHash(slice.range.begin);
-    json["end"] = io::hexOfHash(slice.range.end);
+    json["begin"] = io::hashToHex(slice.range.begin);
+    json["end"] = io::hashToHex(slice.range.end);
     json["fence"] = io::encodeFence(slice.fence);
     json["sender"] = sender.value();
-    return io::compactText(json);
+    return io::toCompactJson(json);
 }
 
 std::optional<SliceOwner> decodeGrant(const Json::Value &json, const ServerName &server)
@@ -78,7 +78,7 @@
 
 std::vector<SliceOwner> decodeGrants(const std::string &body, const ServerName &server)
 {
-    const Json::Value json = io::parsedJson(body);
+    const Json::Value json = io::parseJson(body);
     io::JsonReader reader{json};
     std::vector<SliceOwner> grants;
     for (const Json::Value &entry : reader.list("grants")) {
@@ -188,7 +188,7 @@
     io::HttpRequest request =
         controlRequest(server, path, orderBody(slice, m_context.self.incarnation));
     m_context.http.fetch(std::move(request), [pending](const io::HttpResult &result) {
-        const Json::Value json = io::parsedJson(result.response.body);
+        const Json::Value json = io::parseJson(result.response.body);
         io::JsonReader reader{json};
         if (!result.error && result.response.status == httpConflict)
             pending->result.highest = reader.fence("highest");
