--- a/bench/membership/bench_membership.cpp
+++ b/bench/membership/bench_membership.cpp
@@ -122,7 +122,7 @@
     {
         Duration oldest{};
         for (const std::string &host : hosts())
-            oldest = std::max(oldest, versions(host).unsureFor(now()));
+            oldest = std::max(oldest, versions(host).unconfirmedDuration(now()));
         return secondsOf(oldest);
     }
 
--- a/bench/ownership_unavailable/bookcost.cpp
+++ b/bench/ownership_unavailable/bookcost.cpp
@@ -3,7 +3,7 @@
 #include "countingallocator.h"
 
 #include "process/handover.h"
-#include "process/routingright.h"
+#include "process/routingleaseholder.h"
 
 #include <array>
 #include <cstdio>
@@ -66,7 +66,7 @@
             if (const auto *order = std::get_if<ServerOrder>(&action))
                 m_next.emplace_back(OrderConfirmed{order->order, 0});
             if (const auto *commit = std::get_if<CommitAssignment>(&action))
-                m_next.emplace_back(CommitEnded{commit->commit, CommitOutcome::Committed});
+                m_next.emplace_back(CommitCompleted{commit->commit, CommitOutcome::Committed});
         }
     }
 
@@ -80,8 +80,8 @@
 
     void start()
     {
-        drive(TenureExtended{m_now + 1h});
-        drive(AssignmentWanted{m_wanted});
+        drive(LeadershipExtended{m_now + 1h});
+        drive(WantedAssignmentChanged{m_wanted});
         settle();
     }
 
@@ -94,10 +94,10 @@
                 slice.server = serverName(1 + next++ % 7);
         }
         drive(ServerLost{lost});
-        drive(AssignmentWanted{m_wanted});
+        drive(WantedAssignmentChanged{m_wanted});
         for (int tick = 0; tick < 500; ++tick) {
             m_now += 4ms;
-            drive(TimePassed{});
+            drive(HandoverTick{});
             settle();
         }
     }
@@ -111,7 +111,8 @@
     void addDaemons()
     {
         for (const Attendance &attendance : m_wanted.attendances)
-            m_daemons.try_emplace(attendance.attendant, attendance.attendant, LeaseTerms{});
+            m_daemons.try_emplace(attendance.attendant, attendance.attendant,
+                                  RoutingLeaseTimings{});
     }
 
     std::size_t daemonCount() const
@@ -126,11 +127,11 @@
     void tick()
     {
         m_now += 1ms;
-        drive(TimePassed{});
+        drive(HandoverTick{});
     }
 
 private:
-    void pull(const Incarnation &, RoutingRight &right, bool asksAll)
+    void pull(const Incarnation &, RoutingLeaseHolder &right, bool asksAll)
     {
         LeaseRequest request = right.makeRequest(m_handover.version(), m_now);
         if (asksAll)
@@ -141,11 +142,11 @@
     }
 
     Assignment m_wanted;
-    LeaseBook m_book;
+    RoutingLeaseTable m_book;
     Handover m_handover;
     Instant m_now{1s};
     std::vector<HandoverEvent> m_next;
-    std::map<Incarnation, RoutingRight> m_daemons;
+    std::map<Incarnation, RoutingLeaseHolder> m_daemons;
 };
 
 struct Cost
--- a/bench/ownership_unavailable/unavailability.cpp
+++ b/bench/ownership_unavailable/unavailability.cpp
@@ -1,6 +1,6 @@
 #include "unavailability.h"
 
-#include "ownershipworld.h"
+#include "ownershipsimulation.h"
 
 #include <algorithm>
 #include <array>
@@ -27,7 +27,7 @@
 constexpr std::array deployments{Deployment{"Leuvensport", 14, 12, 500us},
                                  Deployment{"Hinokuni", 19, 12, 1500us}};
 
-using Fault = void (*)(OwnershipWorld &world);
+using Fault = void (*)(OwnershipSimulation &world);
 
 struct Trial
 {
@@ -36,41 +36,41 @@
     Fault fault;
 };
 
-void moveOne(OwnershipWorld &world)
+void moveOne(OwnershipSimulation &world)
 {
     world.moveSlice(0, 1);
 }
 
-void killServer(OwnershipWorld &world)
+void killServer(OwnershipSimulation &world)
 {
     world.killServer(0);
 }
 
-void freezeServer(OwnershipWorld &world)
+void freezeServer(OwnershipSimulation &world)
 {
     world.freezeServer(0);
 }
 
-void killAttendant(OwnershipWorld &world)
+void killAttendant(OwnershipSimulation &world)
 {
     world.killDaemon(0);
 }
 
-void leaveAttendant(OwnershipWorld &world)
+void leaveAttendant(OwnershipSimulation &world)
 {
-    world.leaveDaemon(0);
+    world.scheduleDeparture(0);
 }
 
-void killBoth(OwnershipWorld &world)
+void killBoth(OwnershipSimulation &world)
 {
     world.killDaemon(0);
     world.killServer(0);
 }
 
-void killSteward(OwnershipWorld &world)
+void killLeader(OwnershipSimulation &world)
 {
-    world.killSteward();
-    world.startSuccessor();
+    world.killLeader();
+    world.startSuccessorAfterTerm();
 }
 
 constexpr std::array trials{Trial{"planned move of a slice", false, moveOne},
@@ -80,18 +80,18 @@
                             Trial{"attendant killed", false, killAttendant},
                             Trial{"attendant killed, fence checked", true, killAttendant},
                             Trial{"attendant and server killed", false, killBoth},
-                            Trial{"steward killed (tenure 3 s)", false, killSteward}};
+                            Trial{"steward killed (tenure 3 s)", false, killLeader}};
 
-WorldSettings settingsFor(const Deployment &deployment, const Trial &trial, int factor,
-                          std::uint64_t seed)
+SimulationSettings settingsFor(const Deployment &deployment, const Trial &trial, int factor,
+                               std::uint64_t seed)
 {
-    WorldSettings settings;
+    SimulationSettings settings;
     settings.seed = seed;
     settings.servers = deployment.servers * factor;
     settings.daemons = deployment.daemons * factor;
     settings.keys = settings.servers * slicesPerServer;
     for (int i = 0; i < tracedKeys; ++i)
-        settings.askedKeys.push_back(i * settings.servers);
+        settings.requestedKeys.push_back(i * settings.servers);
     settings.checksFence = trial.checksFence;
     settings.minDelay = deployment.oneWay;
     settings.maxDelay = deployment.oneWay * 3 / 2;
@@ -102,7 +102,7 @@
 /** \returns the longest time that a traced key of server 0 went unserved. */
 Duration worstOf(const Deployment &deployment, const Trial &trial, int factor, std::uint64_t seed)
 {
-    OwnershipWorld world(settingsFor(deployment, trial, factor, seed));
+    OwnershipSimulation world(settingsFor(deployment, trial, factor, seed));
     const Duration phase = 1ms * static_cast<int>(seed * 37 % 300);
     world.at(2s + phase, [&] { trial.fault(world); });
     world.runUntil(trialEnd);
--- a/bench/ratelimit/limitedfleet.cpp
+++ b/bench/ratelimit/limitedfleet.cpp
@@ -48,7 +48,7 @@
     , m_arrived(binCount)
 {
     for (std::size_t d = 0; d < domainCount; ++d)
-        m_domains.push_back({ShareLedger{limit / domainCount, 1, {}}});
+        m_domains.push_back({ShareAllocator{limit / domainCount, 1, {}}});
     for (std::size_t d = 0; d < daemonCount; ++d) {
         Daemon daemon;
         daemon.incarnation = Incarnation{std::to_string(m_incarnations++)};
@@ -139,13 +139,13 @@
 
 void LimitedFleet::renew(std::size_t daemon)
 {
-    const Instant askedAt = m_simulation.now();
+    const Instant requestedAt = m_simulation.now();
     Daemon &asking = m_daemons[daemon];
-    const ShareDemand demand = asking.limiter.demand(askedAt);
+    const ShareDemand demand = asking.limiter.demand(requestedAt);
     if (!isCutOff(daemon)) {
         m_messages += 2;
         m_simulation.after(hop, [=, this, name = asking.incarnation] {
-            ShareLedger &ledger = m_domains[domainOf(daemon)].ledger;
+            ShareAllocator &ledger = m_domains[domainOf(daemon)].ledger;
             const ShareGrant grant =
                 ledger.renew(name, demand, m_daemons[daemon].grant.amount, m_simulation.now());
             m_simulation.after(hop, [=, this] {
@@ -153,7 +153,7 @@
                 if (asked.incarnation != name)
                     return;
                 asked.grant = grant;
-                asked.limiter.shareGranted(grant, askedAt, m_simulation.now());
+                asked.limiter.applyShareGrant(grant, requestedAt, m_simulation.now());
             });
         });
     }
@@ -162,16 +162,16 @@
 
 void LimitedFleet::borrow(std::size_t borrower)
 {
-    const Instant askedAt = m_simulation.now();
+    const Instant requestedAt = m_simulation.now();
     for (std::size_t lender = 0; lender < domainCount; ++lender) {
         if (lender == borrower || isDomainCut(lender) || isDomainCut(borrower))
             continue;
         m_messages += 2;
-        ShareLedger &ledger = m_domains[borrower].ledger;
-        const ShareDemand demand = ledger.loanDemand(nameOfDomain(lender), askedAt);
+        ShareAllocator &ledger = m_domains[borrower].ledger;
+        const ShareDemand demand = ledger.loanDemand(nameOfDomain(lender), requestedAt);
         const ShareGrant loan =
-            m_domains[lender].ledger.lend(nameOfDomain(borrower), demand, askedAt);
-        ledger.loanGranted(nameOfDomain(lender), loan, askedAt);
+            m_domains[lender].ledger.lend(nameOfDomain(borrower), demand, requestedAt);
+        ledger.applyLoanGrant(nameOfDomain(lender), loan, requestedAt);
     }
     m_simulation.after(std::get<DemandShares>(m_way).renewal,
                        [this, borrower] { borrow(borrower); });
--- a/bench/ratelimit/limitedfleet.h
+++ b/bench/ratelimit/limitedfleet.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "process/ratelimiter.h"
-#include "process/shareledger.h"
+#include "process/shareallocator.h"
 #include "simulation.h"
 
 #include <optional>
@@ -81,7 +81,7 @@
 
     struct Domain
     {
-        bulrush::ShareLedger ledger;
+        bulrush::ShareAllocator ledger;
         double pool = 0.0;
         bulrush::Instant filledAt{};
     };
--- a/bench/stewardship/bench_stewardship.cpp
+++ b/bench/stewardship/bench_stewardship.cpp
@@ -1,7 +1,7 @@
 // What the length of the promise trades, and what stewardship costs, on the virtual clock: the
 // figures are exact and the same in each run.
 
-#include "stewardworld.h"
+#include "leaderelectionsimulation.h"
 
 #include <cstdio>
 #include <string>
@@ -26,7 +26,7 @@
     return static_cast<double>(count) / seconds(countedSpan);
 }
 
-void startAll(StewardWorld &world)
+void startAll(LeaderElectionSimulation &world)
 {
     world.start("a1");
     world.run(100ms);
@@ -36,19 +36,20 @@
 }
 
 /** Kills the holder. \returns how long it takes until another may grant. */
-Duration loseHolder(StewardWorld &world)
+Duration loseHolder(LeaderElectionSimulation &world)
 {
     const TrueTime lostAt = world.now();
     world.kill("a1");
-    while (world.steward().empty() || !world.seat(world.steward()).mayGrantAt(Instant(world.now())))
+    while (world.steward().empty()
+           || !world.election(world.steward()).mayGrantAt(Instant(world.now())))
         world.run(10ms);
     return world.now() - lostAt;
 }
 
 /** How long the holder goes on in an outage after one candidate has fallen silent. */
-Duration timeWithASilentCandidate(const StewardTimings &timings)
+Duration timeWithASilentCandidate(const LeaderElectionTimings &timings)
 {
-    StewardWorld world(timings);
+    LeaderElectionSimulation world(timings);
     startAll(world);
     world.setPlatformUp(false);
     world.run(outage);
@@ -60,9 +61,9 @@
 }
 
 /** How long a holder's loss takes to mend that alone had lost the platform. */
-Duration lossWhileCutFromThePlatform(const StewardTimings &timings)
+Duration lossWhileCutFromThePlatform(const LeaderElectionTimings &timings)
 {
-    StewardWorld world(timings);
+    LeaderElectionSimulation world(timings);
     startAll(world);
     world.setPlatformCut("a1", true);
     world.run(outage);
@@ -70,9 +71,9 @@
 }
 
 /** How long a holder's loss takes to mend \a later than the end of an outage. */
-Duration lossAfterAnOutage(const StewardTimings &timings, Duration later)
+Duration lossAfterAnOutage(const LeaderElectionTimings &timings, Duration later)
 {
-    StewardWorld world(timings);
+    LeaderElectionSimulation world(timings);
     startAll(world);
     world.setPlatformUp(false);
     world.run(outage);
@@ -87,7 +88,7 @@
         "promise   silent candidate,   holder lost while    holder lost 1 s    holder lost 4 s\n"
         "          dark after          cut from platform    after an outage    after an outage\n");
     for (const Duration length : {2s, 5s, 10s, 30s, 60s}) {
-        const StewardTimings timings{.promiseLength = length};
+        const LeaderElectionTimings timings{.promiseLength = length};
         std::printf("%5.0f s %12.2f s %18.2f s %18.2f s %16.2f s\n", seconds(length),
                     seconds(timeWithASilentCandidate(timings)),
                     seconds(lossWhileCutFromThePlatform(timings)),
@@ -98,13 +99,13 @@
 
 void showCost(const char *when, bool isPlatformUp)
 {
-    StewardWorld world({});
+    LeaderElectionSimulation world({});
     startAll(world);
     world.setPlatformUp(isPlatformUp);
     world.run(10s);
-    const WorldCounts before = world.counts();
+    const SimulationCounts before = world.counts();
     world.run(countedSpan);
-    const WorldCounts after = world.counts();
+    const SimulationCounts after = world.counts();
     std::printf("%-16s %8.2f %9.2f %11.2f\n", when, perSecond(after.reads - before.reads),
                 perSecond(after.writes - before.writes),
                 perSecond(after.messages - before.messages));
--- a/src/bulrushctl/operatorcommands.cpp
+++ b/src/bulrushctl/operatorcommands.cpp
@@ -267,8 +267,8 @@
     if (!row)
         return refuse("the steward row of " + domain.value()
                       + " is not of the form that this bulrushctl knows");
-    const StewardRow released = releasedByOperator(*row, Incarnation{m_context.writer},
-                                                   StewardWriteId{m_context.requestId});
+    const LeaderRow released =
+        releasedByOperator(*row, Incarnation{m_context.writer}, LeaderWriteId{m_context.requestId});
     const CommitResult result = changeRow(
         m_table, {before, io::encodeStewardRow(released), leaderWriteIdField, m_context.writer},
         m_context.policy);
--- a/src/bulrushswitchd/attempt.cpp
+++ b/src/bulrushswitchd/attempt.cpp
@@ -69,24 +69,25 @@
 }
 
 /** Classifies the result of an exchange for the server's load accounting. */
-WorkEnd toWorkEnd(const io::ExchangeResult &end, std::optional<FailurePoint> failure)
+WorkResult toWorkEnd(const io::ExchangeResult &end, std::optional<FailurePoint> failure)
 {
     if (!failure || failure == FailurePoint::AnswerWithoutRan)
-        return WorkEnd::Answered;
+        return WorkResult::Answered;
     switch (*failure) {
     case FailurePoint::ServerShed:
-        return WorkEnd::Shed;
+        return WorkResult::Shed;
     case FailurePoint::ServerCold:
-        return WorkEnd::Cold;
+        return WorkResult::Cold;
     case FailurePoint::ServerDraining:
-        return WorkEnd::Draining;
+        return WorkResult::Draining;
     case FailurePoint::ServerDeadline:
     case FailurePoint::ServerFence:
     case FailurePoint::ServerNotOwner:
     case FailurePoint::ServerNotRunOther:
-        return WorkEnd::Refused;
+        return WorkResult::Refused;
     default:
-        return end.stage == io::TransferStage::NotConnected ? WorkEnd::NotSent : WorkEnd::Lost;
+        return end.stage == io::TransferStage::NotConnected ? WorkResult::NotSent
+                                                            : WorkResult::Lost;
     }
 }
 
@@ -175,7 +176,7 @@
     m_exchange.reset();
     if (m_flight)
         m_context.gate.abandonFlight(*std::exchange(m_flight, std::nullopt));
-    m_queue.complete(m_work, WorkEnd::Lost, io::hostNow());
+    m_queue.complete(m_work, WorkResult::Lost, io::hostNow());
 }
 
 void ServerAttempt::handleQueueDecision(const QueueDecision &decision)
@@ -188,7 +189,7 @@
         return;
     }
     if (!m_handler) {
-        m_queue.complete(m_work, WorkEnd::NotSent, io::hostNow());
+        m_queue.complete(m_work, WorkResult::NotSent, io::hostNow());
         return;
     }
     send();
@@ -204,7 +205,7 @@
     if (refusal) {
         if (m_flight)
             m_context.gate.endFlight(*std::exchange(m_flight, std::nullopt));
-        m_queue.complete(m_work, WorkEnd::NotSent, now);
+        m_queue.complete(m_work, WorkResult::NotSent, now);
         AttemptResult end;
         end.failure = refusal;
         finish(end);
--- a/src/bulrushswitchd/callerexchange.cpp
+++ b/src/bulrushswitchd/callerexchange.cpp
@@ -263,8 +263,8 @@
         answer.headers.push_back({"Content-Type", contentType});
     answer.headers.push_back({"X-Bulrush-Repeated", "yes"});
     m_isFinished = true;
-    m_context.counters.add(Counter::RequestsWhole);
-    recordServiceLevel(WholeAnswer{}, answer.status);
+    m_context.counters.add(Counter::RequestsCompleted);
+    recordServiceLevel(CompleteAnswer{}, answer.status);
     m_caller.writer->send(answer);
 }
 
@@ -382,7 +382,7 @@
     if (m_isFinished)
         return;
     if (!result.failure) {
-        conclude(WholeAnswer{}, result);
+        conclude(CompleteAnswer{}, result);
         return;
     }
     if (mayRetry(result)) {
@@ -425,8 +425,8 @@
     if (m_claim != 0)
         m_context.claims.complete(m_claim, outcome, storedAnswerOf(result));
     recordServiceLevel(outcome, result.status);
-    if (std::holds_alternative<WholeAnswer>(outcome))
-        m_context.counters.add(Counter::RequestsWhole);
+    if (std::holds_alternative<CompleteAnswer>(outcome))
+        m_context.counters.add(Counter::RequestsCompleted);
     else if (std::holds_alternative<NotRun>(outcome))
         m_context.counters.add(Counter::RequestsNotRun);
     else
--- a/src/bulrushswitchd/callerexchange.h
+++ b/src/bulrushswitchd/callerexchange.h
@@ -2,7 +2,7 @@
 
 #include "attempt.h"
 #include "claimhandler.h"
-#include "limitboard.h"
+#include "limitregistry.h"
 #include "request/requestpolicy.h"
 #include "routingview.h"
 #include "version/pathpattern.h"
--- a/src/bulrushswitchd/claimhandler.cpp
+++ b/src/bulrushswitchd/claimhandler.cpp
@@ -31,13 +31,13 @@
 void ClaimHandler::complete(ClaimTicket ticket, Outcome outcome, std::string storedAnswer)
 {
     asio::post(m_control, [this, ticket, outcome, storedAnswer = std::move(storedAnswer)] {
-        m_service.handleEvent(ticket, ClaimedWorkEnded{outcome, storedAnswer});
+        m_service.handleEvent(ticket, ClaimedRequestFinished{outcome, storedAnswer});
     });
 }
 
 void ClaimHandler::cancel(ClaimTicket ticket)
 {
-    asio::post(m_control, [this, ticket] { m_service.handleEvent(ticket, ClaimGivenUp{}); });
+    asio::post(m_control, [this, ticket] { m_service.handleEvent(ticket, ClaimAbandoned{}); });
 }
 
 } // namespace bulrush
--- a/src/bulrushswitchd/claimhandler.h
+++ b/src/bulrushswitchd/claimhandler.h
@@ -18,7 +18,7 @@
 using ClaimTicket = std::uint64_t;
 
 /** The action of a traffic thread for a request that needs a claim. */
-using ClaimVerdict = std::variant<DispatchClaimed, AnswerCaller, AnswerStored>;
+using ClaimVerdict = std::variant<DispatchClaimedRequest, AnswerCaller, AnswerStored>;
 
 /**
  * Passes claims of traffic threads to the control thread, which writes them to the platform.
--- a/src/bulrushswitchd/claimservice.cpp
+++ b/src/bulrushswitchd/claimservice.cpp
@@ -110,7 +110,7 @@
         });
 }
 
-void ClaimService::performAction(ClaimTicket ticket, const DispatchClaimed &action)
+void ClaimService::performAction(ClaimTicket ticket, const DispatchClaimedRequest &action)
 {
     m_context.counters.add(Counter::ClaimsMade);
     answer(ticket, action);
@@ -127,20 +127,20 @@
     answer(ticket, action);
 }
 
-void ClaimService::performAction(ClaimTicket ticket, const AnswerByHolder &action)
+void ClaimService::performAction(ClaimTicket ticket, const AnswerForHeldClaim &action)
 {
     m_context.counters.add(Counter::ClaimsRepeated);
     answer(ticket,
            AnswerCaller{outcomeOfHeldClaim(m_lookup(action.holder), std::chrono::seconds{1})});
 }
 
-void ClaimService::performAction(ClaimTicket ticket, const SettleLater &action)
+void ClaimService::performAction(ClaimTicket ticket, const ScheduleClaimRecheck &action)
 {
     m_context.timers.after(action.delay,
-                           [this, ticket](Instant) { handleEvent(ticket, ClaimSettleDue{}); });
+                           [this, ticket](Instant) { handleEvent(ticket, ClaimRecheckDue{}); });
 }
 
-void ClaimService::performAction(ClaimTicket ticket, const ForgetClaim & /*action*/)
+void ClaimService::performAction(ClaimTicket ticket, const DiscardClaim & /*action*/)
 {
     m_openClaims.erase(ticket);
 }
@@ -159,7 +159,7 @@
     for (const ClaimBatchAction &action : actions) {
         if (const auto *batch = std::get_if<SendClaimBatch>(&action))
             sendBatch(*batch);
-        else if (const auto *ended = std::get_if<ClaimWriteEnded>(&action))
+        else if (const auto *ended = std::get_if<ClaimWriteResult>(&action))
             handleEvent(ended->id, ended->event);
     }
 }
--- a/src/bulrushswitchd/claimservice.h
+++ b/src/bulrushswitchd/claimservice.h
@@ -57,12 +57,12 @@
     void perform(ClaimTicket ticket, const ClaimActions &actions);
     void performAction(ClaimTicket ticket, const WriteClaim &action);
     void performAction(ClaimTicket ticket, const ReadClaim &action);
-    void performAction(ClaimTicket ticket, const DispatchClaimed &action);
+    void performAction(ClaimTicket ticket, const DispatchClaimedRequest &action);
     void performAction(ClaimTicket ticket, const AnswerCaller &action);
     void performAction(ClaimTicket ticket, const AnswerStored &action);
-    void performAction(ClaimTicket ticket, const AnswerByHolder &action);
-    void performAction(ClaimTicket ticket, const SettleLater &action);
-    void performAction(ClaimTicket ticket, const ForgetClaim &action);
+    void performAction(ClaimTicket ticket, const AnswerForHeldClaim &action);
+    void performAction(ClaimTicket ticket, const ScheduleClaimRecheck &action);
+    void performAction(ClaimTicket ticket, const DiscardClaim &action);
     void answer(ClaimTicket ticket, const ClaimVerdict &verdict);
 
     void performBatch(const ClaimBatchActions &actions);
--- a/src/bulrushswitchd/controlplane.cpp
+++ b/src/bulrushswitchd/controlplane.cpp
@@ -264,7 +264,7 @@
 
 void ControlPlane::updateLivePeers()
 {
-    std::vector<StewardCandidate> peers;
+    std::vector<LeaderCandidate> peers;
     for (const MemberRecord &member : m_membership.members()) {
         if (member.state == MemberState::Alive)
             peers.push_back({member.incarnation, member.domain, member.address});
@@ -314,17 +314,17 @@
 
 void ControlPlane::performAction(const ReadPlatform & /*action*/)
 {
-    const Instant askedAt = io::hostNow();
+    const Instant requestedAt = io::hostNow();
     m_context.counters.add(Counter::PlatformReads);
     m_context.platform.scan(
-        "contract", "", "", contractLimit, [this, askedAt](const io::RowsResult &result) {
+        "contract", "", "", contractLimit, [this, requestedAt](const io::RowsResult &result) {
             if (result.error) {
                 m_context.counters.add(Counter::PlatformErrors);
                 m_membership.onPlatformFailure(io::hostNow());
                 return;
             }
             PlatformListing listing;
-            listing.askedAt = askedAt;
+            listing.requestedAt = requestedAt;
             for (const io::TableRow &row : result.rows) {
                 listing.items.push_back(makeItem({ItemKind::Contract, row.id.key}, {0, row.version},
                                                  row.value["text"].asString()));
@@ -464,7 +464,7 @@
         throw std::invalid_argument("announcement: domain, steward or epoch is missing");
     m_leases.setLeader(domain, leader);
     m_leases.setShouldPull(domain, isInOwnDomain(leader.address));
-    service(domain).handleEvent(StewardAnnounced{leader.epoch});
+    service(domain).handleEvent(LeaderAnnounced{leader.epoch});
     return true;
 }
 
@@ -541,13 +541,13 @@
         return *found->second;
 
     LeadershipCallbacks callbacks;
-    callbacks.onBegan = [this, domain](const StewardshipBegan &began) {
+    callbacks.onBegan = [this, domain](const LeadershipStarted &began) {
         this->handleLeadershipBegan(domain, began);
     };
-    callbacks.onEnded = [this, domain](const StewardshipEnded &) {
+    callbacks.onEnded = [this, domain](const LeadershipEnded &) {
         m_leaders.erase(domain);
     };
-    callbacks.onLeaderChanged = [this, domain](const AnnounceSteward &announcement) {
+    callbacks.onLeaderChanged = [this, domain](const AnnounceLeader &announcement) {
         handleLeaderChange(domain, announcement);
     };
     return *m_leadershipServices
@@ -557,7 +557,7 @@
                 .first->second;
 }
 
-void ControlPlane::handleLeadershipBegan(const DomainName &domain, const StewardshipBegan &began)
+void ControlPlane::handleLeadershipBegan(const DomainName &domain, const LeadershipStarted &began)
 {
     m_shares.beginTerm(domain, began.epoch, io::hostNow());
     DomainLeaderCallbacks callbacks;
@@ -588,7 +588,7 @@
         m_context, m_servers, service(domain).leadership(), domain, began, std::move(callbacks));
 }
 
-void ControlPlane::handleLeaderChange(const DomainName &domain, const AnnounceSteward &announcement)
+void ControlPlane::handleLeaderChange(const DomainName &domain, const AnnounceLeader &announcement)
 {
     m_leases.setLeader(domain, {announcement.address, announcement.epoch});
     m_leases.setShouldPull(domain, isInOwnDomain(announcement.address));
@@ -600,7 +600,7 @@
         addresses.insert(member.address);
     const auto &row = service(domain).leadership().row();
     if (row) {
-        for (const StewardCandidate &candidate : row->row.candidates)
+        for (const LeaderCandidate &candidate : row->row.candidates)
             addresses.insert(candidate.address);
     }
     addresses.erase(m_context.self.address);
@@ -729,9 +729,9 @@
         entry["domain"] = domain.value();
         entry["holder"] = row->row.holder.value();
         entry["epoch"] = io::jsonOf(row->row.epoch);
-        entry["isSelf"] = leadership->leadership().isStewardAt(now);
+        entry["isSelf"] = leadership->leadership().isLeaderAt(now);
         entry["platformLease"] =
-            leadership->leadership().isStewardAt(now) && !leadership->holdsByPromisesOnly(now);
+            leadership->leadership().isLeaderAt(now) && !leadership->holdsByPromisesOnly(now);
         const auto leader = m_leaders.find(domain);
         entry["moves"] =
             io::jsonOf(std::uint64_t{leader == m_leaders.end() ? 0 : leader->second->moveCount()});
--- a/src/bulrushswitchd/controlplane.h
+++ b/src/bulrushswitchd/controlplane.h
@@ -5,7 +5,7 @@
 #include "dispatchgate.h"
 #include "leadershipservice.h"
 #include "leaseservice.h"
-#include "limitboard.h"
+#include "limitregistry.h"
 #include "loadrecorder.h"
 #include "process/membership.h"
 #include "process/versionstore.h"
@@ -38,7 +38,7 @@
     ViewHolder<RoutingView> &view;
     SharedBurnRecorder &burnRecorder;
     ServerQueues &serverQueues;
-    LimitBoard &limits;
+    LimitRegistry &limits;
     LoadRecorder &loads;
 };
 
@@ -125,8 +125,8 @@
     Json::Value handleLoadReport(const Json::Value &parameters);
 
     LeadershipService &service(const DomainName &domain);
-    void handleLeadershipBegan(const DomainName &domain, const StewardshipBegan &began);
-    void handleLeaderChange(const DomainName &domain, const AnnounceSteward &announcement);
+    void handleLeadershipBegan(const DomainName &domain, const LeadershipStarted &began);
+    void handleLeaderChange(const DomainName &domain, const AnnounceLeader &announcement);
     void adoptAssignment(const Assignment &assignment);
     void fetchAssignment(const DomainName &domain);
     void rebuildView();
--- a/src/bulrushswitchd/daemon.cpp
+++ b/src/bulrushswitchd/daemon.cpp
@@ -47,9 +47,9 @@
     return self;
 }
 
-AttendantLimits serverQueueLimits(const BackendServer &server)
+ServerManagerLimits serverQueueLimits(const BackendServer &server)
 {
-    AttendantLimits limits;
+    ServerManagerLimits limits;
     limits.slots = static_cast<int>(server.slots);
     limits.streamedBodyLimit = static_cast<int>(server.connectionLimit / 2);
     return limits;
--- a/src/bulrushswitchd/daemon.h
+++ b/src/bulrushswitchd/daemon.h
@@ -68,7 +68,7 @@
     ViewHolder<RoutingView> m_view;
     ServerQueues m_serverQueues;
     SharedBurnRecorder m_burnRecorder;
-    LimitBoard m_limits;
+    LimitRegistry m_limits;
     LoadRecorder m_loads;
     std::atomic<bool> m_isRefusing{false};
     std::atomic<std::size_t> m_openRequests{0};
--- a/src/bulrushswitchd/dispatchgate.cpp
+++ b/src/bulrushswitchd/dispatchgate.cpp
@@ -4,7 +4,7 @@
 
 namespace bulrush {
 
-DispatchGate::DispatchGate(Incarnation incarnation, LeaseTerms terms)
+DispatchGate::DispatchGate(Incarnation incarnation, RoutingLeaseTimings terms)
     : m_incarnation(std::move(incarnation))
     , m_terms(terms)
 { }
@@ -15,8 +15,8 @@
     return right(domain).makeRequest(knownVersion, now);
 }
 
-LeaseReplyVerdict DispatchGate::accept(const DomainName &domain, const LeaseReply &reply,
-                                       Instant now)
+LeaseReplyStatus DispatchGate::accept(const DomainName &domain, const LeaseReply &reply,
+                                      Instant now)
 {
     const std::scoped_lock lock{m_mutex};
     return right(domain).accept(reply, now);
@@ -26,8 +26,8 @@
                                        Instant now)
 {
     const std::scoped_lock lock{m_mutex};
-    RoutingRight &rights = right(domain);
-    const DispatchDecision decision = rights.mayDispatch(query, now);
+    RoutingLeaseHolder &rights = right(domain);
+    const DispatchDecision decision = rights.checkDispatch(query, now);
     if (const auto *refusal = std::get_if<DispatchRefusal>(&decision))
         return *refusal;
 
@@ -54,11 +54,11 @@
         rights.setServerLost(server, isLost);
 }
 
-bool DispatchGate::wantsPull(const DomainName &domain) const
+bool DispatchGate::needsPull(const DomainName &domain) const
 {
     const std::scoped_lock lock{m_mutex};
     const auto found = m_rights.find(domain);
-    return found != m_rights.end() && found->second.wantsPull();
+    return found != m_rights.end() && found->second.needsPull();
 }
 
 bool DispatchGate::hasRights(const DomainName &domain) const
@@ -91,7 +91,7 @@
     return count;
 }
 
-RoutingRight &DispatchGate::right(const DomainName &domain)
+RoutingLeaseHolder &DispatchGate::right(const DomainName &domain)
 {
     return m_rights.try_emplace(domain, m_incarnation, m_terms).first->second;
 }
--- a/src/bulrushswitchd/dispatchgate.h
+++ b/src/bulrushswitchd/dispatchgate.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "process/routingright.h"
+#include "process/routingleaseholder.h"
 
 #include <map>
 #include <mutex>
@@ -29,13 +29,13 @@
 class DispatchGate
 {
 public:
-    DispatchGate(Incarnation incarnation, LeaseTerms terms);
+    DispatchGate(Incarnation incarnation, RoutingLeaseTimings terms);
 
     /** \returns the next pull for \a domain. \a now is read before sending. */
     LeaseRequest makeRequest(const DomainName &domain, Fence knownVersion, Instant now);
 
     /** Applies a leader's reply. */
-    LeaseReplyVerdict accept(const DomainName &domain, const LeaseReply &reply, Instant now);
+    LeaseReplyStatus accept(const DomainName &domain, const LeaseReply &reply, Instant now);
 
     /** Admits a request and counts it as in flight, or returns why it is refused. */
     GateDecision startFlight(const DomainName &domain, const DispatchQuery &query, Instant now);
@@ -50,7 +50,7 @@
     void setServerLost(const ServerName &server, bool isLost);
 
     /** \returns whether this daemon should send \a domain's leader a pull at once. */
-    bool wantsPull(const DomainName &domain) const;
+    bool needsPull(const DomainName &domain) const;
 
     /** \returns whether this daemon holds rights in \a domain, including lapsed ones. */
     bool hasRights(const DomainName &domain) const;
@@ -65,12 +65,12 @@
     std::size_t flightCount() const;
 
 private:
-    RoutingRight &right(const DomainName &domain);
+    RoutingLeaseHolder &right(const DomainName &domain);
 
     Incarnation m_incarnation;
-    LeaseTerms m_terms;
+    RoutingLeaseTimings m_terms;
     mutable std::mutex m_mutex;
-    std::map<DomainName, RoutingRight> m_rights;
+    std::map<DomainName, RoutingLeaseHolder> m_rights;
 };
 
 } // namespace bulrush
--- a/src/bulrushswitchd/domainleader.cpp
+++ b/src/bulrushswitchd/domainleader.cpp
@@ -5,10 +5,10 @@
 #include "process/counters.h"
 #include "process/hostclock.h"
 #include "process/jsonreader.h"
+#include "process/leaderelection.h"
 #include "process/leasecodec.h"
 #include "process/logging.h"
 #include "process/platformclient.h"
-#include "process/stewardseat.h"
 #include "servercontrol.h"
 #include "version/assignmentcodec.h"
 
@@ -120,9 +120,9 @@
 
 } // namespace
 
-LeaseTerms leaseTerms(const LeaseTimings &leases)
+RoutingLeaseTimings leaseTerms(const LeaseTimings &leases)
 {
-    LeaseTerms terms;
+    RoutingLeaseTimings terms;
     terms.length = leases.routingLease;
     terms.pullInterval = leases.renewEvery;
     terms.deadlineCap = leases.deadlineCap;
@@ -131,8 +131,8 @@
 }
 
 DomainLeader::DomainLeader(ControlContext &context, ServerControl &servers,
-                           const StewardSeat &leadership, DomainName domain,
-                           const StewardshipBegan &began, DomainLeaderCallbacks callbacks)
+                           const LeaderElection &leadership, DomainName domain,
+                           const LeadershipStarted &began, DomainLeaderCallbacks callbacks)
     : m_context(context)
     , m_servers(servers)
     , m_leadership(leadership)
@@ -168,13 +168,13 @@
 
     if (isPlatformOut != m_isPlatformOut) {
         m_isPlatformOut = isPlatformOut;
-        handle(PlatformOutage{isPlatformOut});
+        handle(PlatformOutageChanged{isPlatformOut});
     }
-    handle(TenureExtended{m_leadership.tenureUntil()});
+    handle(LeadershipExtended{m_leadership.leadershipUntil()});
     detectSilentDaemons(now);
     planIfDue(now);
     m_leases.expire(now);
-    handle(TimePassed{});
+    handle(HandoverTick{});
 }
 
 std::optional<LeaseReply> DomainLeader::answerPull(const LeaseRequest &request, Instant now)
@@ -185,11 +185,11 @@
     updateLostServers(request);
     m_pulledDaemons.insert(request.incarnation);
     if (m_silentDaemons.erase(request.incarnation) > 0)
-        handle(AttendantFound{request.incarnation});
-    handle(TimePassed{});
+        handle(ServerManagerRecovered{request.incarnation});
+    handle(HandoverTick{});
     auto reply =
         m_leases.answer(request, m_handover->version(), now, m_leadership.routingLeaseUntil(now));
-    handle(TimePassed{});
+    handle(HandoverTick{});
     return reply;
 }
 
@@ -232,7 +232,7 @@
     m_publishedRowVersion = rowVersion;
     m_publishedVersion = io::decodeFence(value).value_or(Fence{});
     if (m_handover) {
-        handle(PublishedRead{m_publishedVersion});
+        handle(PublishedVersionRead{m_publishedVersion});
         return;
     }
     if (value.isNull()) {
@@ -326,8 +326,8 @@
 
     m_recovery.reset();
     m_recoveredAt = now;
-    m_attendances = AttendanceTable{inForce->attendances};
-    m_handover = std::make_unique<Handover>(HandoverTerms{}, m_epoch, *inForce, m_publishedVersion,
+    m_attendances = ServerManagerTable{inForce->attendances};
+    m_handover = std::make_unique<Handover>(HandoverLimits{}, m_epoch, *inForce, m_publishedVersion,
                                             m_leases);
     std::set<ServerName> checking;
     for (const BackendServer &server : m_context.settings.servers) {
@@ -349,7 +349,7 @@
     m_loads.expire(now);
 
     const std::vector<ServerState> servers = serverStates();
-    AssignmentWanted wanted;
+    WantedAssignmentChanged wanted;
     wanted.wanted.domain = m_domain;
     for (const auto &[service, preference] : m_callbacks.keyedServices()) {
         const auto slices = plannedSlices(service, preference, servers, now);
@@ -466,7 +466,7 @@
 {
     if (!m_silentDaemons.insert(daemon).second)
         return;
-    handle(AttendantLost{daemon});
+    handle(ServerManagerLost{daemon});
     m_lastPlanAt.reset();
 }
 
@@ -483,7 +483,7 @@
     }
     for (const ServerName &server : m_lostServers) {
         if (!lost.contains(server))
-            handle(ServerFound{server});
+            handle(ServerRecovered{server});
     }
     if (lost != m_lostServers)
         m_lastPlanAt.reset();
@@ -545,7 +545,7 @@
 void DomainLeader::handle(const HandoverEvent &event)
 {
     const Instant now = io::hostNow();
-    if (!m_leadership.isStewardAt(now))
+    if (!m_leadership.isLeaderAt(now))
         return;
     for (const HandoverAction &action : m_handover->handle(event, now))
         perform(action);
@@ -622,10 +622,10 @@
         m_context.counters.add(Counter::AssignmentsPublished);
     if (outcome == CommitOutcome::Unknown)
         m_context.counters.add(Counter::PlatformUnknowns);
-    handle(CommitEnded{commit.commit, outcome});
+    handle(CommitCompleted{commit.commit, outcome});
 }
 
-void DomainLeader::performAction(const ReadPublished & /*action*/)
+void DomainLeader::performAction(const ReadPublishedVersion & /*action*/)
 {
     if (!m_isReading)
         readPublished();
@@ -636,7 +636,7 @@
     m_callbacks.onAssignmentInForce(action.assignment);
 }
 
-void DomainLeader::performAction(const PromptPull &action)
+void DomainLeader::performAction(const PromptLeasePull &action)
 {
     Json::Value parameters{Json::objectValue};
     parameters["domain"] = m_domain.value();
@@ -649,7 +649,7 @@
     }
 }
 
-void DomainLeader::performAction(const StewardshipLost & /*action*/)
+void DomainLeader::performAction(const LeadershipSuperseded & /*action*/)
 {
     io::logEvent(LogLevel::Warning, "stewardship-overtaken", {{"domain", m_domain.value()}});
 }
--- a/src/bulrushswitchd/domainleader.h
+++ b/src/bulrushswitchd/domainleader.h
@@ -1,12 +1,12 @@
 #pragma once
 
-#include "process/attendancetable.h"
+#include "process/assignmentrecovery.h"
 #include "process/daemonsettings.h"
 #include "process/handover.h"
+#include "process/leaderelectionaction.h"
 #include "process/memberrecord.h"
-#include "process/recovery.h"
-#include "process/stewardaction.h"
-#include "version/loadledger.h"
+#include "process/servermanagertable.h"
+#include "version/loadreporttable.h"
 #include "version/planner.h"
 
 #include <json/value.h>
@@ -23,7 +23,7 @@
 struct ControlContext;
 struct OrderResult;
 class ServerControl;
-class StewardSeat;
+class LeaderElection;
 
 /** Access of a domain leader to the state of its daemon. */
 struct DomainLeaderCallbacks
@@ -52,8 +52,9 @@
 {
 public:
     /** \pre \a leadership outlives this object; \a began is the start of its current epoch. */
-    DomainLeader(ControlContext &context, ServerControl &servers, const StewardSeat &leadership,
-                 DomainName domain, const StewardshipBegan &began, DomainLeaderCallbacks callbacks);
+    DomainLeader(ControlContext &context, ServerControl &servers, const LeaderElection &leadership,
+                 DomainName domain, const LeadershipStarted &began,
+                 DomainLeaderCallbacks callbacks);
 
     DomainLeader(const DomainLeader &) = delete;
     DomainLeader &operator=(const DomainLeader &) = delete;
@@ -111,10 +112,10 @@
     void perform(const HandoverAction &action);
     void performAction(const ServerOrder &order);
     void performAction(const CommitAssignment &commit);
-    void performAction(const ReadPublished &action);
+    void performAction(const ReadPublishedVersion &action);
     void performAction(const AssignmentInForce &action);
-    void performAction(const PromptPull &action);
-    void performAction(const StewardshipLost &action);
+    void performAction(const PromptLeasePull &action);
+    void performAction(const LeadershipSuperseded &action);
     void publishRow(const CommitAssignment &commit, const std::string &object);
     void handleCommitResult(const CommitAssignment &commit, CommitOutcome outcome);
 
@@ -123,20 +124,20 @@
 
     ControlContext &m_context;
     ServerControl &m_servers;
-    const StewardSeat &m_leadership;
+    const LeaderElection &m_leadership;
     DomainName m_domain;
     std::uint64_t m_epoch;
     Instant m_mayGrantFrom;
     DomainLeaderCallbacks m_callbacks;
     std::shared_ptr<LifetimeToken> m_lifetime = std::make_shared<LifetimeToken>();
 
-    LeaseTerms m_terms;
-    LeaseBook m_leases;
-    std::optional<Recovery> m_recovery;
+    RoutingLeaseTimings m_terms;
+    RoutingLeaseTable m_leases;
+    std::optional<AssignmentRecovery> m_recovery;
     std::unique_ptr<Handover> m_handover;
-    AttendanceTable m_attendances;
+    ServerManagerTable m_attendances;
     std::map<ServiceName, Planner> m_planners;
-    LoadLedger m_loads;
+    LoadReportTable m_loads;
     /** The domain's ranges of key hashes for each service, from the platform's partition rows. */
     std::map<ServiceName, std::vector<SliceRange>> m_partitionRanges;
     std::set<ServiceName> m_requestedPartitions;
@@ -165,6 +166,6 @@
 }
 
 /** \returns the terms of routing leases that follow from the settings. */
-LeaseTerms leaseTerms(const LeaseTimings &leases);
+RoutingLeaseTimings leaseTerms(const LeaseTimings &leases);
 
 } // namespace bulrush
--- a/src/bulrushswitchd/domainshares.cpp
+++ b/src/bulrushswitchd/domainshares.cpp
@@ -60,13 +60,13 @@
     return m_epoch <= firstEpoch;
 }
 
-ShareLedger DomainShares::makeShareTable(double own, double unit) const
+ShareAllocator DomainShares::makeShareTable(double own, double unit) const
 {
     ShareTerms terms = m_terms;
     terms.unit = unit;
     if (isFirstEpoch())
-        return ShareLedger{own, m_epoch, terms};
-    return ShareLedger::successor(own, m_epoch, terms, m_beganAt);
+        return ShareAllocator{own, m_epoch, terms};
+    return ShareAllocator::successor(own, m_epoch, terms, m_beganAt);
 }
 
 DomainShares::ShareTables &DomainShares::shareTables(const Contract &contract)
--- a/src/bulrushswitchd/domainshares.h
+++ b/src/bulrushswitchd/domainshares.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "process/daemonsettings.h"
-#include "process/shareledger.h"
+#include "process/shareallocator.h"
 #include "process/sharemessages.h"
 #include "version/contract.h"
 
@@ -37,12 +37,12 @@
 private:
     struct ShareTables
     {
-        ShareLedger rate;
-        ShareLedger concurrency;
+        ShareAllocator rate;
+        ShareAllocator concurrency;
     };
 
     bool isFirstEpoch() const;
-    ShareLedger makeShareTable(double own, double unit) const;
+    ShareAllocator makeShareTable(double own, double unit) const;
     ShareTables &shareTables(const Contract &contract);
     double ownRate(const OrganisationLimits &limits) const;
     double ownConcurrency(const OrganisationLimits &limits) const;
--- a/src/bulrushswitchd/leadershipservice.cpp
+++ b/src/bulrushswitchd/leadershipservice.cpp
@@ -17,21 +17,21 @@
 
 const char *const stewardTable = "steward";
 
-StewardCandidate candidateOf(const MemberRecord &member)
+LeaderCandidate candidateOf(const MemberRecord &member)
 {
     return {member.incarnation, member.domain, member.address};
 }
 
 /** \returns the decoded row, or nothing if it is malformed. */
-std::optional<VersionedStewardRow> versionedRow(const io::TableRow &row)
+std::optional<VersionedLeaderRow> versionedRow(const io::TableRow &row)
 {
     if (row.value.isNull())
-        return VersionedStewardRow{row.version, {}};
+        return VersionedLeaderRow{row.version, {}};
 
     auto decoded = io::decodeStewardRow(row.value);
     if (!decoded)
         return std::nullopt;
-    return VersionedStewardRow{row.version, *std::move(decoded)};
+    return VersionedLeaderRow{row.version, *std::move(decoded)};
 }
 
 WriteOutcome outcomeOf(const io::Committed &committed)
@@ -59,17 +59,17 @@
 
 } // namespace
 
-StewardTimings leadershipTimings(const LeaseTimings &leases)
+LeaderElectionTimings leadershipTimings(const LeaseTimings &leases)
 {
-    StewardTimings timings;
+    LeaderElectionTimings timings;
     timings.leaseLength = leases.stewardLease;
     timings.renewInterval = leases.renewEvery;
     timings.retryInterval = leases.renewEvery;
     timings.readInterval = leases.renewEvery;
-    timings.platformPatience = leases.stewardLease / 2;
-    timings.askInterval = leases.renewEvery;
+    timings.platformSilenceTimeout = leases.stewardLease / 2;
+    timings.promiseRequestInterval = leases.renewEvery;
     timings.promiseLength = leases.promise;
-    timings.longestRoutingLease = leases.routingLease;
+    timings.maxRoutingLease = leases.routingLease;
     timings.workPastLease = leaseTerms(leases).runCap;
     timings.driftPpm = leases.driftPpm;
     return timings;
@@ -85,7 +85,7 @@
 
 void LeadershipService::tick(Instant now)
 {
-    for (const StewardAction &action : m_leadership.handle(StewardTick{}, now))
+    for (const LeaderElectionAction &action : m_leadership.handle(LeaderElectionTick{}, now))
         perform(action);
 }
 
@@ -105,37 +105,37 @@
                                     m_lastAnswer->askId, m_lastAnswer->verdict});
 }
 
-void LeadershipService::handleEvent(const StewardEvent &event)
+void LeadershipService::handleEvent(const LeaderElectionEvent &event)
 {
-    for (const StewardAction &action : m_leadership.handle(event, io::hostNow()))
+    for (const LeaderElectionAction &action : m_leadership.handle(event, io::hostNow()))
         perform(action);
 }
 
 bool LeadershipService::holdsByPromisesOnly(Instant now) const
 {
     const Duration platformTimeout = m_context.settings.leases.stewardLease;
-    return m_leadership.isStewardAt(now)
+    return m_leadership.isLeaderAt(now)
         && (!m_platformAnsweredAt || now > *m_platformAnsweredAt + platformTimeout);
 }
 
-void LeadershipService::perform(const StewardAction &action)
+void LeadershipService::perform(const LeaderElectionAction &action)
 {
     std::visit([this](const auto &kind) { performAction(kind); }, action);
 }
 
-void LeadershipService::performAction(const ReadStewardRow & /*action*/)
+void LeadershipService::performAction(const ReadLeaderRow & /*action*/)
 {
     m_context.platform.read({{stewardTable, m_domain.value()}}, [this](const io::RowsResult &read) {
         const auto row =
             read.error || read.rows.empty() ? std::nullopt : versionedRow(read.rows.front());
         if (row)
-            handleEvent(StewardRowRead{*row});
+            handleEvent(LeaderRowRead{*row});
         else
-            handleEvent(StewardReadFailed{});
+            handleEvent(LeaderRowReadFailed{});
     });
 }
 
-void LeadershipService::performAction(const WriteStewardRow &action)
+void LeadershipService::performAction(const WriteLeaderRow &action)
 {
     const io::RowId id{stewardTable, m_domain.value()};
     io::Transaction transaction;
@@ -149,12 +149,12 @@
             || std::holds_alternative<io::Conflict>(outcome);
         if (hasAnswered)
             m_platformAnsweredAt = io::hostNow();
-        handleEvent(StewardWriteAnswered{
+        handleEvent(LeaderRowWriteResult{
             attempt, std::visit([](const auto &kind) { return outcomeOf(kind); }, outcome)});
     });
 }
 
-void LeadershipService::performAction(const AskPromise &action)
+void LeadershipService::performAction(const RequestPromise &action)
 {
     m_context.counters.add(Counter::PromisesAsked);
     m_context.peers.call(action.to.address, "steward.promise",
@@ -167,7 +167,7 @@
                          });
 }
 
-void LeadershipService::performAction(const AnswerPromise &action)
+void LeadershipService::performAction(const AnswerPromiseRequest &action)
 {
     m_lastAnswer = action;
 }
@@ -179,12 +179,12 @@
                          [](const io::RpcReply &) {});
 }
 
-void LeadershipService::performAction(const AnnounceSteward &action)
+void LeadershipService::performAction(const AnnounceLeader &action)
 {
     m_callbacks.onLeaderChanged(action);
 }
 
-void LeadershipService::performAction(const StewardshipBegan &action)
+void LeadershipService::performAction(const LeadershipStarted &action)
 {
     m_context.counters.add(Counter::StewardshipsBegun);
     io::logEvent(LogLevel::Info, "stewardship-began",
@@ -192,7 +192,7 @@
     m_callbacks.onBegan(action);
 }
 
-void LeadershipService::performAction(const StewardshipEnded &action)
+void LeadershipService::performAction(const LeadershipEnded &action)
 {
     m_context.counters.add(Counter::StewardshipsEnded);
     io::logEvent(LogLevel::Warning, "stewardship-ended",
--- a/src/bulrushswitchd/leadershipservice.h
+++ b/src/bulrushswitchd/leadershipservice.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "process/daemonsettings.h"
-#include "process/stewardseat.h"
+#include "process/leaderelection.h"
 
 #include <json/value.h>
 
@@ -15,10 +15,10 @@
 /** Events of a leadership that the daemon handles. */
 struct LeadershipCallbacks
 {
-    std::function<void(const StewardshipBegan &)> onBegan;
-    std::function<void(const StewardshipEnded &)> onEnded;
+    std::function<void(const LeadershipStarted &)> onBegan;
+    std::function<void(const LeadershipEnded &)> onEnded;
     /** Called when the domain's row has a new holder. */
-    std::function<void(const AnnounceSteward &)> onLeaderChanged;
+    std::function<void(const AnnounceLeader &)> onLeaderChanged;
 };
 
 /**
@@ -41,35 +41,35 @@
     Json::Value answerPromiseRequest(const Json::Value &promiseRequest);
 
     /** Applies an event from outside this service. */
-    void handleEvent(const StewardEvent &event);
+    void handleEvent(const LeaderElectionEvent &event);
 
-    const StewardSeat &leadership() const;
+    const LeaderElection &leadership() const;
     const DomainName &domain() const;
 
     /** \returns whether the leadership is extended by promises only at \a now. */
     bool holdsByPromisesOnly(Instant now) const;
 
 private:
-    void perform(const StewardAction &action);
-    void performAction(const ReadStewardRow &action);
-    void performAction(const WriteStewardRow &action);
-    void performAction(const AskPromise &action);
-    void performAction(const AnswerPromise &action);
+    void perform(const LeaderElectionAction &action);
+    void performAction(const ReadLeaderRow &action);
+    void performAction(const WriteLeaderRow &action);
+    void performAction(const RequestPromise &action);
+    void performAction(const AnswerPromiseRequest &action);
     void performAction(const ReleasePromise &action);
-    void performAction(const AnnounceSteward &action);
-    void performAction(const StewardshipBegan &action);
-    void performAction(const StewardshipEnded &action);
+    void performAction(const AnnounceLeader &action);
+    void performAction(const LeadershipStarted &action);
+    void performAction(const LeadershipEnded &action);
 
     ControlContext &m_context;
     DomainName m_domain;
     LeadershipCallbacks m_callbacks;
-    StewardSeat m_leadership;
-    std::optional<AnswerPromise> m_lastAnswer;
+    LeaderElection m_leadership;
+    std::optional<AnswerPromiseRequest> m_lastAnswer;
     /** When the platform last answered a write of this leadership. */
     std::optional<Instant> m_platformAnsweredAt;
 };
 
-inline const StewardSeat &LeadershipService::leadership() const
+inline const LeaderElection &LeadershipService::leadership() const
 {
     return m_leadership;
 }
@@ -80,6 +80,6 @@
 }
 
 /** \returns the leadership's timings for the settings. */
-StewardTimings leadershipTimings(const LeaseTimings &leases);
+LeaderElectionTimings leadershipTimings(const LeaseTimings &leases);
 
 } // namespace bulrush
--- a/src/bulrushswitchd/leaseservice.cpp
+++ b/src/bulrushswitchd/leaseservice.cpp
@@ -49,7 +49,7 @@
             domain == m_context.settings.domain || pull.shouldPull || m_gate.hasRights(domain);
         if (pull.leader.address.empty() || !shouldPull)
             continue;
-        if (isDue || m_gate.wantsPull(domain))
+        if (isDue || m_gate.needsPull(domain))
             send(domain, pull, now);
     }
 }
--- a/src/bulrushswitchd/limitboard.cpp
+++ b/src/bulrushswitchd/limitregistry.cpp
@@ -1,4 +1,4 @@
-#include "limitboard.h"
+#include "limitregistry.h"
 
 #include <utility>
 
@@ -11,7 +11,7 @@
 
 } // namespace
 
-LimitTicket::LimitTicket(LimitBoard &registry, ConcurrencyLimiter &limiter)
+LimitTicket::LimitTicket(LimitRegistry &registry, ConcurrencyLimiter &limiter)
     : m_registry(&registry)
     , m_limiter(&limiter)
 { }
@@ -27,12 +27,12 @@
     , m_limiter(std::exchange(other.m_limiter, nullptr))
 { }
 
-LimitBoard::LimitBoard(std::int64_t driftPpm)
+LimitRegistry::LimitRegistry(std::int64_t driftPpm)
     : m_driftPpm(driftPpm)
 { }
 
-std::variant<LimitTicket, LimitRefusal> LimitBoard::admit(const OrganisationName &organisation,
-                                                          Instant now)
+std::variant<LimitTicket, LimitRefusal> LimitRegistry::admit(const OrganisationName &organisation,
+                                                             Instant now)
 {
     const std::scoped_lock lock{m_mutex};
     Limiters &limits = limiters(organisation);
@@ -47,8 +47,8 @@
                                                    limits.concurrency};
 }
 
-std::vector<OrganisationDemand> LimitBoard::demands(std::span<const OrganisationName> organisations,
-                                                    Instant now)
+std::vector<OrganisationDemand>
+LimitRegistry::demands(std::span<const OrganisationName> organisations, Instant now)
 {
     const std::scoped_lock lock{m_mutex};
     std::vector<OrganisationDemand> demands;
@@ -61,18 +61,18 @@
     return demands;
 }
 
-void LimitBoard::granted(std::span<const OrganisationGrant> grants, Instant requestedAt,
-                         Instant now)
+void LimitRegistry::applyGrants(std::span<const OrganisationGrant> grants, Instant requestedAt,
+                                Instant now)
 {
     const std::scoped_lock lock{m_mutex};
     for (const OrganisationGrant &grant : grants) {
         Limiters &limits = limiters(grant.organisation);
-        limits.rate.shareGranted(grant.rate, requestedAt, now);
-        limits.concurrency.shareGranted(grant.concurrency, requestedAt);
+        limits.rate.applyShareGrant(grant.rate, requestedAt, now);
+        limits.concurrency.applyShareGrant(grant.concurrency, requestedAt);
     }
 }
 
-bool LimitBoard::canAdmit(const OrganisationName &organisation, Instant now) const
+bool LimitRegistry::canAdmit(const OrganisationName &organisation, Instant now) const
 {
     const std::scoped_lock lock{m_mutex};
     const auto found = m_limiters.find(organisation);
@@ -80,7 +80,7 @@
         && found->second.concurrency.share(now) >= 1.0;
 }
 
-Json::Value LimitBoard::status(Instant now) const
+Json::Value LimitRegistry::status(Instant now) const
 {
     const std::scoped_lock lock{m_mutex};
     Json::Value json{Json::objectValue};
@@ -93,14 +93,14 @@
     return json;
 }
 
-LimitBoard::Limiters &LimitBoard::limiters(const OrganisationName &organisation)
+LimitRegistry::Limiters &LimitRegistry::limiters(const OrganisationName &organisation)
 {
     const auto entry = m_limiters.try_emplace(
         organisation, Limiters{RateLimiter{m_driftPpm}, ConcurrencyLimiter{m_driftPpm}});
     return entry.first->second;
 }
 
-void LimitBoard::release(ConcurrencyLimiter &limiter)
+void LimitRegistry::release(ConcurrencyLimiter &limiter)
 {
     const std::scoped_lock lock{m_mutex};
     limiter.ended();
--- a/src/bulrushswitchd/limitboard.h
+++ b/src/bulrushswitchd/limitregistry.h
@@ -15,7 +15,7 @@
 
 namespace bulrush {
 
-class LimitBoard;
+class LimitRegistry;
 
 /**
  * Counts one request against its organisation's concurrency limit, from its admission until this
@@ -24,14 +24,14 @@
 class LimitTicket
 {
 public:
-    LimitTicket(LimitBoard &registry, ConcurrencyLimiter &limiter);
+    LimitTicket(LimitRegistry &registry, ConcurrencyLimiter &limiter);
     ~LimitTicket();
 
     LimitTicket(LimitTicket &&other) noexcept;
     LimitTicket &operator=(LimitTicket &&other) = delete;
 
 private:
-    LimitBoard *m_registry;
+    LimitRegistry *m_registry;
     ConcurrencyLimiter *m_limiter;
 };
 
@@ -46,13 +46,13 @@
  * A daemon's shares of the limits of all organisations. Traffic threads admit requests by them, and
  * the control thread renews them. Thread safe.
  */
-class LimitBoard
+class LimitRegistry
 {
 public:
-    explicit LimitBoard(std::int64_t driftPpm);
+    explicit LimitRegistry(std::int64_t driftPpm);
 
-    LimitBoard(const LimitBoard &) = delete;
-    LimitBoard &operator=(const LimitBoard &) = delete;
+    LimitRegistry(const LimitRegistry &) = delete;
+    LimitRegistry &operator=(const LimitRegistry &) = delete;
 
     /**
      * Admits or refuses a request of \a organisation. An admitted request holds its ticket until it
@@ -66,7 +66,7 @@
                                             Instant now);
 
     /** Applies the leader's shares for the demands of \a requestedAt. */
-    void granted(std::span<const OrganisationGrant> grants, Instant requestedAt, Instant now);
+    void applyGrants(std::span<const OrganisationGrant> grants, Instant requestedAt, Instant now);
 
     /** \returns whether the shares of \a organisation at \a now admit any request. */
     bool canAdmit(const OrganisationName &organisation, Instant now) const;
--- a/src/bulrushswitchd/serverqueue.cpp
+++ b/src/bulrushswitchd/serverqueue.cpp
@@ -6,7 +6,7 @@
 
 namespace bulrush {
 
-ServerQueue::ServerQueue(AttendantLimits limits)
+ServerQueue::ServerQueue(ServerManagerLimits limits)
     : m_attendant(limits)
 { }
 
@@ -26,7 +26,7 @@
     m_attendant.bodySent(work, now);
 }
 
-void ServerQueue::complete(WorkId work, WorkEnd end, Instant now)
+void ServerQueue::complete(WorkId work, WorkResult end, Instant now)
 {
     const std::scoped_lock lock{m_mutex};
     perform(m_attendant.workEnded(work, end, now));
@@ -53,15 +53,15 @@
         perform(m_attendant.advance(now));
 }
 
-AttendantLoad ServerQueue::load() const
+ServerManagerLoad ServerQueue::load() const
 {
     const std::scoped_lock lock{m_mutex};
     return m_attendant.load(RequestClass::Ordinary);
 }
 
-void ServerQueue::perform(const AttendantActions &actions)
+void ServerQueue::perform(const ServerManagerActions &actions)
 {
-    for (const AttendantAction &action : actions) {
+    for (const ServerManagerAction &action : actions) {
         if (const auto *dispatch = std::get_if<DispatchWork>(&action))
             deliverDecision(dispatch->id, DispatchPermit{dispatch->id});
         else if (const auto *refuse = std::get_if<RefuseWork>(&action))
--- a/src/bulrushswitchd/serverqueue.h
+++ b/src/bulrushswitchd/serverqueue.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "connection/attendant.h"
+#include "connection/servermanager.h"
 #include "version/identifier.h"
 
 #include <asio/io_context.hpp>
@@ -30,7 +30,7 @@
 public:
     using Handler = std::function<void(const QueueDecision &)>;
 
-    explicit ServerQueue(AttendantLimits limits);
+    explicit ServerQueue(ServerManagerLimits limits);
 
     /**
      * Queues a request. \a handler is called once on \a loop, never from within this call, unless
@@ -43,7 +43,7 @@
     void recordBodySent(WorkId work, Instant now);
 
     /** Records the result of a request that was permitted. */
-    void complete(WorkId work, WorkEnd end, Instant now);
+    void complete(WorkId work, WorkResult end, Instant now);
 
     /** Removes a request that has not been permitted yet. */
     void cancel(WorkId work);
@@ -55,7 +55,7 @@
     void advance(Instant now);
 
     /** \returns the load that an ordinary request would encounter. */
-    AttendantLoad load() const;
+    ServerManagerLoad load() const;
 
 private:
     struct QueuedWork
@@ -64,11 +64,11 @@
         Handler handler;
     };
 
-    void perform(const AttendantActions &actions);
+    void perform(const ServerManagerActions &actions);
     void deliverDecision(WorkId work, const QueueDecision &decision);
 
     mutable std::mutex m_mutex;
-    Attendant m_attendant;
+    ServerManager m_attendant;
     std::map<WorkId, QueuedWork> m_queuedWork;
     WorkId m_lastWork = 0;
 };
--- a/src/bulrushswitchd/shareservice.cpp
+++ b/src/bulrushswitchd/shareservice.cpp
@@ -2,7 +2,7 @@
 
 #include "connection/peerclient.h"
 #include "controlcontext.h"
-#include "limitboard.h"
+#include "limitregistry.h"
 #include "process/hostclock.h"
 #include "process/sharecodec.h"
 
@@ -23,7 +23,8 @@
 
 } // namespace
 
-ShareService::ShareService(ControlContext &context, LimitBoard &limits, LocalRenewal localRenewal)
+ShareService::ShareService(ControlContext &context, LimitRegistry &limits,
+                           LocalRenewal localRenewal)
     : m_context(context)
     , m_limits(limits)
     , m_localRenewal(std::move(localRenewal))
@@ -96,7 +97,7 @@
         return;
 
     const Instant now = io::hostNow();
-    m_limits.granted(decoded->organisations, requestedAt, now);
+    m_limits.applyGrants(decoded->organisations, requestedAt, now);
     if (now >= m_validUntil) {
         m_hasShares = false;
         m_firstReplyAt.reset();
--- a/src/bulrushswitchd/shareservice.h
+++ b/src/bulrushswitchd/shareservice.h
@@ -13,7 +13,7 @@
 namespace bulrush {
 
 struct ControlContext;
-class LimitBoard;
+class LimitRegistry;
 
 /**
  * Renews this daemon's shares of the organisations' limits with the leader of its failure domain,
@@ -27,7 +27,7 @@
     /** \returns the reply of a leader in this daemon to a renewal, or null. */
     using LocalRenewal = std::function<Json::Value(const Json::Value &)>;
 
-    ShareService(ControlContext &context, LimitBoard &limits, LocalRenewal localRenewal);
+    ShareService(ControlContext &context, LimitRegistry &limits, LocalRenewal localRenewal);
 
     ShareService(const ShareService &) = delete;
     ShareService &operator=(const ShareService &) = delete;
@@ -52,7 +52,7 @@
     bool canAdmitAll(Instant now) const;
 
     ControlContext &m_context;
-    LimitBoard &m_limits;
+    LimitRegistry &m_limits;
     LocalRenewal m_localRenewal;
     std::map<DomainName, DomainShares> m_sharesByDomain;
     KnownLeader m_leader;
--- a/src/bulrushswitchd/trafficcontext.h
+++ b/src/bulrushswitchd/trafficcontext.h
@@ -2,7 +2,7 @@
 
 #include "claimhandler.h"
 #include "dispatchgate.h"
-#include "limitboard.h"
+#include "limitregistry.h"
 #include "loadrecorder.h"
 #include "process/daemonsettings.h"
 #include "process/memberrecord.h"
@@ -38,7 +38,7 @@
     ViewHolder<RoutingView> &view;
     ClaimHandler &claims;
     SharedBurnRecorder &burnRecorder;
-    LimitBoard &limits;
+    LimitRegistry &limits;
     LoadRecorder &loads;
     /** Whether new requests are refused because this daemon is draining. */
     const std::atomic<bool> &isRefusing;
--- a/src/libbulrush/connection/attendant.cpp
+++ b/src/libbulrush/connection/servermanager.cpp
@@ -1,4 +1,4 @@
-#include "connection/attendant.h"
+#include "connection/servermanager.h"
 
 #include <algorithm>
 #include <utility>
@@ -19,15 +19,15 @@
 
 } // namespace
 
-Attendant::Attendant(AttendantLimits limits)
+ServerManager::ServerManager(ServerManagerLimits limits)
     : m_limits(limits)
     , m_serviceTime(limits.firstServiceTime)
     , m_slotLimit(limits.slots)
 { }
 
-AttendantActions Attendant::submit(const AttendedWork &work, Instant now)
+ServerManagerActions ServerManager::submit(const AttendedWork &work, Instant now)
 {
-    AttendantActions actions;
+    ServerManagerActions actions;
     forgetLost(now);
     if (const auto reason = stateRefusal()) {
         refuse(work, *reason, actions);
@@ -46,9 +46,9 @@
     return actions;
 }
 
-AttendantActions Attendant::submitStreamed(const AttendedWork &work, Instant now)
+ServerManagerActions ServerManager::submitStreamed(const AttendedWork &work, Instant now)
 {
-    AttendantActions actions;
+    ServerManagerActions actions;
     if (m_streaming >= m_limits.streamedBodyLimit)
         refuse(work, FailurePoint::QueueFull, actions);
     else if (now + m_serviceTime.cautious() > work.policy.deadline)
@@ -58,7 +58,7 @@
     return actions;
 }
 
-void Attendant::bodySent(WorkId id, Instant now)
+void ServerManager::bodySent(WorkId id, Instant now)
 {
     const auto found = m_flights.find(id);
     if (found == m_flights.end() || found->second.isBodySent)
@@ -71,13 +71,13 @@
         m_silentSince = now;
 }
 
-AttendantActions Attendant::workEnded(WorkId id, WorkEnd end, Instant now)
+ServerManagerActions ServerManager::workEnded(WorkId id, WorkResult end, Instant now)
 {
-    AttendantActions actions;
+    ServerManagerActions actions;
     const auto found = m_flights.find(id);
     if (found == m_flights.end() || found->second.isLost)
         return actions;
-    if (end == WorkEnd::Lost && found->second.deadline > now) {
+    if (end == WorkResult::Lost && found->second.deadline > now) {
         found->second.isLost = true;
         return actions;
     }
@@ -93,15 +93,15 @@
     return actions;
 }
 
-void Attendant::cancel(WorkId id)
+void ServerManager::cancel(WorkId id)
 {
     if (!eraseWork(m_ordinaryQueue, id))
         eraseWork(m_priorityQueue, id);
 }
 
-AttendantActions Attendant::serverAnswered(bool isDraining, Instant now)
+ServerManagerActions ServerManager::serverAnswered(bool isDraining, Instant now)
 {
-    AttendantActions actions;
+    ServerManagerActions actions;
     if (isDraining) {
         m_state = ServerState::Draining;
         refuseQueued(FailurePoint::ServerDraining, actions);
@@ -116,9 +116,9 @@
     return actions;
 }
 
-AttendantActions Attendant::advance(Instant now)
+ServerManagerActions ServerManager::advance(Instant now)
 {
-    AttendantActions actions;
+    ServerManagerActions actions;
     forgetLost(now);
     const bool isSilent = m_silentSince && *m_silentSince + silenceLimit() <= now;
     if (isSilent && stateRefusal() == std::nullopt) {
@@ -132,7 +132,7 @@
     return actions;
 }
 
-std::optional<Instant> Attendant::nextDue() const
+std::optional<Instant> ServerManager::nextDue() const
 {
     std::optional<Instant> due;
     const auto consider = [&due](Instant instant) {
@@ -151,11 +151,11 @@
     return due;
 }
 
-AttendantLoad Attendant::load(RequestClass requestClass) const
+ServerManagerLoad ServerManager::load(RequestClass requestClass) const
 {
     const bool isPriority = requestClass == RequestClass::Priority;
     const std::size_t before = isPriority ? m_priorityQueue.size() : queuedCount();
-    AttendantLoad load;
+    ServerManagerLoad load;
     load.inFlight = m_running;
     load.queuedBefore = static_cast<int>(before);
     load.serviceTime = m_serviceTime.mean();
@@ -166,17 +166,17 @@
     return load;
 }
 
-int Attendant::slotLimit() const
+int ServerManager::slotLimit() const
 {
     return m_state == ServerState::Probation ? 1 : m_slotLimit;
 }
 
-std::size_t Attendant::queuedCount() const
+std::size_t ServerManager::queuedCount() const
 {
     return m_priorityQueue.size() + m_ordinaryQueue.size();
 }
 
-Duration Attendant::waitBehind(std::size_t ahead) const
+Duration ServerManager::waitBehind(std::size_t ahead) const
 {
     const int slots = slotLimit();
     const auto before = static_cast<int>(ahead) + m_running;
@@ -185,22 +185,22 @@
     return m_serviceTime.mean() * (before - slots + 1) / slots;
 }
 
-bool Attendant::isInTime(Instant deadline, std::size_t ahead, Instant now) const
+bool ServerManager::isInTime(Instant deadline, std::size_t ahead, Instant now) const
 {
     return now + waitCaution * waitBehind(ahead) + m_serviceTime.cautious() <= deadline;
 }
 
-bool Attendant::isTooLate(Instant deadline, Instant now) const
+bool ServerManager::isTooLate(Instant deadline, Instant now) const
 {
     return now + m_serviceTime.mean() > deadline;
 }
 
-Duration Attendant::retryAfter() const
+Duration ServerManager::retryAfter() const
 {
     return std::max(shortestRetryAfter, waitBehind(queuedCount()));
 }
 
-std::optional<FailurePoint> Attendant::stateRefusal() const
+std::optional<FailurePoint> ServerManager::stateRefusal() const
 {
     if (m_state == ServerState::Suspected)
         return FailurePoint::ServerSuspected;
@@ -209,7 +209,8 @@
     return std::nullopt;
 }
 
-std::optional<FailurePoint> Attendant::admissionRefusal(const AttendedWork &work, Instant now) const
+std::optional<FailurePoint> ServerManager::admissionRefusal(const AttendedWork &work,
+                                                            Instant now) const
 {
     const bool isPriority = work.policy.requestClass == RequestClass::Priority;
     if (isTooLate(work.policy.deadline, now))
@@ -226,7 +227,7 @@
     return std::nullopt;
 }
 
-void Attendant::enqueue(const AttendedWork &work, AttendantActions &actions)
+void ServerManager::enqueue(const AttendedWork &work, ServerManagerActions &actions)
 {
     if (queuedCount() >= static_cast<std::size_t>(m_limits.queueLimit)) {
         refuse(m_ordinaryQueue.back(), FailurePoint::Overloaded, actions);
@@ -236,7 +237,7 @@
     (isPriority ? m_priorityQueue : m_ordinaryQueue).push_back(work);
 }
 
-void Attendant::dispatch(const AttendedWork &work, Instant now, AttendantActions &actions)
+void ServerManager::dispatch(const AttendedWork &work, Instant now, ServerManagerActions &actions)
 {
     m_flights.emplace(work.id, Flight{now, work.policy.deadline, !work.hasStreamedBody, false});
     ++(work.hasStreamedBody ? m_streaming : m_running);
@@ -245,7 +246,7 @@
     actions.emplace_back(DispatchWork{work.id});
 }
 
-void Attendant::dispatchQueued(Instant now, AttendantActions &actions)
+void ServerManager::dispatchQueued(Instant now, ServerManagerActions &actions)
 {
     while (m_running < slotLimit() && queuedCount() > 0 && !stateRefusal()) {
         Queue &queue = m_priorityQueue.empty() ? m_ordinaryQueue : m_priorityQueue;
@@ -262,13 +263,13 @@
     }
 }
 
-void Attendant::refuse(const AttendedWork &work, FailurePoint reason,
-                       AttendantActions &actions) const
+void ServerManager::refuse(const AttendedWork &work, FailurePoint reason,
+                           ServerManagerActions &actions) const
 {
     actions.emplace_back(RefuseWork{work.id, reason, retryAfter()});
 }
 
-void Attendant::refuseQueued(FailurePoint reason, AttendantActions &actions)
+void ServerManager::refuseQueued(FailurePoint reason, ServerManagerActions &actions)
 {
     for (Queue *queue : {&m_priorityQueue, &m_ordinaryQueue}) {
         for (const AttendedWork &work : *queue)
@@ -278,7 +279,7 @@
 }
 
 /** Priority work that came may leave the ordinary work behind it too late. */
-void Attendant::refuseDisplaced(Instant now, AttendantActions &actions)
+void ServerManager::refuseDisplaced(Instant now, ServerManagerActions &actions)
 {
     while (!m_ordinaryQueue.empty()) {
         const AttendedWork &last = m_ordinaryQueue.back();
@@ -290,7 +291,7 @@
 }
 
 /** Only what can't be in time even if it were sent now: an estimate may still turn out well. */
-void Attendant::refuseExpired(Queue &queue, Instant now, AttendantActions &actions) const
+void ServerManager::refuseExpired(Queue &queue, Instant now, ServerManagerActions &actions) const
 {
     std::erase_if(queue, [&](const AttendedWork &work) {
         const bool isExpired = isTooLate(work.policy.deadline, now);
@@ -300,7 +301,7 @@
     });
 }
 
-void Attendant::forgetLost(Instant now)
+void ServerManager::forgetLost(Instant now)
 {
     std::erase_if(m_flights, [&](const auto &entry) {
         const Flight &flight = entry.second;
@@ -311,32 +312,32 @@
     });
 }
 
-void Attendant::noteEnd(const Flight &flight, WorkEnd end, Instant now)
+void ServerManager::noteEnd(const Flight &flight, WorkResult end, Instant now)
 {
     switch (end) {
-    case WorkEnd::Answered:
+    case WorkResult::Answered:
         noteAnswer(flight, now);
         break;
-    case WorkEnd::Shed:
+    case WorkResult::Shed:
         setSlotLimit(std::max(1, m_running));
         break;
-    case WorkEnd::Cold:
+    case WorkResult::Cold:
         setSlotLimit(1);
         break;
-    case WorkEnd::Draining:
+    case WorkResult::Draining:
         m_state = ServerState::Draining;
         break;
-    case WorkEnd::Refused:
-    case WorkEnd::NotSent:
-    case WorkEnd::Lost:
+    case WorkResult::Refused:
+    case WorkResult::NotSent:
+    case WorkResult::Lost:
         break;
     }
     // Only work that ended in silence leaves the server owing an answer.
-    if (end != WorkEnd::Lost)
+    if (end != WorkResult::Lost)
         m_silentSince = m_running > 0 ? std::optional{now} : std::nullopt;
 }
 
-void Attendant::noteAnswer(const Flight &flight, Instant now)
+void ServerManager::noteAnswer(const Flight &flight, Instant now)
 {
     if (flight.isBodySent)
         m_serviceTime.record(now - flight.sentAt);
@@ -348,12 +349,12 @@
     setSlotLimit(m_slotLimit + 1);
 }
 
-Duration Attendant::silenceLimit() const
+Duration ServerManager::silenceLimit() const
 {
     return std::max(m_limits.shortestSilence, m_serviceTime.cautious() * m_limits.silenceFactor);
 }
 
-void Attendant::setSlotLimit(int limit)
+void ServerManager::setSlotLimit(int limit)
 {
     m_slotLimit = std::clamp(limit, 1, m_limits.slots);
     m_answersSinceChange = 0;
--- a/src/libbulrush/connection/attendant.h
+++ b/src/libbulrush/connection/servermanager.h
@@ -27,7 +27,7 @@
 };
 
 /** Bounds on the work that one backend server is given. */
-struct AttendantLimits
+struct ServerManagerLimits
 {
     int slots = 3;
     /** Streamed bodies under way at once: part of the server's limit of connections. */
@@ -69,11 +69,12 @@
     bool operator==(const ReportRecovered &) const = default;
 };
 
-using AttendantAction = std::variant<DispatchWork, RefuseWork, ReportSuspected, ReportRecovered>;
-using AttendantActions = std::vector<AttendantAction>;
+using ServerManagerAction =
+    std::variant<DispatchWork, RefuseWork, ReportSuspected, ReportRecovered>;
+using ServerManagerActions = std::vector<ServerManagerAction>;
 
 /** What became of dispatched work, as far as the server's load is concerned. */
-enum class WorkEnd {
+enum class WorkResult {
     Answered, ///< the server did it
     Refused,  ///< the server said that it did not start, without a cause in its own state
     Shed,     ///< the server has too much
@@ -84,7 +85,7 @@
 };
 
 /** What work of one class would meet if it came now. */
-struct AttendantLoad
+struct ServerManagerLoad
 {
     int inFlight = 0;
     /** Queued work that would be sent before it. */
@@ -94,7 +95,7 @@
     /** Mean time in a slot. */
     Duration serviceTime{};
 
-    bool operator==(const AttendantLoad &) const = default;
+    bool operator==(const ServerManagerLoad &) const = default;
 };
 
 /**
@@ -105,19 +106,19 @@
  *
  * Not thread safe.
  */
-class Attendant
+class ServerManager
 {
 public:
-    explicit Attendant(AttendantLimits limits);
+    explicit ServerManager(ServerManagerLimits limits);
 
     /** Takes in work. \pre its id is new. */
-    AttendantActions submit(const AttendedWork &work, Instant now);
+    ServerManagerActions submit(const AttendedWork &work, Instant now);
 
     /** The streamed body of \a id has been sent whole: it takes a slot from now. */
     void bodySent(WorkId id, Instant now);
 
     /** Dispatched work has ended. An unknown id is ignored. */
-    AttendantActions workEnded(WorkId id, WorkEnd end, Instant now);
+    ServerManagerActions workEnded(WorkId id, WorkResult end, Instant now);
 
     /**
      * The caller of queued work has gone: it is forgotten. Dispatched work has to end by
@@ -126,16 +127,16 @@
     void cancel(WorkId id);
 
     /** The server answered a control call: it is not frozen. */
-    AttendantActions serverAnswered(bool isDraining, Instant now);
+    ServerManagerActions serverAnswered(bool isDraining, Instant now);
 
     /** Refuses what can't be served any more and notices silence. To be called at nextDue(). */
-    AttendantActions advance(Instant now);
+    ServerManagerActions advance(Instant now);
 
     /** \returns when advance() has something to do, or nothing. */
     std::optional<Instant> nextDue() const;
 
     /** \returns what work of \a requestClass would meet. */
-    AttendantLoad load(RequestClass requestClass) const;
+    ServerManagerLoad load(RequestClass requestClass) const;
 
     bool isSuspected() const;
     bool isDraining() const;
@@ -167,21 +168,21 @@
     Duration retryAfter() const;
     std::optional<FailurePoint> stateRefusal() const;
     std::optional<FailurePoint> admissionRefusal(const AttendedWork &work, Instant now) const;
-    AttendantActions submitStreamed(const AttendedWork &work, Instant now);
-    void enqueue(const AttendedWork &work, AttendantActions &actions);
-    void dispatch(const AttendedWork &work, Instant now, AttendantActions &actions);
-    void dispatchQueued(Instant now, AttendantActions &actions);
-    void refuse(const AttendedWork &work, FailurePoint reason, AttendantActions &actions) const;
-    void refuseQueued(FailurePoint reason, AttendantActions &actions);
-    void refuseDisplaced(Instant now, AttendantActions &actions);
-    void refuseExpired(Queue &queue, Instant now, AttendantActions &actions) const;
+    ServerManagerActions submitStreamed(const AttendedWork &work, Instant now);
+    void enqueue(const AttendedWork &work, ServerManagerActions &actions);
+    void dispatch(const AttendedWork &work, Instant now, ServerManagerActions &actions);
+    void dispatchQueued(Instant now, ServerManagerActions &actions);
+    void refuse(const AttendedWork &work, FailurePoint reason, ServerManagerActions &actions) const;
+    void refuseQueued(FailurePoint reason, ServerManagerActions &actions);
+    void refuseDisplaced(Instant now, ServerManagerActions &actions);
+    void refuseExpired(Queue &queue, Instant now, ServerManagerActions &actions) const;
     void forgetLost(Instant now);
-    void noteEnd(const Flight &flight, WorkEnd end, Instant now);
+    void noteEnd(const Flight &flight, WorkResult end, Instant now);
     void noteAnswer(const Flight &flight, Instant now);
     Duration silenceLimit() const;
     void setSlotLimit(int limit);
 
-    AttendantLimits m_limits;
+    ServerManagerLimits m_limits;
     ServiceTimeEstimate m_serviceTime;
     ServerState m_state = ServerState::Serving;
     std::unordered_map<WorkId, Flight> m_flights;
@@ -197,12 +198,12 @@
     bool m_hasRecovered = false;
 };
 
-inline bool Attendant::isSuspected() const
+inline bool ServerManager::isSuspected() const
 {
     return m_state == ServerState::Suspected;
 }
 
-inline bool Attendant::isDraining() const
+inline bool ServerManager::isDraining() const
 {
     return m_state == ServerState::Draining;
 }
--- a/src/libbulrush/process/recovery.cpp
+++ b/src/libbulrush/process/assignmentrecovery.cpp
@@ -1,4 +1,4 @@
-#include "process/recovery.h"
+#include "process/assignmentrecovery.h"
 
 #include "process/ownershipmap.h"
 
@@ -7,20 +7,20 @@
 
 namespace bulrush {
 
-Recovery::Recovery(Assignment published, Instant mayGrantFrom, Instant askUntil)
+AssignmentRecovery::AssignmentRecovery(Assignment published, Instant mayGrantFrom, Instant askUntil)
     : m_highest(std::move(published))
     , m_highestFence(m_highest.version)
     , m_mayGrantFrom(mayGrantFrom)
     , m_askUntil(askUntil)
 { }
 
-void Recovery::setAsked(std::set<Incarnation> daemons, std::set<ServerName> servers)
+void AssignmentRecovery::setAsked(std::set<Incarnation> daemons, std::set<ServerName> servers)
 {
     m_pendingDaemons = std::move(daemons);
     m_pendingServers = std::move(servers);
 }
 
-void Recovery::addView(const Incarnation &daemon, const Assignment &view)
+void AssignmentRecovery::addView(const Incarnation &daemon, const Assignment &view)
 {
     m_pendingDaemons.erase(daemon);
     m_highestFence = std::max(m_highestFence, view.version);
@@ -28,7 +28,7 @@
         m_highest = view;
 }
 
-void Recovery::addGrants(const ServerName &server, std::span<const SliceOwner> grants)
+void AssignmentRecovery::addGrants(const ServerName &server, std::span<const SliceOwner> grants)
 {
     m_pendingServers.erase(server);
     for (const SliceOwner &grant : grants) {
@@ -37,7 +37,7 @@
     }
 }
 
-std::optional<Assignment> Recovery::result(Instant now) const
+std::optional<Assignment> AssignmentRecovery::result(Instant now) const
 {
     const bool allAnswered = m_pendingDaemons.empty() && m_pendingServers.empty();
     if (now < m_mayGrantFrom || (!allAnswered && now < m_askUntil))
--- a/src/libbulrush/process/recovery.h
+++ b/src/libbulrush/process/assignmentrecovery.h
@@ -15,7 +15,7 @@
  *
  * Not thread safe.
  */
-class Recovery
+class AssignmentRecovery
 {
 public:
     /**
@@ -24,7 +24,7 @@
      * Missing answers are no longer waited for after \a askUntil, or after \a mayGrantFrom if that
      * is later.
      */
-    Recovery(Assignment published, Instant mayGrantFrom, Instant askUntil);
+    AssignmentRecovery(Assignment published, Instant mayGrantFrom, Instant askUntil);
 
     /** Sets the daemons and servers whose answers are awaited. */
     void setAsked(std::set<Incarnation> daemons, std::set<ServerName> servers);
@@ -55,7 +55,7 @@
     std::set<ServerName> m_pendingServers;
 };
 
-inline Fence Recovery::highest() const
+inline Fence AssignmentRecovery::highest() const
 {
     return m_highestFence;
 }
--- a/src/libbulrush/process/burnrate.h
+++ b/src/libbulrush/process/burnrate.h
@@ -192,7 +192,7 @@
     /** Expected daemons that did not report: the counts lack their requests. */
     std::vector<HostName> missing;
     /** The shortest time that any reporting daemon has been counting for. */
-    Duration shortestObserved{};
+    Duration minObservedDuration{};
     /** How many daemons have counted for less than the longest window. */
     std::size_t partlyObserved = 0;
 };
--- a/src/libbulrush/process/candidatechoice.h
+++ b/src/libbulrush/process/candidatechoice.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "process/stewardrow.h"
+#include "process/leaderrow.h"
 
 #include <span>
 #include <vector>
@@ -21,8 +21,8 @@
  *
  * \returns the candidates, sorted by incarnation, so that equal choices compare equal.
  */
-std::vector<StewardCandidate> chooseCandidates(const Incarnation &self, const DomainName &domain,
-                                               std::span<const StewardCandidate> current,
-                                               std::span<const StewardCandidate> peers);
+std::vector<LeaderCandidate> chooseCandidates(const Incarnation &self, const DomainName &domain,
+                                              std::span<const LeaderCandidate> current,
+                                              std::span<const LeaderCandidate> peers);
 
 } // namespace bulrush
--- a/src/libbulrush/process/claimbatcher.h
+++ b/src/libbulrush/process/claimbatcher.h
@@ -38,13 +38,13 @@
 };
 
 /** Hand this event to the claim that asked for the write. */
-struct ClaimWriteEnded
+struct ClaimWriteResult
 {
     ClaimWriteId id;
     ClaimEvent event;
 };
 
-using ClaimBatchAction = std::variant<SendClaimBatch, ClaimWriteEnded>;
+using ClaimBatchAction = std::variant<SendClaimBatch, ClaimWriteResult>;
 using ClaimBatchActions = std::vector<ClaimBatchAction>;
 
 /** A row that kept a transaction from taking effect. */
--- a/src/libbulrush/process/drain.cpp
+++ b/src/libbulrush/process/drain.cpp
@@ -33,7 +33,7 @@
     return now < *m_startedAt + m_limits.deadline ? DrainPhase::Refusing : DrainPhase::Overdue;
 }
 
-bool Drain::takesWork(Instant now) const
+bool Drain::acceptsWork(Instant now) const
 {
     const DrainPhase current = phase(now);
     return current == DrainPhase::Serving || current == DrainPhase::Announced;
--- a/src/libbulrush/process/drain.h
+++ b/src/libbulrush/process/drain.h
@@ -40,14 +40,14 @@
     /** Starts the shutdown. A second call changes nothing. */
     void start(Instant now);
 
-    /** Counts accepted work. \pre takesWork() */
+    /** Counts accepted work. \pre acceptsWork() */
     void workStarted();
 
     /** Counts finished work: answered, or the caller disconnected. \pre work was started */
     void workEnded();
 
     DrainPhase phase(Instant now) const;
-    bool takesWork(Instant now) const;
+    bool acceptsWork(Instant now) const;
     std::size_t inFlight() const;
 
     /** \returns the next time-based change of phase(), or nothing if there is none. */
--- a/src/libbulrush/process/handover.cpp
+++ b/src/libbulrush/process/handover.cpp
@@ -17,9 +17,9 @@
     return {change.piece.service, change.piece.range, server, fence};
 }
 
-std::vector<SlicePiece> layoutOf(std::span<const SliceOwner> slices)
+std::vector<ServiceKeyRange> layoutOf(std::span<const SliceOwner> slices)
 {
-    std::vector<SlicePiece> layout;
+    std::vector<ServiceKeyRange> layout;
     layout.reserve(slices.size());
     for (const SliceOwner &slice : slices)
         layout.push_back({slice.service, slice.range});
@@ -28,14 +28,14 @@
 }
 
 /** \returns the layout of \a slices, plus \a others for services without slices. */
-std::vector<SlicePiece> layoutOf(std::span<const SliceOwner> slices,
-                                 std::span<const SlicePiece> others)
+std::vector<ServiceKeyRange> layoutOf(std::span<const SliceOwner> slices,
+                                      std::span<const ServiceKeyRange> others)
 {
-    std::vector<SlicePiece> layout = layoutOf(slices);
+    std::vector<ServiceKeyRange> layout = layoutOf(slices);
     std::set<ServiceName> services;
-    for (const SlicePiece &piece : layout)
+    for (const ServiceKeyRange &piece : layout)
         services.insert(piece.service);
-    for (const SlicePiece &piece : others) {
+    for (const ServiceKeyRange &piece : others) {
         if (!services.contains(piece.service))
             layout.push_back(piece);
     }
@@ -43,9 +43,9 @@
     return layout;
 }
 
-bool overlapsAny(std::span<const SlicePiece> sorted, const SlicePiece &piece)
+bool overlapsAny(std::span<const ServiceKeyRange> sorted, const ServiceKeyRange &piece)
 {
-    const auto isBefore = [&piece](const SlicePiece &entry) {
+    const auto isBefore = [&piece](const ServiceKeyRange &entry) {
         const int order = entry.service.value().compare(piece.service.value());
         return order < 0 || (order == 0 && entry.range.end < piece.range.begin);
     };
@@ -55,8 +55,8 @@
 
 } // namespace
 
-Handover::Handover(HandoverTerms terms, std::uint64_t epoch, const Assignment &inForce,
-                   Fence published, LeaseBook &leases)
+Handover::Handover(HandoverLimits terms, std::uint64_t epoch, const Assignment &inForce,
+                   Fence published, RoutingLeaseTable &leases)
     : m_terms(terms)
     , m_leases(leases)
     , m_version(inForce.version)
@@ -85,8 +85,8 @@
         return {};
 
     m_needsUpdate = true;
-    if (!std::holds_alternative<TimePassed>(event)
-        && !std::holds_alternative<TenureExtended>(event))
+    if (!std::holds_alternative<HandoverTick>(event)
+        && !std::holds_alternative<LeadershipExtended>(event))
         ++m_eventCount;
     std::visit([this](const auto &details) { handleEvent(details); }, event);
     if (!m_isLeadershipOver && m_now < m_leadershipUntil)
@@ -99,7 +99,7 @@
     return {m_domain, m_version, m_inForce.slices(m_layout), m_attendances};
 }
 
-void Handover::handleEvent(const AssignmentWanted &event)
+void Handover::handleEvent(const WantedAssignmentChanged &event)
 {
     m_wanted = OwnershipMap(event.wanted);
     m_wantedAttendances = event.wanted.attendances;
@@ -117,7 +117,7 @@
     m_needsPlan = m_lostServers.insert(event.server).second || m_needsPlan;
 }
 
-void Handover::handleEvent(const ServerFound &event)
+void Handover::handleEvent(const ServerRecovered &event)
 {
     m_needsPlan = m_lostServers.erase(event.server) > 0 || m_needsPlan;
 }
@@ -129,13 +129,13 @@
     m_needsPlan = true;
 }
 
-void Handover::handleEvent(const AttendantLost &event)
+void Handover::handleEvent(const ServerManagerLost &event)
 {
     m_deferred.clear();
     m_needsPlan = m_lostAttendants.insert(event.attendant).second || m_needsPlan;
 }
 
-void Handover::handleEvent(const AttendantFound &event)
+void Handover::handleEvent(const ServerManagerRecovered &event)
 {
     m_needsPlan = m_lostAttendants.erase(event.attendant) > 0 || m_needsPlan;
 }
@@ -168,7 +168,7 @@
     }
 }
 
-void Handover::handleEvent(const CommitEnded &event)
+void Handover::handleEvent(const CommitCompleted &event)
 {
     if (!m_pendingCommit || m_pendingCommit->id != event.commit)
         return;
@@ -189,7 +189,7 @@
     }
 }
 
-void Handover::handleEvent(const PublishedRead &event)
+void Handover::handleEvent(const PublishedVersionRead &event)
 {
     if (event.published.epoch > m_epoch) {
         endLeadership();
@@ -211,7 +211,7 @@
     sendCommit();
 }
 
-void Handover::handleEvent(const PlatformOutage &event)
+void Handover::handleEvent(const PlatformOutageChanged &event)
 {
     if (m_isPlatformOut && !event.isOut) {
         m_mustReadPublished = true;
@@ -221,12 +221,12 @@
     m_needsPlan = true;
 }
 
-void Handover::handleEvent(const TenureExtended &event)
+void Handover::handleEvent(const LeadershipExtended &event)
 {
     m_leadershipUntil = std::max(m_leadershipUntil, event.until);
 }
 
-void Handover::handleEvent(const TimePassed &)
+void Handover::handleEvent(const HandoverTick &)
 { }
 
 void Handover::advance()
@@ -237,7 +237,7 @@
     for (ServerOrder &order : m_orders.takeDue(m_now))
         m_actions.emplace_back(std::move(order));
     for (const Incarnation &daemon : std::exchange(m_daemonsToPrompt, {}))
-        m_actions.emplace_back(PromptPull{daemon});
+        m_actions.emplace_back(PromptLeasePull{daemon});
 }
 
 void Handover::updateMoves()
@@ -278,7 +278,7 @@
     m_needsPlan = false;
     m_hasSkippedChanges = false;
     m_planAt = m_now + m_terms.planInterval;
-    std::vector<SlicePiece> busy;
+    std::vector<ServiceKeyRange> busy;
     for (const Move &move : m_moves)
         busy.push_back(move.change.piece);
     std::sort(busy.begin(), busy.end());
@@ -743,7 +743,7 @@
         return;
 
     m_nextReadAt = m_now + m_terms.retryDelay;
-    m_actions.emplace_back(ReadPublished{});
+    m_actions.emplace_back(ReadPublishedVersion{});
 }
 
 bool Handover::hasReadyMove() const
@@ -794,7 +794,7 @@
 void Handover::endLeadership()
 {
     m_isLeadershipOver = true;
-    m_actions.emplace_back(StewardshipLost{});
+    m_actions.emplace_back(LeadershipSuperseded{});
 }
 
 } // namespace bulrush
--- a/src/libbulrush/process/handover.h
+++ b/src/libbulrush/process/handover.h
@@ -1,8 +1,8 @@
 #pragma once
 
 #include "process/handovermessages.h"
-#include "process/leasebook.h"
 #include "process/pendingserverorders.h"
+#include "process/routingleasetable.h"
 
 #include <map>
 #include <optional>
@@ -13,7 +13,7 @@
 /**
  * Time limits and intervals of moves.
  */
-struct HandoverTerms
+struct HandoverLimits
 {
     /** Time for the new owner to warm up; afterwards the move continues without warm-up. */
     Duration warmupTimeout = std::chrono::seconds{2};
@@ -53,8 +53,8 @@
      * of \a epoch. \a published is the version in the platform's row.
      * \pre All leases of earlier leaders have ended and no work sent under them still runs.
      */
-    Handover(HandoverTerms terms, std::uint64_t epoch, const Assignment &inForce, Fence published,
-             LeaseBook &leases);
+    Handover(HandoverLimits terms, std::uint64_t epoch, const Assignment &inForce, Fence published,
+             RoutingLeaseTable &leases);
 
     /** Sets the servers that check the fencing token of each request against their grants. */
     void setCheckingServers(std::set<ServerName> servers);
@@ -120,19 +120,19 @@
         bool isUnsettled = false;
     };
 
-    void handleEvent(const AssignmentWanted &event);
+    void handleEvent(const WantedAssignmentChanged &event);
     void handleEvent(const ServerLost &event);
-    void handleEvent(const ServerFound &event);
+    void handleEvent(const ServerRecovered &event);
     void handleEvent(const ServerLeaving &event);
-    void handleEvent(const AttendantLost &event);
-    void handleEvent(const AttendantFound &event);
+    void handleEvent(const ServerManagerLost &event);
+    void handleEvent(const ServerManagerRecovered &event);
     void handleEvent(const OrderConfirmed &event);
     void handleEvent(const GrantRefused &event);
-    void handleEvent(const CommitEnded &event);
-    void handleEvent(const PublishedRead &event);
-    void handleEvent(const PlatformOutage &event);
-    void handleEvent(const TenureExtended &event);
-    void handleEvent(const TimePassed &event);
+    void handleEvent(const CommitCompleted &event);
+    void handleEvent(const PublishedVersionRead &event);
+    void handleEvent(const PlatformOutageChanged &event);
+    void handleEvent(const LeadershipExtended &event);
+    void handleEvent(const HandoverTick &event);
 
     void advance();
     void updateMoves();
@@ -182,8 +182,8 @@
     void confirm(Move &move, ServerOrderKind kind);
     void endLeadership();
 
-    HandoverTerms m_terms;
-    LeaseBook &m_leases;
+    HandoverLimits m_terms;
+    RoutingLeaseTable &m_leases;
     Fence m_version;
     std::uint64_t m_epoch;
     std::uint64_t m_lastSequence = 0;
@@ -192,8 +192,8 @@
     OwnershipMap m_inForce;
     OwnershipMap m_wanted;
     /** Slice boundaries in force and wanted. They may divide pieces of the same owner and fence. */
-    std::vector<SlicePiece> m_layout;
-    std::vector<SlicePiece> m_wantedLayout;
+    std::vector<ServiceKeyRange> m_layout;
+    std::vector<ServiceKeyRange> m_wantedLayout;
     bool m_layoutsDiffer = false;
     std::vector<Attendance> m_attendances;
     std::vector<Attendance> m_wantedAttendances;
@@ -208,7 +208,7 @@
     std::set<ServerName> m_lostServers;
     std::set<ServerName> m_leavingServers;
     std::set<Incarnation> m_lostAttendants;
-    std::map<SlicePiece, Instant> m_deferred;
+    std::map<ServiceKeyRange, Instant> m_deferred;
     bool m_isPlatformOut = false;
     bool m_isUnpublished = false;
     bool m_isLeadershipOver = false;
--- a/src/libbulrush/process/handovermessages.h
+++ b/src/libbulrush/process/handovermessages.h
@@ -14,7 +14,7 @@
 using OrderId = std::uint64_t;
 
 /** Sets the wanted owners and server managers; its version and fences are ignored. */
-struct AssignmentWanted
+struct WantedAssignmentChanged
 {
     Assignment wanted;
 };
@@ -26,7 +26,7 @@
 };
 
 /** A server that was considered lost answers again. */
-struct ServerFound
+struct ServerRecovered
 {
     ServerName server;
 };
@@ -40,13 +40,13 @@
 };
 
 /** A daemon has not pulled its lease for too long. */
-struct AttendantLost
+struct ServerManagerLost
 {
     Incarnation attendant;
 };
 
 /** A daemon that was considered lost has pulled its lease again. */
-struct AttendantFound
+struct ServerManagerRecovered
 {
     Incarnation attendant;
 };
@@ -77,14 +77,14 @@
 };
 
 /** The platform has answered a commit, or no answer is expected any more. */
-struct CommitEnded
+struct CommitCompleted
 {
     OrderId commit = 0;
     CommitOutcome outcome = CommitOutcome::Unknown;
 };
 
 /** Result of a read of the published assignment's row. */
-struct PublishedRead
+struct PublishedVersionRead
 {
     Fence published;
 };
@@ -93,25 +93,26 @@
  * A platform outage has begun or ended: the leadership term is extended by the candidates' promises
  * or, after the outage, by the platform's row again.
  */
-struct PlatformOutage
+struct PlatformOutageChanged
 {
     bool isOut = false;
 };
 
 /** The leadership term lasts until this instant. */
-struct TenureExtended
+struct LeadershipExtended
 {
     Instant until;
 };
 
 /** Periodic timer event. */
-struct TimePassed
+struct HandoverTick
 { };
 
 using HandoverEvent =
-    std::variant<AssignmentWanted, ServerLost, ServerFound, ServerLeaving, AttendantLost,
-                 AttendantFound, OrderConfirmed, GrantRefused, CommitEnded, PublishedRead,
-                 PlatformOutage, TenureExtended, TimePassed>;
+    std::variant<WantedAssignmentChanged, ServerLost, ServerRecovered, ServerLeaving,
+                 ServerManagerLost, ServerManagerRecovered, OrderConfirmed, GrantRefused,
+                 CommitCompleted, PublishedVersionRead, PlatformOutageChanged, LeadershipExtended,
+                 HandoverTick>;
 
 enum class ServerOrderKind {
     /** Load the state of the pieces if the server supports it; it does not own them yet. */
@@ -149,7 +150,7 @@
 };
 
 /** Read the row of the published assignment. */
-struct ReadPublished
+struct ReadPublishedVersion
 { };
 
 /** Distribute this assignment to the routers. */
@@ -161,16 +162,16 @@
 };
 
 /** Prompt a daemon to pull its lease now; otherwise it does so at its next interval. */
-struct PromptPull
+struct PromptLeasePull
 {
     Incarnation daemon;
 };
 
 /** The leader row belongs to another leader; no further actions follow. */
-struct StewardshipLost
+struct LeadershipSuperseded
 { };
 
-using HandoverAction = std::variant<ServerOrder, CommitAssignment, ReadPublished, AssignmentInForce,
-                                    PromptPull, StewardshipLost>;
+using HandoverAction = std::variant<ServerOrder, CommitAssignment, ReadPublishedVersion,
+                                    AssignmentInForce, PromptLeasePull, LeadershipSuperseded>;
 
 } // namespace bulrush
--- a/src/libbulrush/process/stewardseat.cpp
+++ b/src/libbulrush/process/leaderelection.cpp
@@ -1,4 +1,4 @@
-#include "process/stewardseat.h"
+#include "process/leaderelection.h"
 
 #include "process/candidatechoice.h"
 
@@ -16,7 +16,7 @@
 }
 
 /** \returns whether the holder itself released the row, so promises made to it no longer apply. */
-bool isReleasedByHolder(const StewardRow &row)
+bool isReleasedByHolder(const LeaderRow &row)
 {
     return row.isReleased && row.writer == row.holder;
 }
@@ -29,7 +29,8 @@
 
 } // namespace
 
-StewardSeat::StewardSeat(StewardCandidate self, DomainName domain, StewardTimings timings)
+LeaderElection::LeaderElection(LeaderCandidate self, DomainName domain,
+                               LeaderElectionTimings timings)
     : m_self(std::move(self))
     , m_domain(std::move(domain))
     , m_timings(timings)
@@ -38,7 +39,8 @@
     , m_receivedPromises(timings.driftPpm)
 { }
 
-std::vector<StewardAction> StewardSeat::handle(const StewardEvent &event, Instant now)
+std::vector<LeaderElectionAction> LeaderElection::handle(const LeaderElectionEvent &event,
+                                                         Instant now)
 {
     m_actions.clear();
     m_isRowFresh = false;
@@ -51,63 +53,63 @@
     else
         actAsNonHolder(now);
     endLeadershipIfOver(now);
-    m_latestTermEnd = std::max(m_latestTermEnd, tenureUntil());
+    m_latestTermEnd = std::max(m_latestTermEnd, leadershipUntil());
     return std::exchange(m_actions, {});
 }
 
-Instant StewardSeat::tenureUntil() const
+Instant LeaderElection::leadershipUntil() const
 {
     if (!holdsRow())
         return Instant::min();
     return std::max(m_platformLeaseUntil, promisedUntil());
 }
 
-Instant StewardSeat::routingLeaseUntil(Instant now) const
+Instant LeaderElection::routingLeaseUntil(Instant now) const
 {
-    if (!isStewardAt(now))
+    if (!isLeaderAt(now))
         return Instant::min();
-    return std::min(tenureUntil(), now + longestRoutingLease());
+    return std::min(leadershipUntil(), now + maxRoutingLease());
 }
 
-bool StewardSeat::isStewardAt(Instant now) const
+bool LeaderElection::isLeaderAt(Instant now) const
 {
-    return m_isLeader && now < tenureUntil();
+    return m_isLeader && now < leadershipUntil();
 }
 
-bool StewardSeat::mayGrantAt(Instant now) const
+bool LeaderElection::mayGrantAt(Instant now) const
 {
-    return isStewardAt(now) && now >= m_mayGrantFrom;
+    return isLeaderAt(now) && now >= m_mayGrantFrom;
 }
 
-std::uint64_t StewardSeat::epoch() const
+std::uint64_t LeaderElection::epoch() const
 {
     return m_rowObserver.hasRow() ? m_rowObserver.row()->row.epoch : 0;
 }
 
-const std::optional<VersionedStewardRow> &StewardSeat::row() const
+const std::optional<VersionedLeaderRow> &LeaderElection::row() const
 {
     return m_rowObserver.row();
 }
 
-bool StewardSeat::isCandidate() const
+bool LeaderElection::isCandidate() const
 {
     return m_rowObserver.hasRow() && namesCandidate(m_rowObserver.row()->row, m_self.incarnation);
 }
 
-bool StewardSeat::isDepartureComplete() const
+bool LeaderElection::isDepartureComplete() const
 {
     return m_isDeparting && !m_write && !isNamedHolder();
 }
 
-bool StewardSeat::hasUnsettledWrite() const
+bool LeaderElection::hasUnsettledWrite() const
 {
     return m_write.has_value();
 }
 
-void StewardSeat::apply(const StewardTick &, Instant)
+void LeaderElection::apply(const LeaderElectionTick &, Instant)
 { }
 
-void StewardSeat::apply(const StewardRowRead &read, Instant now)
+void LeaderElection::apply(const LeaderRowRead &read, Instant now)
 {
     m_isReading = false;
     m_isRowFresh = true;
@@ -115,19 +117,19 @@
     observe(read.row, now);
 }
 
-void StewardSeat::apply(const StewardReadFailed &, Instant)
+void LeaderElection::apply(const LeaderRowReadFailed &, Instant)
 {
     m_isReading = false;
     m_isPlatformReachable = false;
 }
 
-void StewardSeat::apply(const StewardWriteAnswered &answer, Instant now)
+void LeaderElection::apply(const LeaderRowWriteResult &answer, Instant now)
 {
     std::visit([&](const auto &outcome) { handleWriteOutcome(outcome, answer, now); },
                answer.outcome);
 }
 
-void StewardSeat::apply(const PromiseAsked &promiseRequest, Instant now)
+void LeaderElection::apply(const PromiseRequested &promiseRequest, Instant now)
 {
     const PromiseVerdict verdict = verdictFor(promiseRequest);
     if (verdict == PromiseVerdict::Promised)
@@ -135,11 +137,12 @@
                                 now);
     if (verdict == PromiseVerdict::Resigned)
         m_givenPromises.resign(promiseRequest.epoch);
-    m_actions.emplace_back(AnswerPromise{promiseRequest.from, promiseRequest.epoch,
-                                         promiseRequest.askId, verdict, m_isPlatformReachable});
+    m_actions.emplace_back(AnswerPromiseRequest{promiseRequest.from, promiseRequest.epoch,
+                                                promiseRequest.askId, verdict,
+                                                m_isPlatformReachable});
 }
 
-void StewardSeat::apply(const PromiseAnswered &answer, Instant now)
+void LeaderElection::apply(const PromiseRequestAnswered &answer, Instant now)
 {
     if (!holdsRow() || answer.epoch != epoch())
         return;
@@ -151,38 +154,38 @@
         m_receivedPromises.recordResignation(answer.from);
 }
 
-void StewardSeat::apply(const PromiseReleased &release, Instant now)
+void LeaderElection::apply(const PromiseReleased &release, Instant now)
 {
     m_givenPromises.release(release.epoch, release.askId, release.length, now);
 }
 
-void StewardSeat::apply(const StewardAnnounced &announcement, Instant)
+void LeaderElection::apply(const LeaderAnnounced &announcement, Instant)
 {
     if (announcement.epoch >= epoch())
         m_readAt.reset();
 }
 
-void StewardSeat::apply(const LivePeersChanged &change, Instant)
+void LeaderElection::apply(const LivePeersChanged &change, Instant)
 {
     m_peers = change.peers;
 }
 
-void StewardSeat::apply(const DepartureRequested &, Instant)
+void LeaderElection::apply(const DepartureRequested &, Instant)
 {
     m_isDeparting = true;
     resignCandidacy();
 }
 
-void StewardSeat::handleWriteOutcome(const WriteCommitted &outcome,
-                                     const StewardWriteAnswered &answer, Instant now)
+void LeaderElection::handleWriteOutcome(const WriteCommitted &outcome,
+                                        const LeaderRowWriteResult &answer, Instant now)
 {
     // A platform that deduplicates writes may answer a retry with the result of an earlier attempt.
     if (m_write && m_write->isAwaiting(answer.attempt))
         adoptOwnWrite({outcome.version, m_write->row()}, m_write->firstSentAt(), now);
 }
 
-void StewardSeat::handleWriteOutcome(const WriteConflicted &outcome,
-                                     const StewardWriteAnswered &answer, Instant now)
+void LeaderElection::handleWriteOutcome(const WriteConflicted &outcome,
+                                        const LeaderRowWriteResult &answer, Instant now)
 {
     // The conflicting write may be an earlier attempt of this same write. Therefore the row decides
     // the outcome, not the conflict.
@@ -191,8 +194,8 @@
     observe(outcome.row, now);
 }
 
-void StewardSeat::handleWriteOutcome(const WriteRefused &, const StewardWriteAnswered &answer,
-                                     Instant)
+void LeaderElection::handleWriteOutcome(const WriteRefused &, const LeaderRowWriteResult &answer,
+                                        Instant)
 {
     if (!m_write || !m_write->isAwaiting(answer.attempt))
         return;
@@ -201,14 +204,14 @@
         m_write.reset();
 }
 
-void StewardSeat::handleWriteOutcome(const WriteUnknown &, const StewardWriteAnswered &answer,
-                                     Instant)
+void LeaderElection::handleWriteOutcome(const WriteUnknown &, const LeaderRowWriteResult &answer,
+                                        Instant)
 {
     if (m_write)
         m_write->loseAttempt(answer.attempt);
 }
 
-void StewardSeat::observe(const VersionedStewardRow &row, Instant now)
+void LeaderElection::observe(const VersionedLeaderRow &row, Instant now)
 {
     if (m_write && m_write->isCreatorOf(row)) {
         // Any attempt may have created this version. Only the first attempt's send time is certain
@@ -221,7 +224,7 @@
     m_rowObserver.observe(row, now);
 }
 
-void StewardSeat::adoptOwnWrite(const VersionedStewardRow &row, Instant sentAt, Instant now)
+void LeaderElection::adoptOwnWrite(const VersionedLeaderRow &row, Instant sentAt, Instant now)
 {
     const PendingRowWrite::Purpose purpose = m_write->purpose();
     const bool candidatesChanged =
@@ -239,47 +242,47 @@
     m_mayGrantFrom = m_campaignMayGrantFrom;
 }
 
-void StewardSeat::endLeadershipIfOver(Instant now)
+void LeaderElection::endLeadershipIfOver(Instant now)
 {
     if (!m_isLeader)
         return;
     if (!holdsRow())
         endLeadership(LeadershipEndReason::Replaced);
-    else if (now >= tenureUntil())
+    else if (now >= leadershipUntil())
         endLeadership(LeadershipEndReason::Lapsed);
 }
 
-void StewardSeat::endLeadership(LeadershipEndReason reason)
+void LeaderElection::endLeadership(LeadershipEndReason reason)
 {
     m_isLeader = false;
-    m_actions.emplace_back(StewardshipEnded{m_announcedEpoch, reason});
+    m_actions.emplace_back(LeadershipEnded{m_announcedEpoch, reason});
 }
 
-void StewardSeat::startLeadershipIfDue(Instant now)
+void LeaderElection::startLeadershipIfDue(Instant now)
 {
-    if (m_isLeader || now >= tenureUntil())
+    if (m_isLeader || now >= leadershipUntil())
         return;
     m_isLeader = true;
     m_announcedEpoch = epoch();
-    m_actions.emplace_back(StewardshipBegan{epoch(), m_mayGrantFrom});
+    m_actions.emplace_back(LeadershipStarted{epoch(), m_mayGrantFrom});
     announce();
 }
 
-void StewardSeat::announce()
+void LeaderElection::announce()
 {
-    m_actions.emplace_back(AnnounceSteward{m_self.incarnation, m_self.address, epoch()});
+    m_actions.emplace_back(AnnounceLeader{m_self.incarnation, m_self.address, epoch()});
 }
 
-void StewardSeat::resignCandidacy()
+void LeaderElection::resignCandidacy()
 {
     if (m_write || isNamedHolder() || !isCandidate())
         return;
     m_givenPromises.resign(epoch());
-    m_actions.emplace_back(AnswerPromise{m_rowObserver.row()->row.holder, epoch(), 0,
-                                         PromiseVerdict::Resigned, m_isPlatformReachable});
+    m_actions.emplace_back(AnswerPromiseRequest{m_rowObserver.row()->row.holder, epoch(), 0,
+                                                PromiseVerdict::Resigned, m_isPlatformReachable});
 }
 
-void StewardSeat::actAsHolder(Instant now)
+void LeaderElection::actAsHolder(Instant now)
 {
     retryWriteIfDue(now);
     handOverIfDue(now);
@@ -290,7 +293,7 @@
     releasePromisesAfterOutage(now);
 }
 
-void StewardSeat::actAsNonHolder(Instant now)
+void LeaderElection::actAsNonHolder(Instant now)
 {
     retryWriteIfDue(now);
     handOverIfDue(now);
@@ -298,7 +301,7 @@
     campaignIfDue(now);
 }
 
-void StewardSeat::retryWriteIfDue(Instant now)
+void LeaderElection::retryWriteIfDue(Instant now)
 {
     if (!m_write || m_write->isAwaitingAnswer())
         return;
@@ -306,21 +309,21 @@
         sendAttempt(now);
 }
 
-void StewardSeat::requestPromisesIfDue(Instant now)
+void LeaderElection::requestPromisesIfDue(Instant now)
 {
-    if (now < m_committedSentAt + m_timings.platformPatience)
+    if (now < m_committedSentAt + m_timings.platformSilenceTimeout)
         return;
-    if (!isDue(m_promisesRequestedAt, m_timings.askInterval, now))
+    if (!isDue(m_promisesRequestedAt, m_timings.promiseRequestInterval, now))
         return;
     m_promisesRequestedAt = now;
     const Duration length = promiseLengthToRequest(now);
     const PromiseRoundId id = m_nextPromiseRound++;
     m_receivedPromises.startRound(id, length, now);
-    for (const StewardCandidate &candidate : possibleCandidates())
-        m_actions.emplace_back(AskPromise{candidate, epoch(), length, id});
+    for (const LeaderCandidate &candidate : possibleCandidates())
+        m_actions.emplace_back(RequestPromise{candidate, epoch(), length, id});
 }
 
-void StewardSeat::releasePromisesAfterOutage(Instant now)
+void LeaderElection::releasePromisesAfterOutage(Instant now)
 {
     // After an outage, candidates bound by long promises could not take over from a lost leader.
     const bool isPlatformBack = now < m_platformLeaseUntil && m_promisesRequestedAt
@@ -329,11 +332,11 @@
         return;
     m_receivedPromises.dropPromises();
     const Duration left = leaseLengthThatLasts(leasesEndBy(now) - now, m_timings.driftPpm);
-    for (const StewardCandidate &candidate : possibleCandidates())
+    for (const LeaderCandidate &candidate : possibleCandidates())
         m_actions.emplace_back(ReleasePromise{candidate, epoch(), m_nextPromiseRound - 1, left});
 }
 
-void StewardSeat::renewIfDue(Instant now)
+void LeaderElection::renewIfDue(Instant now)
 {
     if (m_write || !isDue(m_renewedAt, m_timings.renewInterval, now))
         return;
@@ -341,7 +344,7 @@
     sendWrite(PendingRowWrite::Purpose::Renew, m_rowObserver.row()->version, renewedRow(now), now);
 }
 
-void StewardSeat::handOverIfDue(Instant now)
+void LeaderElection::handOverIfDue(Instant now)
 {
     if (!m_isDeparting || m_write || !isNamedHolder() || !canHandOver(now))
         return;
@@ -352,7 +355,7 @@
               now);
 }
 
-void StewardSeat::readIfDue(Instant now)
+void LeaderElection::readIfDue(Instant now)
 {
     const Duration interval = isCandidate() ? m_timings.readInterval : m_timings.watchInterval;
     const std::optional<Instant> from = mayCampaignFrom();
@@ -361,10 +364,10 @@
         return;
     m_readAt = now;
     m_isReading = true;
-    m_actions.emplace_back(ReadStewardRow{});
+    m_actions.emplace_back(ReadLeaderRow{});
 }
 
-void StewardSeat::campaignIfDue(Instant now)
+void LeaderElection::campaignIfDue(Instant now)
 {
     // If the platform is down, a takeover stays unsettled and prevents this process from giving
     // promises, which leaves the domain without a leader. Campaign only right after a successful
@@ -379,30 +382,30 @@
         sendWrite(PendingRowWrite::Purpose::Create, 0, rowOfNewEpoch(1), now);
         return;
     }
-    const VersionedStewardRow &seen = *m_rowObserver.row();
+    const VersionedLeaderRow &seen = *m_rowObserver.row();
     m_campaignMayGrantFrom = std::max(*from, m_rowObserver.leaseEndedFrom())
         + stretched(seen.row.workPastLease, m_timings.driftPpm);
     sendWrite(PendingRowWrite::Purpose::TakeOver, seen.version, rowOfNewEpoch(epochAfter(seen)),
               now);
 }
 
-bool StewardSeat::isNamedHolder() const
+bool LeaderElection::isNamedHolder() const
 {
     return m_rowObserver.hasRow() && m_rowObserver.row()->row.holder == m_self.incarnation
         && !m_rowObserver.row()->row.isReleased && !isRecreated(*m_rowObserver.row());
 }
 
-bool StewardSeat::holdsRow() const
+bool LeaderElection::holdsRow() const
 {
     return isNamedHolder() && epoch() != m_handedOverEpoch;
 }
 
-bool StewardSeat::isOfDomain() const
+bool LeaderElection::isOfDomain() const
 {
     return m_self.domain == m_domain;
 }
 
-bool StewardSeat::canHandOver(Instant now) const
+bool LeaderElection::canHandOver(Instant now) const
 {
     if (m_handedOverEpoch == epoch())
         return true;
@@ -412,59 +415,59 @@
     return now < m_platformLeaseUntil && m_mayGrantFrom <= latest;
 }
 
-bool StewardSeat::canReplaceCandidates(Instant now) const
+bool LeaderElection::canReplaceCandidates(Instant now) const
 {
     // A new candidate has given no promise, so naming it ends the extension by promises. It waits
     // for the lease of the write that names it, which is no shorter than any routing lease.
     return now < m_platformLeaseUntil;
 }
 
-Duration StewardSeat::longestRoutingLease() const
+Duration LeaderElection::maxRoutingLease() const
 {
-    return std::min(m_timings.longestRoutingLease,
+    return std::min(m_timings.maxRoutingLease,
                     shortened(m_timings.leaseLength, m_timings.driftPpm));
 }
 
-Instant StewardSeat::leasesEndBy(Instant now) const
+Instant LeaderElection::leasesEndBy(Instant now) const
 {
-    return std::min(m_latestTermEnd, now + longestRoutingLease());
+    return std::min(m_latestTermEnd, now + maxRoutingLease());
 }
 
-Instant StewardSeat::promisedUntil() const
+Instant LeaderElection::promisedUntil() const
 {
-    const StewardRow &row = m_rowObserver.row()->row;
+    const LeaderRow &row = m_rowObserver.row()->row;
     const Duration allowance = std::max(row.leaseLength, row.outageAllowance);
     return std::min(m_receivedPromises.coveredUntil(possibleCandidates()),
                     m_committedSentAt + shortened(allowance, m_timings.driftPpm));
 }
 
-std::vector<StewardCandidate> StewardSeat::possibleCandidates() const
+std::vector<LeaderCandidate> LeaderElection::possibleCandidates() const
 {
-    std::vector<StewardCandidate> candidates = m_rowObserver.row()->row.candidates;
+    std::vector<LeaderCandidate> candidates = m_rowObserver.row()->row.candidates;
     if (!m_write)
         return candidates;
-    for (const StewardCandidate &candidate : m_write->row().candidates) {
+    for (const LeaderCandidate &candidate : m_write->row().candidates) {
         if (!namesCandidate(m_rowObserver.row()->row, candidate.incarnation))
             candidates.push_back(candidate);
     }
     return candidates;
 }
 
-std::vector<StewardCandidate> StewardSeat::candidatesToName(Instant now) const
+std::vector<LeaderCandidate> LeaderElection::candidatesToName(Instant now) const
 {
-    const std::vector<StewardCandidate> &current = m_rowObserver.row()->row.candidates;
+    const std::vector<LeaderCandidate> &current = m_rowObserver.row()->row.candidates;
     if (m_peers.empty() || !canReplaceCandidates(now))
         return current;
     return chooseCandidates(m_self.incarnation, m_domain, current, m_peers);
 }
 
-std::optional<Instant> StewardSeat::mayCampaignFrom() const
+std::optional<Instant> LeaderElection::mayCampaignFrom() const
 {
     if (!m_rowObserver.row())
         return std::nullopt;
     if (!m_rowObserver.hasRow())
         return isOfDomain() ? std::optional(m_rowObserver.seenAt()) : std::nullopt;
-    const StewardRow &row = m_rowObserver.row()->row;
+    const LeaderRow &row = m_rowObserver.row()->row;
     if (m_givenPromises.hasResigned(row.epoch) || !(isOfDomain() || isCandidate()))
         return std::nullopt;
     if (isReleasedByHolder(row))
@@ -477,13 +480,13 @@
     return std::max(ended, m_givenPromises.campaignAllowedFrom(row.epoch)) + delay;
 }
 
-PromiseVerdict StewardSeat::verdictFor(const PromiseAsked &promiseRequest) const
+PromiseVerdict LeaderElection::verdictFor(const PromiseRequested &promiseRequest) const
 {
     // An unsettled takeover may still take effect in spite of a promise given now.
     if (m_write || isNamedHolder())
         return PromiseVerdict::Refused;
     if (m_rowObserver.hasRow()) {
-        const StewardRow &row = m_rowObserver.row()->row;
+        const LeaderRow &row = m_rowObserver.row()->row;
         const bool isOther = row.isReleased || row.holder != promiseRequest.from;
         if (row.epoch > promiseRequest.epoch || (row.epoch == promiseRequest.epoch && isOther))
             return PromiseVerdict::Refused;
@@ -491,19 +494,19 @@
     return m_isDeparting ? PromiseVerdict::Resigned : PromiseVerdict::Promised;
 }
 
-Duration StewardSeat::promiseLengthToRequest(Instant now) const
+Duration LeaderElection::promiseLengthToRequest(Instant now) const
 {
     // Long promises have no cost while no candidate reaches the platform, since none could take
     // over. As soon as one does, they delay a takeover.
-    if (!isDue(m_platformReachableAt, 2 * m_timings.askInterval, now))
+    if (!isDue(m_platformReachableAt, 2 * m_timings.promiseRequestInterval, now))
         return m_timings.leaseLength;
     const Duration longest = std::max(m_timings.leaseLength, m_timings.promiseLength);
     return std::clamp(now - m_committedSentAt, m_timings.leaseLength, longest);
 }
 
-StewardRow StewardSeat::rowOfNewEpoch(std::uint64_t epoch) const
+LeaderRow LeaderElection::rowOfNewEpoch(std::uint64_t epoch) const
 {
-    StewardRow row;
+    LeaderRow row;
     row.holder = m_self.incarnation;
     row.holderAddress = m_self.address;
     row.epoch = epoch;
@@ -512,27 +515,27 @@
     row.outageAllowance = m_timings.outageAllowance;
     row.workPastLease = m_timings.workPastLease;
     const auto known = m_rowObserver.hasRow() ? m_rowObserver.row()->row.candidates
-                                              : std::vector<StewardCandidate>();
+                                              : std::vector<LeaderCandidate>();
     row.candidates = chooseCandidates(m_self.incarnation, m_domain, known, m_peers);
     return row;
 }
 
-StewardRow StewardSeat::renewedRow(Instant now) const
+LeaderRow LeaderElection::renewedRow(Instant now) const
 {
-    StewardRow row = m_rowObserver.row()->row;
+    LeaderRow row = m_rowObserver.row()->row;
     ++row.renewal;
     row.candidates = candidatesToName(now);
     return row;
 }
 
-StewardRow StewardSeat::releasedRow(Instant now) const
+LeaderRow LeaderElection::releasedRow(Instant now) const
 {
-    StewardRow row = m_rowObserver.row()->row;
+    LeaderRow row = m_rowObserver.row()->row;
     ++row.renewal;
     row.isReleased = true;
     const Duration left = std::max(leasesEndBy(now), m_mayGrantFrom) - now;
     row.leaseLength = std::max(Duration::zero(), leaseLengthThatLasts(left, m_timings.driftPpm));
-    const auto own = std::ranges::find(row.candidates, m_domain, &StewardCandidate::domain);
+    const auto own = std::ranges::find(row.candidates, m_domain, &LeaderCandidate::domain);
     if (own != row.candidates.end())
         row.successor = own->incarnation;
     else if (!row.candidates.empty())
@@ -540,21 +543,21 @@
     return row;
 }
 
-void StewardSeat::sendWrite(PendingRowWrite::Purpose purpose, RowVersion expectedVersion,
-                            StewardRow row, Instant now)
+void LeaderElection::sendWrite(PendingRowWrite::Purpose purpose, RowVersion expectedVersion,
+                               LeaderRow row, Instant now)
 {
     row.writer = m_self.incarnation;
     row.writeId =
-        StewardWriteId(m_self.incarnation.value() + '/' + std::to_string(m_nextWriteNumber++));
+        LeaderWriteId(m_self.incarnation.value() + '/' + std::to_string(m_nextWriteNumber++));
     m_write.emplace(purpose, expectedVersion, std::move(row));
     sendAttempt(now);
 }
 
-void StewardSeat::sendAttempt(Instant now)
+void LeaderElection::sendAttempt(Instant now)
 {
     const WriteAttemptId attempt = m_nextAttempt++;
     m_write->addAttempt(attempt, now);
-    m_actions.emplace_back(WriteStewardRow{attempt, m_write->expectedVersion(), m_write->row()});
+    m_actions.emplace_back(WriteLeaderRow{attempt, m_write->expectedVersion(), m_write->row()});
 }
 
 } // namespace bulrush
--- a/src/libbulrush/process/stewardseat.h
+++ b/src/libbulrush/process/leaderelection.h
@@ -1,12 +1,12 @@
 #pragma once
 
+#include "process/leaderelectionaction.h"
+#include "process/leaderelectionevent.h"
+#include "process/leaderelectiontimings.h"
 #include "process/leaderrowobserver.h"
 #include "process/pendingrowwrite.h"
 #include "process/promisesgiven.h"
 #include "process/promisesreceived.h"
-#include "process/stewardaction.h"
-#include "process/stewardevent.h"
-#include "process/stewardtimings.h"
 
 #include <cstdint>
 #include <optional>
@@ -25,10 +25,10 @@
  *
  * This is a state machine without I/O: the caller passes events with their instants and performs
  * the returned actions. The instants of one object must not decrease. Code that relies on being
- * leader has to call isStewardAt() with the instant of its own operation, because the process may
+ * leader has to call isLeaderAt() with the instant of its own operation, because the process may
  * freeze between two events. Not thread safe.
  */
-class StewardSeat
+class LeaderElection
 {
 public:
     /**
@@ -36,20 +36,20 @@
      * daemon or another one. A daemon of another domain takes part only when the row names it as a
      * candidate.
      */
-    StewardSeat(StewardCandidate self, DomainName domain, StewardTimings timings);
+    LeaderElection(LeaderCandidate self, DomainName domain, LeaderElectionTimings timings);
 
     /**
      * Handles an event that occurred at \a now. A leadership term that has expired in the meantime
      * is ended first.
      * \returns the actions to perform, in this order.
      */
-    std::vector<StewardAction> handle(const StewardEvent &event, Instant now);
+    std::vector<LeaderElectionAction> handle(const LeaderElectionEvent &event, Instant now);
 
     /**
      * \returns the end of this process's leadership term on its own clock, or Instant::min() if it
      * is not the leader. No routing lease lasts longer than this.
      */
-    Instant tenureUntil() const;
+    Instant leadershipUntil() const;
 
     /**
      * \returns the latest end of a routing lease granted at \a now, on this process's clock, or
@@ -57,7 +57,7 @@
      */
     Instant routingLeaseUntil(Instant now) const;
 
-    bool isStewardAt(Instant now) const;
+    bool isLeaderAt(Instant now) const;
 
     /** \returns whether this process is the leader at \a now and may plan and grant. */
     bool mayGrantAt(Instant now) const;
@@ -66,7 +66,7 @@
     std::uint64_t epoch() const;
 
     /** \returns the latest observed row, or nothing if none was observed. */
-    const std::optional<VersionedStewardRow> &row() const;
+    const std::optional<VersionedLeaderRow> &row() const;
 
     /** \returns whether the latest observed row names this process as a candidate. */
     bool isCandidate() const;
@@ -78,27 +78,27 @@
     bool hasUnsettledWrite() const;
 
 private:
-    void apply(const StewardTick &tick, Instant now);
-    void apply(const StewardRowRead &read, Instant now);
-    void apply(const StewardReadFailed &failure, Instant now);
-    void apply(const StewardWriteAnswered &answer, Instant now);
-    void apply(const PromiseAsked &promiseRequest, Instant now);
-    void apply(const PromiseAnswered &answer, Instant now);
+    void apply(const LeaderElectionTick &tick, Instant now);
+    void apply(const LeaderRowRead &read, Instant now);
+    void apply(const LeaderRowReadFailed &failure, Instant now);
+    void apply(const LeaderRowWriteResult &answer, Instant now);
+    void apply(const PromiseRequested &promiseRequest, Instant now);
+    void apply(const PromiseRequestAnswered &answer, Instant now);
     void apply(const PromiseReleased &release, Instant now);
-    void apply(const StewardAnnounced &announcement, Instant now);
+    void apply(const LeaderAnnounced &announcement, Instant now);
     void apply(const LivePeersChanged &change, Instant now);
     void apply(const DepartureRequested &request, Instant now);
 
-    void handleWriteOutcome(const WriteCommitted &outcome, const StewardWriteAnswered &answer,
+    void handleWriteOutcome(const WriteCommitted &outcome, const LeaderRowWriteResult &answer,
                             Instant now);
-    void handleWriteOutcome(const WriteConflicted &outcome, const StewardWriteAnswered &answer,
+    void handleWriteOutcome(const WriteConflicted &outcome, const LeaderRowWriteResult &answer,
                             Instant now);
-    void handleWriteOutcome(const WriteRefused &outcome, const StewardWriteAnswered &answer,
+    void handleWriteOutcome(const WriteRefused &outcome, const LeaderRowWriteResult &answer,
                             Instant now);
-    void handleWriteOutcome(const WriteUnknown &outcome, const StewardWriteAnswered &answer,
+    void handleWriteOutcome(const WriteUnknown &outcome, const LeaderRowWriteResult &answer,
                             Instant now);
-    void observe(const VersionedStewardRow &row, Instant now);
-    void adoptOwnWrite(const VersionedStewardRow &row, Instant sentAt, Instant now);
+    void observe(const VersionedLeaderRow &row, Instant now);
+    void adoptOwnWrite(const VersionedLeaderRow &row, Instant sentAt, Instant now);
     void endLeadershipIfOver(Instant now);
     void endLeadership(LeadershipEndReason reason);
     void startLeadershipIfDue(Instant now);
@@ -120,35 +120,35 @@
     bool canHandOver(Instant now) const;
     bool canReplaceCandidates(Instant now) const;
     Instant promisedUntil() const;
-    Duration longestRoutingLease() const;
+    Duration maxRoutingLease() const;
     Instant leasesEndBy(Instant now) const;
-    std::vector<StewardCandidate> possibleCandidates() const;
-    std::vector<StewardCandidate> candidatesToName(Instant now) const;
+    std::vector<LeaderCandidate> possibleCandidates() const;
+    std::vector<LeaderCandidate> candidatesToName(Instant now) const;
     std::optional<Instant> mayCampaignFrom() const;
-    PromiseVerdict verdictFor(const PromiseAsked &promiseRequest) const;
+    PromiseVerdict verdictFor(const PromiseRequested &promiseRequest) const;
     Duration promiseLengthToRequest(Instant now) const;
-    StewardRow rowOfNewEpoch(std::uint64_t epoch) const;
-    StewardRow renewedRow(Instant now) const;
-    StewardRow releasedRow(Instant now) const;
-    void sendWrite(PendingRowWrite::Purpose purpose, RowVersion expectedVersion, StewardRow row,
+    LeaderRow rowOfNewEpoch(std::uint64_t epoch) const;
+    LeaderRow renewedRow(Instant now) const;
+    LeaderRow releasedRow(Instant now) const;
+    void sendWrite(PendingRowWrite::Purpose purpose, RowVersion expectedVersion, LeaderRow row,
                    Instant now);
     void sendAttempt(Instant now);
 
-    StewardCandidate m_self;
+    LeaderCandidate m_self;
     DomainName m_domain;
-    StewardTimings m_timings;
+    LeaderElectionTimings m_timings;
     LeaderRowObserver m_rowObserver;
     PromisesGiven m_givenPromises;
     PromisesReceived m_receivedPromises;
     /** The write of this process that may still take effect, if any. */
     std::optional<PendingRowWrite> m_write;
-    std::vector<StewardCandidate> m_peers;
-    std::vector<StewardAction> m_actions;
+    std::vector<LeaderCandidate> m_peers;
+    std::vector<LeaderElectionAction> m_actions;
 
     /** Send time of the latest write that is known to be committed. */
     Instant m_committedSentAt{};
     Instant m_platformLeaseUntil = Instant::min();
-    /** The latest value that tenureUntil() ever had; routing leases may last until then. */
+    /** The latest value that leadershipUntil() ever had; routing leases may last until then. */
     Instant m_latestTermEnd = Instant::min();
     Instant m_mayGrantFrom{};
     /** Start of granting in the epoch for which this process campaigns. */
--- a/src/libbulrush/process/stewardaction.h
+++ b/src/libbulrush/process/leaderelectionaction.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "process/stewardevent.h"
+#include "process/leaderelectionevent.h"
 
 #include <cstdint>
 #include <variant>
@@ -8,24 +8,24 @@
 namespace bulrush {
 
 /** Read the leader row and report the result. At most one read is outstanding at a time. */
-struct ReadStewardRow
+struct ReadLeaderRow
 { };
 
 /**
  * Send \a row as a compare-and-set on \a expectedVersion immediately: the lease counts from the
  * instant of this action. Each retry of a write has its own \a attempt number.
  */
-struct WriteStewardRow
+struct WriteLeaderRow
 {
     WriteAttemptId attempt = 0;
     RowVersion expectedVersion = 0;
-    StewardRow row;
+    LeaderRow row;
 };
 
 /** Request a promise from \a to, directly. A lost request is not sent again. */
-struct AskPromise
+struct RequestPromise
 {
-    StewardCandidate to;
+    LeaderCandidate to;
     std::uint64_t epoch = 0;
     Duration length{};
     PromiseRoundId askId = 0;
@@ -35,7 +35,7 @@
  * Answer a promise request. A promise binds this process from the instant of this action, even if
  * the answer is never sent.
  */
-struct AnswerPromise
+struct AnswerPromiseRequest
 {
     Incarnation to;
     std::uint64_t epoch = 0;
@@ -48,14 +48,14 @@
 /** Send \a to a PromiseReleased event. If it is lost, a takeover waits longer but stays safe. */
 struct ReleasePromise
 {
-    StewardCandidate to;
+    LeaderCandidate to;
     std::uint64_t epoch = 0;
     PromiseRoundId askId = 0;
     Duration length{};
 };
 
 /** Announce the leader to the daemons of the domain and to the candidates in the row. */
-struct AnnounceSteward
+struct AnnounceLeader
 {
     Incarnation holder;
     std::string address;
@@ -66,7 +66,7 @@
  * This process is the leader from now on. It may plan and grant only from \a mayGrantFrom on, since
  * work of the previous leader may still be running until then.
  */
-struct StewardshipBegan
+struct LeadershipStarted
 {
     std::uint64_t epoch = 0;
     Instant mayGrantFrom{};
@@ -81,15 +81,15 @@
 };
 
 /** This process is no longer the leader. */
-struct StewardshipEnded
+struct LeadershipEnded
 {
     std::uint64_t epoch = 0;
     LeadershipEndReason reason = LeadershipEndReason::Lapsed;
 };
 
 /** An action that the leader election requests from its caller. */
-using StewardAction =
-    std::variant<ReadStewardRow, WriteStewardRow, AskPromise, AnswerPromise, ReleasePromise,
-                 AnnounceSteward, StewardshipBegan, StewardshipEnded>;
+using LeaderElectionAction =
+    std::variant<ReadLeaderRow, WriteLeaderRow, RequestPromise, AnswerPromiseRequest,
+                 ReleasePromise, AnnounceLeader, LeadershipStarted, LeadershipEnded>;
 
 } // namespace bulrush
--- a/src/libbulrush/process/stewardevent.h
+++ b/src/libbulrush/process/leaderelectionevent.h
@@ -1,8 +1,8 @@
 #pragma once
 
+#include "process/leaderrow.h"
 #include "process/pendingrowwrite.h"
 #include "process/promisesreceived.h"
-#include "process/stewardrow.h"
 
 #include <cstdint>
 #include <variant>
@@ -11,17 +11,17 @@
 namespace bulrush {
 
 /** Periodic timer event. Must be delivered at least every tenth of the renewal interval. */
-struct StewardTick
+struct LeaderElectionTick
 { };
 
 /** A read of the row has returned, at the instant of this event. */
-struct StewardRowRead
+struct LeaderRowRead
 {
-    VersionedStewardRow row;
+    VersionedLeaderRow row;
 };
 
 /** A read of the row has failed or timed out. */
-struct StewardReadFailed
+struct LeaderRowReadFailed
 { };
 
 /** The write took effect and created \a version. */
@@ -33,7 +33,7 @@
 /** The write had no effect, because the row was at another version. */
 struct WriteConflicted
 {
-    VersionedStewardRow row;
+    VersionedLeaderRow row;
 };
 
 /** The write had no effect and will have none. */
@@ -50,14 +50,14 @@
 using WriteOutcome = std::variant<WriteCommitted, WriteConflicted, WriteRefused, WriteUnknown>;
 
 /** Result of one write attempt. Each attempt eventually gets exactly one result. */
-struct StewardWriteAnswered
+struct LeaderRowWriteResult
 {
     WriteAttemptId attempt = 0;
     WriteOutcome outcome;
 };
 
 /** A leader requests that this process does not campaign against its epoch for \a length. */
-struct PromiseAsked
+struct PromiseRequested
 {
     Incarnation from;
     std::uint64_t epoch = 0;
@@ -74,7 +74,7 @@
 };
 
 /** A candidate's answer to a promise request of this process. */
-struct PromiseAnswered
+struct PromiseRequestAnswered
 {
     Incarnation from;
     std::uint64_t epoch = 0;
@@ -96,7 +96,7 @@
 };
 
 /** A leader has announced itself or a changed candidate list, so the row has to be read. */
-struct StewardAnnounced
+struct LeaderAnnounced
 {
     std::uint64_t epoch = 0;
 };
@@ -104,7 +104,7 @@
 /** The live daemons in order of preference; the list may or may not include this daemon. */
 struct LivePeersChanged
 {
-    std::vector<StewardCandidate> peers;
+    std::vector<LeaderCandidate> peers;
 };
 
 /** This process is shutting down: it gives up its leadership and its candidacy. */
@@ -112,9 +112,9 @@
 { };
 
 /** An input of the leader election. */
-using StewardEvent =
-    std::variant<StewardTick, StewardRowRead, StewardReadFailed, StewardWriteAnswered, PromiseAsked,
-                 PromiseAnswered, PromiseReleased, StewardAnnounced, LivePeersChanged,
-                 DepartureRequested>;
+using LeaderElectionEvent =
+    std::variant<LeaderElectionTick, LeaderRowRead, LeaderRowReadFailed, LeaderRowWriteResult,
+                 PromiseRequested, PromiseRequestAnswered, PromiseReleased, LeaderAnnounced,
+                 LivePeersChanged, DepartureRequested>;
 
 } // namespace bulrush
--- a/src/libbulrush/process/stewardtimings.h
+++ b/src/libbulrush/process/leaderelectiontimings.h
@@ -10,7 +10,7 @@
  * Durations of the leader election. They may differ between daemons without affecting safety; only
  * \a driftPpm has to be a true bound. See docs/design/ownership.md for the reasons.
  */
-struct StewardTimings
+struct LeaderElectionTimings
 {
     /** Length of the lease that each write of the row acquires. */
     Duration leaseLength = std::chrono::seconds(2);
@@ -28,9 +28,9 @@
      */
     Duration otherDomainDelay = std::chrono::milliseconds(300);
     /** Age of the last committed write from which the holder requests promises. */
-    Duration platformPatience = std::chrono::milliseconds(750);
+    Duration platformSilenceTimeout = std::chrono::milliseconds(750);
     /** Time between two rounds of promise requests. */
-    Duration askInterval = std::chrono::milliseconds(500);
+    Duration promiseRequestInterval = std::chrono::milliseconds(500);
     /**
      * Longest promise that is requested. Each round requests the age of the last committed write,
      * limited to between the lease length and this value.
@@ -39,10 +39,10 @@
     /** Maximum time by which promises extend the lease beyond the last committed write. */
     Duration outageAllowance = std::chrono::hours(2);
     /** Longest routing lease that a leader grants; limited to the drift-adjusted lease length. */
-    Duration longestRoutingLease = std::chrono::milliseconds(1500);
+    Duration maxRoutingLease = std::chrono::milliseconds(1500);
     /**
      * How long work may continue after the end of the routing lease under which it was sent; see
-     * StewardRow::workPastLease.
+     * LeaderRow::workPastLease.
      */
     Duration workPastLease = std::chrono::milliseconds(500);
     /** Upper bound on the difference in rate between any two clocks. */
--- a/src/libbulrush/process/stewardrow.h
+++ b/src/libbulrush/process/leaderrow.h
@@ -10,7 +10,7 @@
 namespace bulrush {
 
 /** Identifies one intended write of a leader row; all retries of that write carry the same id. */
-using StewardWriteId = Identifier<struct StewardWriteIdTag>;
+using LeaderWriteId = Identifier<struct LeaderWriteIdTag>;
 
 /** Version of a row in the platform's table; 0 if the row does not exist. */
 using RowVersion = std::uint64_t;
@@ -18,13 +18,13 @@
 /**
  * One run of a daemon that may take over the leadership of a failure domain, and its address.
  */
-struct StewardCandidate
+struct LeaderCandidate
 {
     Incarnation incarnation;
     DomainName domain;
     std::string address;
 
-    bool operator==(const StewardCandidate &) const = default;
+    bool operator==(const LeaderCandidate &) const = default;
 };
 
 /**
@@ -33,7 +33,7 @@
  * The durations are those that the holder uses. A process that waits for the holder's term to end
  * uses these durations instead of its own settings, so the settings of daemons may differ.
  */
-struct StewardRow
+struct LeaderRow
 {
     Incarnation holder;
     std::string holderAddress;
@@ -53,43 +53,43 @@
     Duration workPastLease{};
     /** Number of writes by this holder. */
     std::uint64_t renewal = 0;
-    std::vector<StewardCandidate> candidates;
+    std::vector<LeaderCandidate> candidates;
     /** The holder has given up the leadership; \a leaseLength is the rest of its leases. */
     bool isReleased = false;
     /** The candidate that may take over a released row immediately; empty if there is none. */
     Incarnation successor;
     Incarnation writer;
-    StewardWriteId writeId;
+    LeaderWriteId writeId;
 
-    bool operator==(const StewardRow &) const = default;
+    bool operator==(const LeaderRow &) const = default;
 };
 
 /**
  * A leader row with its version in the table. Version 0 means that there is no row.
  */
-struct VersionedStewardRow
+struct VersionedLeaderRow
 {
     RowVersion version = 0;
-    StewardRow row;
+    LeaderRow row;
 
-    bool operator==(const VersionedStewardRow &) const = default;
+    bool operator==(const VersionedLeaderRow &) const = default;
 };
 
 /**
  * \returns whether \a row names \a incarnation as a candidate.
  */
-bool namesCandidate(const StewardRow &row, const Incarnation &incarnation);
+bool namesCandidate(const LeaderRow &row, const Incarnation &incarnation);
 
 /**
  * \returns whether the row was deleted and created again: its creation has a version above 1, so
  * there was an earlier leader whose epoch is unknown. Such a row has no holder.
  */
-bool isRecreated(const VersionedStewardRow &row);
+bool isRecreated(const VersionedLeaderRow &row);
 
 /**
  * \returns an epoch above all epochs that this row can have had.
  */
-std::uint64_t epochAfter(const VersionedStewardRow &row);
+std::uint64_t epochAfter(const VersionedLeaderRow &row);
 
 /**
  * \returns \a row as released by an operator: any daemon of the domain may take it over after the
@@ -97,7 +97,7 @@
  * the holder still runs, and its candidates give promises without seeing this row, there are two
  * leaders.
  */
-StewardRow releasedByOperator(StewardRow row, const Incarnation &writer,
-                              const StewardWriteId &writeId);
+LeaderRow releasedByOperator(LeaderRow row, const Incarnation &writer,
+                             const LeaderWriteId &writeId);
 
 } // namespace bulrush
--- a/src/libbulrush/process/leaderrowobserver.cpp
+++ b/src/libbulrush/process/leaderrowobserver.cpp
@@ -8,7 +8,7 @@
     : m_driftPpm(driftPpm)
 { }
 
-bool LeaderRowObserver::observe(const VersionedStewardRow &row, Instant now)
+bool LeaderRowObserver::observe(const VersionedLeaderRow &row, Instant now)
 {
     if (m_row && row.version <= m_row->version)
         return false;
@@ -29,7 +29,7 @@
 
 Instant LeaderRowObserver::termEndedFrom() const
 {
-    const StewardRow &row = m_row->row;
+    const LeaderRow &row = m_row->row;
     if (row.isReleased)
         return leaseEndedFrom();
     return m_seenAt + stretched(std::max(row.leaseLength, row.outageAllowance), m_driftPpm);
--- a/src/libbulrush/process/leaderrowobserver.h
+++ b/src/libbulrush/process/leaderrowobserver.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "process/stewardrow.h"
+#include "process/leaderrow.h"
 
 #include <optional>
 
@@ -23,13 +23,13 @@
      * stored one is ignored.
      * \returns whether the version is new.
      */
-    bool observe(const VersionedStewardRow &row, Instant now);
+    bool observe(const VersionedLeaderRow &row, Instant now);
 
     /**
      * \returns the latest observed row: version 0 if observed as absent, nothing if never
      * observed.
      */
-    const std::optional<VersionedStewardRow> &row() const;
+    const std::optional<VersionedLeaderRow> &row() const;
 
     /** \returns whether the latest observation found an existing row. */
     bool hasRow() const;
@@ -51,11 +51,11 @@
 
 private:
     std::int64_t m_driftPpm;
-    std::optional<VersionedStewardRow> m_row;
+    std::optional<VersionedLeaderRow> m_row;
     Instant m_seenAt{};
 };
 
-inline const std::optional<VersionedStewardRow> &LeaderRowObserver::row() const
+inline const std::optional<VersionedLeaderRow> &LeaderRowObserver::row() const
 {
     return m_row;
 }
--- a/src/libbulrush/process/leasemessages.h
+++ b/src/libbulrush/process/leasemessages.h
@@ -3,7 +3,7 @@
 #include "process/clock.h"
 #include "version/fence.h"
 #include "version/identifier.h"
-#include "version/slicepiece.h"
+#include "version/servicekeyrange.h"
 
 #include <cstdint>
 #include <variant>
@@ -21,7 +21,7 @@
  */
 struct SliceRight
 {
-    SlicePiece piece;
+    ServiceKeyRange piece;
     ServerName server;
     /** Fencing token of the server's grant, sent along with the work. */
     Fence fence;
@@ -35,7 +35,7 @@
 struct StopOrder
 {
     StopId stop;
-    SlicePiece piece;
+    ServiceKeyRange piece;
     ServerName server;
 
     bool operator==(const StopOrder &) const = default;
--- a/src/libbulrush/process/membership.cpp
+++ b/src/libbulrush/process/membership.cpp
@@ -247,11 +247,11 @@
     if (!pending.requester.empty())
         send(turn, pending.requester, IndirectAck{pending.requesterSequence, sender});
     if (ack.summary.age && ack.summary.items == m_versions.digest().combined())
-        m_versions.confirmSameAsPeer(pending.askedAt, *ack.summary.age);
+        m_versions.confirmSameAsPeer(pending.requestedAt, *ack.summary.age);
     compareWith(turn, sender, ack.summary);
 }
 
-void Membership::handle(Turn &turn, const MemberRecord &sender, const NewsPush &push)
+void Membership::handle(Turn &turn, const MemberRecord &sender, const GossipPush &push)
 {
     mergeNews(turn, sender, push.news);
 }
@@ -263,7 +263,7 @@
         return;
 
     PendingPing pending{.target = target->host,
-                        .askedAt = turn.now,
+                        .requestedAt = turn.now,
                         .due = turn.now + m_settings.ackTimeout,
                         .requester = sender.address,
                         .requesterSequence = ping.sequence};
@@ -335,8 +335,9 @@
         m_pingOrder.pop_back();
         if (!target || target->state == MemberState::Gone)
             continue;
-        PendingPing pending{
-            .target = target->host, .askedAt = turn.now, .due = turn.now + m_settings.ackTimeout};
+        PendingPing pending{.target = target->host,
+                            .requestedAt = turn.now,
+                            .due = turn.now + m_settings.ackTimeout};
         sendPing(turn, target->address, std::move(pending));
         return;
     }
@@ -402,7 +403,7 @@
         turn.now + (hasCompany() ? m_settings.reconnectPeriod : m_settings.pingPeriod);
     const auto ping = [&](const std::string &address, const HostName &target) {
         PendingPing pending{
-            .target = target, .askedAt = turn.now, .due = turn.now + m_settings.ackTimeout};
+            .target = target, .requestedAt = turn.now, .due = turn.now + m_settings.ackTimeout};
         sendPing(turn, address, std::move(pending));
     };
 
@@ -419,11 +420,11 @@
 
 void Membership::sendNewsRound(Turn &turn)
 {
-    const News news = newsOf(m_news.take(m_settings.newsLimit));
+    const GossipUpdate news = newsOf(m_news.take(m_settings.newsLimit));
     m_lastNews = turn.now;
     m_nextNews = m_news.isEmpty() ? Instant::max() : turn.now + m_settings.newsPeriod;
     for (const MemberRecord &member : chooseMembers(m_settings.fanOut, m_self.host))
-        send(turn, member.address, NewsPush{news});
+        send(turn, member.address, GossipPush{news});
 }
 
 void Membership::readPlatformIfDue(Turn &turn)
@@ -444,7 +445,7 @@
 std::optional<Duration> Membership::readInterval(Instant now) const
 {
     const std::size_t rank = readerRank();
-    const Duration unsure = m_versions.unsureFor(now);
+    const Duration unsure = m_versions.unconfirmedDuration(now);
     const Duration delay = m_settings.standInDelay;
     const bool isStandIn =
         rank <= standIns && (unsure > delay * static_cast<int>(rank) || now < m_standsInUntil);
@@ -576,7 +577,7 @@
     queueMemberNews(turn.now, m_self.host);
 }
 
-void Membership::mergeNews(Turn &turn, const MemberRecord &sender, const News &news)
+void Membership::mergeNews(Turn &turn, const MemberRecord &sender, const GossipUpdate &news)
 {
     for (const MemberRecord &member : news.members)
         mergeMember(turn, member);
@@ -657,9 +658,9 @@
     return 2 + static_cast<unsigned>(std::ceil(std::log10(known + 1)));
 }
 
-News Membership::newsOf(std::span<const NewsQueue::Subject> subjects) const
+GossipUpdate Membership::newsOf(std::span<const NewsQueue::Subject> subjects) const
 {
-    News news;
+    GossipUpdate news;
     for (const NewsQueue::Subject &subject : subjects) {
         if (const auto *key = std::get_if<ItemKey>(&subject)) {
             if (const VersionedItem *item = m_versions.find(*key))
@@ -675,7 +676,7 @@
  * Tells a member what is believed of it, if that is not what it says, so that it can refute it or
  * learn that it was replaced.
  */
-void Membership::addCorrection(News &news, const MemberRecord &of) const
+void Membership::addCorrection(GossipUpdate &news, const MemberRecord &of) const
 {
     const MemberRecord *held = m_table.find(of.host);
     if (held && *held != of && std::ranges::find(news.members, *held) == news.members.end())
@@ -686,7 +687,7 @@
 {
     Summary result{m_table.digest().combined(), m_versions.digest().combined(), std::nullopt};
     if (m_versions.currentAsOf())
-        result.age = m_versions.unsureFor(now);
+        result.age = m_versions.unconfirmedDuration(now);
     return result;
 }
 
--- a/src/libbulrush/process/membership.h
+++ b/src/libbulrush/process/membership.h
@@ -199,7 +199,7 @@
     struct PendingPing
     {
         HostName target;
-        Instant askedAt;
+        Instant requestedAt;
         Instant due;
         bool isIndirect = false;
         /** Set when the ping was sent for another daemon. */
@@ -226,7 +226,7 @@
 
     void handle(Turn &turn, const MemberRecord &sender, const Ping &ping);
     void handle(Turn &turn, const MemberRecord &sender, const Ack &ack);
-    void handle(Turn &turn, const MemberRecord &sender, const NewsPush &push);
+    void handle(Turn &turn, const MemberRecord &sender, const GossipPush &push);
     void handle(Turn &turn, const MemberRecord &sender, const IndirectPing &ping);
     void handle(Turn &turn, const MemberRecord &sender, const IndirectAck &ack);
     void handle(Turn &turn, const MemberRecord &sender, const Exchange &exchange);
@@ -253,7 +253,7 @@
     void judge(Turn &turn, const HostName &host, MemberState state);
     void raiseCounter(Turn &turn, std::uint64_t above);
     void announceSelf(Turn &turn);
-    void mergeNews(Turn &turn, const MemberRecord &sender, const News &news);
+    void mergeNews(Turn &turn, const MemberRecord &sender, const GossipUpdate &news);
     void fetchMissing(Turn &turn, const std::string &from, std::span<const ItemHeader> headers);
     void retryFetches(Turn &turn);
     bool applyItem(Turn &turn, const VersionedItem &item);
@@ -261,8 +261,8 @@
     void queueMemberNews(Instant now, const HostName &host);
     unsigned newsRepeats() const;
 
-    News newsOf(std::span<const NewsQueue::Subject> subjects) const;
-    void addCorrection(News &news, const MemberRecord &of) const;
+    GossipUpdate newsOf(std::span<const NewsQueue::Subject> subjects) const;
+    void addCorrection(GossipUpdate &news, const MemberRecord &of) const;
     Summary summary(Instant now) const;
     void compareWith(Turn &turn, const MemberRecord &sender, const Summary &theirs);
     void send(Turn &turn, const std::string &to, PeerMessage::Body body) const;
--- a/src/libbulrush/process/ownershipmap.cpp
+++ b/src/libbulrush/process/ownershipmap.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-bool endsBefore(const OwnedPiece &owned, const SlicePiece &piece)
+bool endsBefore(const OwnedPiece &owned, const ServiceKeyRange &piece)
 {
     const int order = owned.piece.service.value().compare(piece.service.value());
     return order < 0 || (order == 0 && owned.piece.range.end < piece.range.begin);
@@ -58,7 +58,7 @@
 }
 
 /** Adds \a owned to \a slices in parts, cut where a piece of \a layout begins or ends. */
-void addParts(const OwnedPiece &owned, std::span<const SlicePiece> layout,
+void addParts(const OwnedPiece &owned, std::span<const ServiceKeyRange> layout,
               std::vector<SliceOwner> &slices)
 {
     SliceRange rest = owned.piece.range;
@@ -95,7 +95,7 @@
             return endsBefore(entry, wanted.piece);
         });
         for (; owned != m_owned.end() && overlaps(owned->piece, wanted.piece); ++owned) {
-            const SlicePiece common = commonPart(owned->piece, wanted.piece);
+            const ServiceKeyRange common = commonPart(owned->piece, wanted.piece);
             if (rest.begin < common.range.begin)
                 addUnowned(wanted, {rest.begin, common.range.begin - 1}, changes);
             addIfDifferent(wanted, *owned, common, changes);
@@ -114,8 +114,8 @@
             {{wanted.piece.service, range}, {}, {}, {}, wanted.server, wanted.attendant});
     }
 
-    void addIfDifferent(const OwnedPiece &wanted, const OwnedPiece &owned, const SlicePiece &common,
-                        std::vector<PieceChange> &changes) const
+    void addIfDifferent(const OwnedPiece &wanted, const OwnedPiece &owned,
+                        const ServiceKeyRange &common, std::vector<PieceChange> &changes) const
     {
         const bool isSame = owned.server == wanted.server && owned.attendant == wanted.attendant
             && owned.fence.epoch >= m_epoch;
@@ -172,7 +172,7 @@
     return changes;
 }
 
-std::optional<OwnedPiece> OwnershipMap::covering(const SlicePiece &piece) const
+std::optional<OwnedPiece> OwnershipMap::covering(const ServiceKeyRange &piece) const
 {
     const auto found =
         std::partition_point(m_pieces.begin(), m_pieces.end(),
@@ -192,7 +192,7 @@
     return slices;
 }
 
-std::vector<SliceOwner> OwnershipMap::slices(std::span<const SlicePiece> layout) const
+std::vector<SliceOwner> OwnershipMap::slices(std::span<const ServiceKeyRange> layout) const
 {
     std::vector<SliceOwner> slices;
     slices.reserve(std::max(m_pieces.size(), layout.size()));
--- a/src/libbulrush/process/ownershipmap.h
+++ b/src/libbulrush/process/ownershipmap.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "version/assignment.h"
-#include "version/slicepiece.h"
+#include "version/servicekeyrange.h"
 
 #include <optional>
 #include <span>
@@ -21,7 +21,7 @@
  */
 struct OwnedPiece
 {
-    SlicePiece piece;
+    ServiceKeyRange piece;
     ServerName server;
     Incarnation attendant;
     Fence fence;
@@ -34,7 +34,7 @@
  */
 struct PieceChange
 {
-    SlicePiece piece;
+    ServiceKeyRange piece;
     /** Empty if the piece had no owner. */
     ServerName from;
     Incarnation fromAttendant;
@@ -70,7 +70,7 @@
     std::vector<PieceChange> changesTo(const OwnershipMap &wanted, std::uint64_t epoch) const;
 
     /** \returns the piece that covers all of \a piece, if there is one. */
-    std::optional<OwnedPiece> covering(const SlicePiece &piece) const;
+    std::optional<OwnedPiece> covering(const ServiceKeyRange &piece) const;
 
     /** \returns the slices of an equivalent assignment. */
     std::vector<SliceOwner> slices() const;
@@ -79,7 +79,7 @@
      * \returns the slices of an equivalent assignment, cut where a piece of \a layout begins or
      * ends. Takes time linear in both. \pre \a layout is sorted, without overlaps.
      */
-    std::vector<SliceOwner> slices(std::span<const SlicePiece> layout) const;
+    std::vector<SliceOwner> slices(std::span<const ServiceKeyRange> layout) const;
 
 private:
     std::vector<OwnedPiece> m_pieces;
--- a/src/libbulrush/process/peermessage.h
+++ b/src/libbulrush/process/peermessage.h
@@ -16,7 +16,7 @@
 /**
  * Changes that a daemon passes on: whole records of members, but only headers of items.
  */
-struct News
+struct GossipUpdate
 {
     std::vector<MemberRecord> members;
     std::vector<ItemHeader> items;
@@ -38,7 +38,7 @@
 {
     std::uint64_t sequence = 0;
     Summary summary;
-    News news;
+    GossipUpdate news;
 };
 
 /** Answers a ping. */
@@ -46,13 +46,13 @@
 {
     std::uint64_t sequence = 0;
     Summary summary;
-    News news;
+    GossipUpdate news;
 };
 
 /** Passes news on; it is not answered. */
-struct NewsPush
+struct GossipPush
 {
-    News news;
+    GossipUpdate news;
 };
 
 /** Asks a member to ping another, which the sender can't reach. */
@@ -79,7 +79,7 @@
 /** Answers an exchange, as far as a message's limits allow. */
 struct Delta
 {
-    News news;
+    GossipUpdate news;
 };
 
 /** Asks for the bodies of items. */
@@ -99,8 +99,8 @@
  */
 struct PeerMessage
 {
-    using Body =
-        std::variant<Ping, Ack, NewsPush, IndirectPing, IndirectAck, Exchange, Delta, Fetch, Items>;
+    using Body = std::variant<Ping, Ack, GossipPush, IndirectPing, IndirectAck, Exchange, Delta,
+                              Fetch, Items>;
 
     /** The sender, as it describes itself. */
     MemberRecord sender;
--- a/src/libbulrush/process/pendingrowwrite.cpp
+++ b/src/libbulrush/process/pendingrowwrite.cpp
@@ -5,7 +5,7 @@
 
 namespace bulrush {
 
-PendingRowWrite::PendingRowWrite(Purpose purpose, RowVersion expectedVersion, StewardRow row)
+PendingRowWrite::PendingRowWrite(Purpose purpose, RowVersion expectedVersion, LeaderRow row)
     : m_purpose(purpose)
     , m_expectedVersion(expectedVersion)
     , m_row(std::move(row))
@@ -48,12 +48,12 @@
     return m_pendingAttempts.empty() && !m_hasLostAttempt;
 }
 
-bool PendingRowWrite::isSettledBy(const VersionedStewardRow &row) const
+bool PendingRowWrite::isSettledBy(const VersionedLeaderRow &row) const
 {
     return row.version > m_expectedVersion;
 }
 
-bool PendingRowWrite::isCreatorOf(const VersionedStewardRow &row) const
+bool PendingRowWrite::isCreatorOf(const VersionedLeaderRow &row) const
 {
     return row.version > m_expectedVersion && row.row.writeId == m_row.writeId
         && row.row.writer == m_row.writer;
--- a/src/libbulrush/process/pendingrowwrite.h
+++ b/src/libbulrush/process/pendingrowwrite.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "process/stewardrow.h"
+#include "process/leaderrow.h"
 
 #include <cstdint>
 #include <vector>
@@ -26,11 +26,11 @@
         HandOver,
     };
 
-    PendingRowWrite(Purpose purpose, RowVersion expectedVersion, StewardRow row);
+    PendingRowWrite(Purpose purpose, RowVersion expectedVersion, LeaderRow row);
 
     Purpose purpose() const;
     RowVersion expectedVersion() const;
-    const StewardRow &row() const;
+    const LeaderRow &row() const;
 
     /** Records a first attempt or a retry, sent at \a now. */
     void addAttempt(WriteAttemptId attempt, Instant now);
@@ -57,17 +57,17 @@
     bool isRefused() const;
 
     /** \returns whether \a row shows that this write took effect or no longer can. */
-    bool isSettledBy(const VersionedStewardRow &row) const;
+    bool isSettledBy(const VersionedLeaderRow &row) const;
 
     /** \returns whether \a row was created by this write. */
-    bool isCreatorOf(const VersionedStewardRow &row) const;
+    bool isCreatorOf(const VersionedLeaderRow &row) const;
 
 private:
     void removeAttempt(WriteAttemptId attempt);
 
     Purpose m_purpose;
     RowVersion m_expectedVersion;
-    StewardRow m_row;
+    LeaderRow m_row;
     Instant m_firstSentAt{};
     Instant m_lastSentAt{};
     /** Attempts whose result is outstanding. */
@@ -86,7 +86,7 @@
     return m_expectedVersion;
 }
 
-inline const StewardRow &PendingRowWrite::row() const
+inline const LeaderRow &PendingRowWrite::row() const
 {
     return m_row;
 }
--- a/src/libbulrush/process/promisesreceived.cpp
+++ b/src/libbulrush/process/promisesreceived.cpp
@@ -49,10 +49,10 @@
     m_resigned.insert(candidate);
 }
 
-Instant PromisesReceived::coveredUntil(std::span<const StewardCandidate> candidates) const
+Instant PromisesReceived::coveredUntil(std::span<const LeaderCandidate> candidates) const
 {
     Instant until = m_latestRoundUntil;
-    for (const StewardCandidate &candidate : candidates)
+    for (const LeaderCandidate &candidate : candidates)
         until = std::min(until, coveredUntil(candidate.incarnation));
     return until;
 }
--- a/src/libbulrush/process/promisesreceived.h
+++ b/src/libbulrush/process/promisesreceived.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "process/stewardrow.h"
+#include "process/leaderrow.h"
 
 #include <cstdint>
 #include <map>
@@ -43,7 +43,7 @@
      * \returns the instant until which none of \a candidates campaigns, or Instant::min() if one of
      * them has given no promise. If none has to promise, this is the end of the latest round.
      */
-    Instant coveredUntil(std::span<const StewardCandidate> candidates) const;
+    Instant coveredUntil(std::span<const LeaderCandidate> candidates) const;
 
 private:
     struct Round
--- a/src/libbulrush/process/ratelimiter.h
+++ b/src/libbulrush/process/ratelimiter.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "process/clock.h"
-#include "process/shareledger.h"
+#include "process/shareallocator.h"
 #include "process/tokenbucket.h"
 
 namespace bulrush {
@@ -22,8 +22,9 @@
     /** \returns what to tell the steward now; the answer's share counts from \a now. */
     ShareDemand demand(Instant now);
 
-    /** A share has come, for a demand told at \a askedAt. An older one than the last is ignored. */
-    void shareGranted(const ShareGrant &grant, Instant askedAt, Instant now);
+    /** A share has come, for a demand told at \a requestedAt. An older one than the last is
+     * ignored. */
+    void applyShareGrant(const ShareGrant &grant, Instant requestedAt, Instant now);
 
     /** \returns when a refused caller may come back. */
     Duration retryAfter() const;
@@ -61,8 +62,8 @@
     /** \returns what to tell the steward now. */
     ShareDemand demand();
 
-    /** A share has come, for a demand told at \a askedAt. */
-    void shareGranted(const ShareGrant &grant, Instant askedAt);
+    /** A share has come, for a demand told at \a requestedAt. */
+    void applyShareGrant(const ShareGrant &grant, Instant requestedAt);
 
     int inFlight() const;
 
--- a/src/libbulrush/process/routingright.cpp
+++ b/src/libbulrush/process/routingleaseholder.cpp
@@ -1,4 +1,4 @@
-#include "process/routingright.h"
+#include "process/routingleaseholder.h"
 
 #include <algorithm>
 
@@ -18,12 +18,12 @@
 
 } // namespace
 
-RoutingRight::RoutingRight(Incarnation incarnation, LeaseTerms terms)
+RoutingLeaseHolder::RoutingLeaseHolder(Incarnation incarnation, RoutingLeaseTimings terms)
     : m_incarnation(std::move(incarnation))
     , m_terms(terms)
 { }
 
-LeaseRequest RoutingRight::makeRequest(Fence knownVersion, Instant now)
+LeaseRequest RoutingLeaseHolder::makeRequest(Fence knownVersion, Instant now)
 {
     dropEndedFlights(now);
     LeaseRequest request{m_incarnation, ++m_lastRequest, knownVersion, m_rightsVersion, {},
@@ -40,20 +40,20 @@
     return request;
 }
 
-LeaseReplyVerdict RoutingRight::accept(const LeaseReply &reply, Instant now)
+LeaseReplyStatus RoutingLeaseHolder::accept(const LeaseReply &reply, Instant now)
 {
     const auto waiting = m_pendingRequests.find(reply.requestId);
     if (waiting == m_pendingRequests.end())
-        return LeaseReplyVerdict::Unmatched;
+        return LeaseReplyStatus::Unmatched;
 
     const bool isOlder =
         reply.assignmentVersion < m_assignmentVersion || reply.rightsVersion < m_rightsVersion;
     if (isOlder)
-        return LeaseReplyVerdict::Outdated;
+        return LeaseReplyStatus::Outdated;
 
     const bool isUnchanged = std::holds_alternative<RightsUnchanged>(reply.rights);
     if (isUnchanged && reply.rightsVersion != m_rightsVersion)
-        return LeaseReplyVerdict::Outdated;
+        return LeaseReplyStatus::Outdated;
 
     const Instant leaseEnd = waiting->second + shortened(reply.length, m_terms.driftPpm);
     m_pendingRequests.erase(m_pendingRequests.begin(), std::next(waiting));
@@ -62,10 +62,10 @@
     m_rightsVersion = reply.rightsVersion;
     if (!isUnchanged)
         replaceRights(std::get<RightsReplaced>(reply.rights));
-    return leaseEnd <= now ? LeaseReplyVerdict::TooLate : LeaseReplyVerdict::Accepted;
+    return leaseEnd <= now ? LeaseReplyStatus::TooLate : LeaseReplyStatus::Accepted;
 }
 
-DispatchDecision RoutingRight::mayDispatch(const DispatchQuery &query, Instant now) const
+DispatchDecision RoutingLeaseHolder::checkDispatch(const DispatchQuery &query, Instant now) const
 {
     if (!m_leaseEnd)
         return DispatchRefusal::NoLease;
@@ -81,7 +81,7 @@
     return DispatchAllowed{right->fence, std::min({query.callerDeadline, *m_leaseEnd, cap})};
 }
 
-FlightId RoutingRight::startFlight(const DispatchQuery &query, const DispatchAllowed &allowed)
+FlightId RoutingLeaseHolder::startFlight(const DispatchQuery &query, const DispatchAllowed &allowed)
 {
     const FlightId id = ++m_lastFlight;
     m_flights.emplace(
@@ -89,19 +89,19 @@
     return id;
 }
 
-void RoutingRight::endFlight(FlightId flight)
+void RoutingLeaseHolder::endFlight(FlightId flight)
 {
     m_flights.erase(flight);
 }
 
-void RoutingRight::abandonFlight(FlightId flight)
+void RoutingLeaseHolder::abandonFlight(FlightId flight)
 {
     const auto found = m_flights.find(flight);
     if (found != m_flights.end())
         found->second.isAbandoned = true;
 }
 
-void RoutingRight::setServerLost(const ServerName &server, bool isLost)
+void RoutingLeaseHolder::setServerLost(const ServerName &server, bool isLost)
 {
     const auto found = std::find(m_lostServers.begin(), m_lostServers.end(), server);
     const bool wasLost = found != m_lostServers.end();
@@ -115,7 +115,7 @@
         m_lostServers.erase(found);
 }
 
-bool RoutingRight::wantsPull() const
+bool RoutingLeaseHolder::needsPull() const
 {
     if (m_hasNewLoss)
         return true;
@@ -125,7 +125,7 @@
     });
 }
 
-StopReport RoutingRight::report(const StopOrder &order, Instant now) const
+StopReport RoutingLeaseHolder::report(const StopOrder &order, Instant now) const
 {
     StopReport made{order.stop, true, Duration{0}};
     for (const auto &[id, flight] : m_flights) {
@@ -137,7 +137,7 @@
     return made;
 }
 
-bool RoutingRight::isIdle(const StopOrder &order) const
+bool RoutingLeaseHolder::isIdle(const StopOrder &order) const
 {
     return std::none_of(m_flights.begin(), m_flights.end(), [&order](const auto &entry) {
         const Flight &flight = entry.second;
@@ -145,7 +145,7 @@
     });
 }
 
-void RoutingRight::dropEndedFlights(Instant now)
+void RoutingLeaseHolder::dropEndedFlights(Instant now)
 {
     const Duration maxRunTime = stretched(m_terms.runCap, m_terms.driftPpm);
     std::erase_if(m_flights, [now, maxRunTime](const auto &entry) {
@@ -154,7 +154,7 @@
     });
 }
 
-void RoutingRight::replaceRights(const RightsReplaced &replaced)
+void RoutingLeaseHolder::replaceRights(const RightsReplaced &replaced)
 {
     std::vector<Stop> stops;
     for (const StopOrder &order : replaced.stops) {
@@ -167,7 +167,7 @@
     m_rights = replaced.rights;
 }
 
-const SliceRight *RoutingRight::findRight(const ServiceName &service, KeyHash key) const
+const SliceRight *RoutingLeaseHolder::findRight(const ServiceName &service, KeyHash key) const
 {
     const auto isBefore = [&service, key](const SliceRight &right) {
         const int order = right.piece.service.value().compare(service.value());
@@ -179,7 +179,8 @@
     return isHit ? &*found : nullptr;
 }
 
-DispatchRefusal RoutingRight::refusal(const DispatchQuery &query, const SliceRight *right) const
+DispatchRefusal RoutingLeaseHolder::refusal(const DispatchQuery &query,
+                                            const SliceRight *right) const
 {
     const bool isStopping = std::any_of(m_stops.begin(), m_stops.end(), [&](const Stop &stop) {
         return covers(stop.order, query.service, query.key, query.server);
--- a/src/libbulrush/process/routingright.h
+++ b/src/libbulrush/process/routingleaseholder.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "process/leasemessages.h"
-#include "process/leaseterms.h"
+#include "process/routingleasetimings.h"
 
 #include <map>
 #include <optional>
@@ -40,7 +40,7 @@
 
 using DispatchDecision = std::variant<DispatchAllowed, DispatchRefusal>;
 
-enum class LeaseReplyVerdict {
+enum class LeaseReplyStatus {
     Accepted,
     /** It matches no pending request: duplicated, overtaken or not for this daemon. */
     Unmatched,
@@ -71,10 +71,10 @@
  * Not thread safe. A dispatch has to check the right, start the flight and hand over its bytes in
  * one step of the thread that owns this object, so that no stop is reported in between.
  */
-class RoutingRight
+class RoutingLeaseHolder
 {
 public:
-    RoutingRight(Incarnation incarnation, LeaseTerms terms);
+    RoutingLeaseHolder(Incarnation incarnation, RoutingLeaseTimings terms);
 
     /**
      * \returns the next lease request, to be sent immediately; \a now is read before sending.
@@ -83,15 +83,15 @@
     LeaseRequest makeRequest(Fence knownVersion, Instant now);
 
     /** Applies a reply. An unmatched or outdated reply has no effect. */
-    LeaseReplyVerdict accept(const LeaseReply &reply, Instant now);
+    LeaseReplyStatus accept(const LeaseReply &reply, Instant now);
 
     /**
      * \returns whether the work may be sent, and with what deadline: the earliest of the caller's,
      * the lease's end and the deadline cap.
      */
-    DispatchDecision mayDispatch(const DispatchQuery &query, Instant now) const;
+    DispatchDecision checkDispatch(const DispatchQuery &query, Instant now) const;
 
-    /** Registers work in flight. \pre mayDispatch() has just allowed it. */
+    /** Registers work in flight. \pre checkDispatch() has just allowed it. */
     FlightId startFlight(const DispatchQuery &query, const DispatchAllowed &allowed);
 
     /** Removes a flight that was answered completely, or of which no byte reached the server. */
@@ -104,7 +104,7 @@
     void setServerLost(const ServerName &server, bool isLost);
 
     /** \returns whether there is a change that should be reported to the leader immediately. */
-    bool wantsPull() const;
+    bool needsPull() const;
 
     /** \returns the version of the assignment that came with the last accepted reply. */
     Fence assignmentVersion() const;
@@ -143,7 +143,7 @@
     DispatchRefusal refusal(const DispatchQuery &query, const SliceRight *right) const;
 
     Incarnation m_incarnation;
-    LeaseTerms m_terms;
+    RoutingLeaseTimings m_terms;
     LeaseRequestId m_lastRequest = 0;
     /** Pending requests with an instant read before each was sent. */
     std::map<LeaseRequestId, Instant> m_pendingRequests;
@@ -158,22 +158,22 @@
     bool m_hasNewLoss = false;
 };
 
-inline Fence RoutingRight::assignmentVersion() const
+inline Fence RoutingLeaseHolder::assignmentVersion() const
 {
     return m_assignmentVersion;
 }
 
-inline std::optional<Instant> RoutingRight::leaseEnd() const
+inline std::optional<Instant> RoutingLeaseHolder::leaseEnd() const
 {
     return m_leaseEnd;
 }
 
-inline std::span<const SliceRight> RoutingRight::rights() const
+inline std::span<const SliceRight> RoutingLeaseHolder::rights() const
 {
     return m_rights;
 }
 
-inline std::size_t RoutingRight::flightCount() const
+inline std::size_t RoutingLeaseHolder::flightCount() const
 {
     return m_flights.size();
 }
--- a/src/libbulrush/process/leasebook.cpp
+++ b/src/libbulrush/process/routingleasetable.cpp
@@ -1,4 +1,4 @@
-#include "process/leasebook.h"
+#include "process/routingleasetable.h"
 
 #include <algorithm>
 
@@ -7,7 +7,8 @@
 namespace {
 
 /** Adds the parts of \a right outside of \a piece to \a kept. */
-void addRemainder(const SliceRight &right, const SlicePiece &piece, std::vector<SliceRight> &kept)
+void addRemainder(const SliceRight &right, const ServiceKeyRange &piece,
+                  std::vector<SliceRight> &kept)
 {
     if (right.piece.range.begin < piece.range.begin) {
         SliceRight left = right;
@@ -51,15 +52,16 @@
 
 } // namespace
 
-LeaseBook::LeaseBook(LeaseTerms terms, std::uint64_t epoch)
+RoutingLeaseTable::RoutingLeaseTable(RoutingLeaseTimings terms, std::uint64_t epoch)
     : m_terms(terms)
     , m_lastId{epoch, 0}
 { }
 
-std::optional<LeaseReply> LeaseBook::answer(const LeaseRequest &request, Fence assignmentVersion,
-                                            Instant now, Instant tenureUntil)
+std::optional<LeaseReply> RoutingLeaseTable::answer(const LeaseRequest &request,
+                                                    Fence assignmentVersion, Instant now,
+                                                    Instant leadershipUntil)
 {
-    if (now >= tenureUntil)
+    if (now >= leadershipUntil)
         return std::nullopt;
 
     Holder &holder = m_holders[request.incarnation];
@@ -74,7 +76,7 @@
     if (holder.rightsVersion == Fence{})
         holder.rightsVersion = nextId();
 
-    const Duration length = std::min(m_terms.length, tenureUntil - now);
+    const Duration length = std::min(m_terms.length, leadershipUntil - now);
     holder.sendsUntil = std::max(holder.sendsUntil, now + stretched(length, m_terms.driftPpm));
 
     LeaseReply reply{request.requestId, length, assignmentVersion, holder.rightsVersion, {}};
@@ -83,15 +85,15 @@
     return reply;
 }
 
-void LeaseBook::allow(const Incarnation &holder, SliceRight right)
+void RoutingLeaseTable::allow(const Incarnation &holder, SliceRight right)
 {
     Holder &entry = m_holders[holder];
     insertSorted(entry.rights, std::move(right));
     entry.rightsVersion = nextId();
 }
 
-std::vector<StopId> LeaseBook::stop(const Incarnation &holder, const SlicePiece &piece,
-                                    const ServerName &server)
+std::vector<StopId> RoutingLeaseTable::stop(const Incarnation &holder, const ServiceKeyRange &piece,
+                                            const ServerName &server)
 {
     const auto found = m_holders.find(holder);
     if (found == m_holders.end())
@@ -118,8 +120,8 @@
     return made;
 }
 
-bool LeaseBook::withdrawStops(const Incarnation &holder, const SlicePiece &piece,
-                              const ServerName &server, Fence fence)
+bool RoutingLeaseTable::withdrawStops(const Incarnation &holder, const ServiceKeyRange &piece,
+                                      const ServerName &server, Fence fence)
 {
     const auto found = m_holders.find(holder);
     if (found == m_holders.end())
@@ -144,7 +146,8 @@
     return true;
 }
 
-Instant LeaseBook::sendingEndedFrom(const SlicePiece &piece, const ServerName &server) const
+Instant RoutingLeaseTable::sendingEndedFrom(const ServiceKeyRange &piece,
+                                            const ServerName &server) const
 {
     Instant latest{};
     for (const StopRecord *record : stopsOf(piece, server))
@@ -152,7 +155,8 @@
     return latest;
 }
 
-Instant LeaseBook::workEndedFrom(const SlicePiece &piece, const ServerName &server) const
+Instant RoutingLeaseTable::workEndedFrom(const ServiceKeyRange &piece,
+                                         const ServerName &server) const
 {
     Instant latest{};
     for (const StopRecord *record : stopsOf(piece, server))
@@ -160,20 +164,20 @@
     return latest;
 }
 
-bool LeaseBook::isIdle(const SlicePiece &piece, const ServerName &server) const
+bool RoutingLeaseTable::isIdle(const ServiceKeyRange &piece, const ServerName &server) const
 {
     const std::vector<const StopRecord *> stops = stopsOf(piece, server);
     return std::all_of(stops.begin(), stops.end(),
                        [](const StopRecord *record) { return record->idle; });
 }
 
-Instant LeaseBook::sendsUntil(const Incarnation &holder) const
+Instant RoutingLeaseTable::sendsUntil(const Incarnation &holder) const
 {
     const auto found = m_holders.find(holder);
     return found == m_holders.end() ? Instant{} : found->second.sendsUntil;
 }
 
-void LeaseBook::expire(Instant now)
+void RoutingLeaseTable::expire(Instant now)
 {
     if (m_stops.empty() && now < m_nextExpiryAt)
         return;
@@ -196,7 +200,7 @@
     }
 }
 
-std::vector<Incarnation> LeaseBook::silentSince(Instant instant) const
+std::vector<Incarnation> RoutingLeaseTable::silentSince(Instant instant) const
 {
     std::vector<Incarnation> silent;
     for (const auto &[incarnation, holder] : m_holders) {
@@ -206,7 +210,7 @@
     return silent;
 }
 
-std::span<const SliceRight> LeaseBook::rights(const Incarnation &holder) const
+std::span<const SliceRight> RoutingLeaseTable::rights(const Incarnation &holder) const
 {
     const auto found = m_holders.find(holder);
     if (found == m_holders.end())
@@ -215,7 +219,8 @@
     return found->second.rights;
 }
 
-void LeaseBook::applyReport(const Incarnation &incarnation, const StopReport &report, Instant now)
+void RoutingLeaseTable::applyReport(const Incarnation &incarnation, const StopReport &report,
+                                    Instant now)
 {
     const auto found = m_stops.find(report.stop);
     if (found == m_stops.end() || found->second.holder != incarnation)
@@ -230,7 +235,7 @@
     record.idle = record.idle || report.idle;
 }
 
-void LeaseBook::addStop(const Incarnation &incarnation, Holder &holder, StopRecord record)
+void RoutingLeaseTable::addStop(const Incarnation &incarnation, Holder &holder, StopRecord record)
 {
     ++m_changeCount;
     const StopId stop = record.order.stop;
@@ -240,8 +245,8 @@
     m_stops.emplace(stop, std::move(record));
 }
 
-std::vector<const LeaseBook::StopRecord *> LeaseBook::stopsOf(const SlicePiece &piece,
-                                                              const ServerName &server) const
+std::vector<const RoutingLeaseTable::StopRecord *>
+RoutingLeaseTable::stopsOf(const ServiceKeyRange &piece, const ServerName &server) const
 {
     const auto found = m_stopsByServer.find(server);
     if (found == m_stopsByServer.end())
@@ -256,7 +261,7 @@
     return stops;
 }
 
-void LeaseBook::dropStops(Holder &holder, const std::vector<StopId> &finished)
+void RoutingLeaseTable::dropStops(Holder &holder, const std::vector<StopId> &finished)
 {
     if (finished.empty())
         return;
@@ -273,7 +278,7 @@
     holder.rightsVersion = nextId();
 }
 
-RightsReplaced LeaseBook::rightsOf(const Holder &holder) const
+RightsReplaced RoutingLeaseTable::rightsOf(const Holder &holder) const
 {
     RightsReplaced replaced{holder.rights, {}};
     for (const StopId &stop : holder.stops)
@@ -281,13 +286,13 @@
     return replaced;
 }
 
-Instant LeaseBook::sendingEndInstant(const StopRecord &record) const
+Instant RoutingLeaseTable::sendingEndInstant(const StopRecord &record) const
 {
     return record.confirmedAt ? std::min(*record.confirmedAt, record.sendsUntil)
                               : record.sendsUntil;
 }
 
-Instant LeaseBook::workEndInstant(const StopRecord &record) const
+Instant RoutingLeaseTable::workEndInstant(const StopRecord &record) const
 {
     if (record.idle)
         return *record.confirmedAt;
@@ -299,7 +304,7 @@
     return lastStart + stretched(m_terms.runCap, m_terms.driftPpm);
 }
 
-Fence LeaseBook::nextId()
+Fence RoutingLeaseTable::nextId()
 {
     ++m_lastId.sequence;
     return m_lastId;
--- a/src/libbulrush/process/leasebook.h
+++ b/src/libbulrush/process/routingleasetable.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "process/leasemessages.h"
-#include "process/leaseterms.h"
+#include "process/routingleasetimings.h"
 
 #include <map>
 #include <optional>
@@ -16,20 +16,20 @@
  *
  * Not thread safe. Instants are those of the leader's clock and must not decrease between calls.
  */
-class LeaseBook
+class RoutingLeaseTable
 {
 public:
     /** \a epoch is the leader's epoch, which is part of every id that is created here. */
-    LeaseBook(LeaseTerms terms, std::uint64_t epoch);
+    RoutingLeaseTable(RoutingLeaseTimings terms, std::uint64_t epoch);
 
     /**
      * Answers a lease request and records its stop reports. The lease ends no later than
-     * \a tenureUntil.
+     * \a leadershipUntil.
      * \returns nothing if the leadership term is over, or if a later request of the same daemon was
      * received: overtaken or duplicated requests get no answer and their reports are ignored.
      */
     std::optional<LeaseReply> answer(const LeaseRequest &request, Fence assignmentVersion,
-                                     Instant now, Instant tenureUntil);
+                                     Instant now, Instant leadershipUntil);
 
     /**
      * Allows \a holder to send work of a piece from its next reply on.
@@ -41,7 +41,7 @@
      * Revokes the part of \a holder's rights at \a server that lies in \a piece.
      * \returns the ids of the created stops; none if it held no such right.
      */
-    std::vector<StopId> stop(const Incarnation &holder, const SlicePiece &piece,
+    std::vector<StopId> stop(const Incarnation &holder, const ServiceKeyRange &piece,
                              const ServerName &server);
 
     /**
@@ -49,23 +49,23 @@
      * \a server have revoked. \pre The server has not been ordered to revoke them.
      * \returns false, without any change, unless those stops cover all of \a piece.
      */
-    bool withdrawStops(const Incarnation &holder, const SlicePiece &piece, const ServerName &server,
-                       Fence fence);
+    bool withdrawStops(const Incarnation &holder, const ServiceKeyRange &piece,
+                       const ServerName &server, Fence fence);
 
     /** \returns the instant from which no daemon sends work of \a piece to \a server any more. */
-    Instant sendingEndedFrom(const SlicePiece &piece, const ServerName &server) const;
+    Instant sendingEndedFrom(const ServiceKeyRange &piece, const ServerName &server) const;
 
     /**
      * \returns the instant from which no work of \a piece runs at \a server, assuming that no
      * request runs longer than the run cap.
      */
-    Instant workEndedFrom(const SlicePiece &piece, const ServerName &server) const;
+    Instant workEndedFrom(const ServiceKeyRange &piece, const ServerName &server) const;
 
     /**
      * \returns whether every daemon that sent work of \a piece to \a server has reported that its
      * work has ended, or has been without a lease for long enough.
      */
-    bool isIdle(const SlicePiece &piece, const ServerName &server) const;
+    bool isIdle(const ServiceKeyRange &piece, const ServerName &server) const;
 
     /** \returns the instant until which \a holder may send work, or Instant{} if it is unknown. */
     Instant sendsUntil(const Incarnation &holder) const;
@@ -112,7 +112,7 @@
     void applyReport(const Incarnation &incarnation, const StopReport &report, Instant now);
     void addStop(const Incarnation &incarnation, Holder &holder, StopRecord record);
     /** \returns the pending stops that overlap \a piece at \a server. */
-    std::vector<const StopRecord *> stopsOf(const SlicePiece &piece,
+    std::vector<const StopRecord *> stopsOf(const ServiceKeyRange &piece,
                                             const ServerName &server) const;
     void dropStops(Holder &holder, const std::vector<StopId> &finished);
     RightsReplaced rightsOf(const Holder &holder) const;
@@ -120,7 +120,7 @@
     Instant workEndInstant(const StopRecord &record) const;
     Fence nextId();
 
-    LeaseTerms m_terms;
+    RoutingLeaseTimings m_terms;
     Fence m_lastId;
     std::map<Incarnation, Holder> m_holders;
     std::map<StopId, StopRecord> m_stops;
@@ -129,7 +129,7 @@
     std::uint64_t m_changeCount = 0;
 };
 
-inline std::uint64_t LeaseBook::changeCount() const
+inline std::uint64_t RoutingLeaseTable::changeCount() const
 {
     return m_changeCount;
 }
--- a/src/libbulrush/process/leaseterms.h
+++ b/src/libbulrush/process/routingleasetimings.h
@@ -7,7 +7,7 @@
 /**
  * Durations for routing leases; identical on all hosts of a failure domain.
  */
-struct LeaseTerms
+struct RoutingLeaseTimings
 {
     /** Length of a routing lease, counted by its holder from before it sent the request. */
     Duration length = std::chrono::milliseconds{1200};
--- a/src/libbulrush/process/attendancetable.h
+++ b/src/libbulrush/process/servermanagertable.h
@@ -14,11 +14,11 @@
  *
  * Not thread safe.
  */
-class AttendanceTable
+class ServerManagerTable
 {
 public:
     /** Starts from what is in force; sorted by server. */
-    explicit AttendanceTable(std::vector<Attendance> attendances = {});
+    explicit ServerManagerTable(std::vector<Attendance> attendances = {});
 
     /**
      * Fits the table to the servers that need an attendant and the daemons that may be one; those
@@ -34,7 +34,7 @@
     std::vector<Attendance> m_attendances;
 };
 
-inline std::span<const Attendance> AttendanceTable::attendances() const
+inline std::span<const Attendance> ServerManagerTable::attendances() const
 {
     return m_attendances;
 }
--- a/src/libbulrush/process/shareledger.cpp
+++ b/src/libbulrush/process/shareallocator.cpp
@@ -1,4 +1,4 @@
-#include "process/shareledger.h"
+#include "process/shareallocator.h"
 
 #include <algorithm>
 #include <cmath>
@@ -20,32 +20,33 @@
 
 } // namespace
 
-ShareLedger::ShareLedger(double own, std::uint64_t epoch, ShareTerms terms)
+ShareAllocator::ShareAllocator(double own, std::uint64_t epoch, ShareTerms terms)
     : m_own(own)
     , m_terms(terms)
     , m_lastSequence{epoch, 0}
 { }
 
-ShareLedger ShareLedger::successor(double own, std::uint64_t epoch, ShareTerms terms, Instant now)
+ShareAllocator ShareAllocator::successor(double own, std::uint64_t epoch, ShareTerms terms,
+                                         Instant now)
 {
-    ShareLedger ledger{own, epoch, terms};
+    ShareAllocator ledger{own, epoch, terms};
     const Duration longest = std::max(terms.length, terms.loanLength);
     ledger.m_confirmsOnlyUntil = now + stretched(longest, terms.driftPpm);
     return ledger;
 }
 
-void ShareLedger::setOwn(double own)
+void ShareAllocator::setOwn(double own)
 {
     m_own = own;
 }
 
-void ShareLedger::predecessorSettled()
+void ShareAllocator::predecessorSettled()
 {
     m_confirmsOnlyUntil = Instant{};
 }
 
-ShareGrant ShareLedger::renew(const Incarnation &holder, const ShareDemand &demand, double held,
-                              Instant now)
+ShareGrant ShareAllocator::renew(const Incarnation &holder, const ShareDemand &demand, double held,
+                                 Instant now)
 {
     Holder &asking = heard(nameOfHolder(holder), demand, now);
     if (now < m_confirmsOnlyUntil)
@@ -53,12 +54,12 @@
     return give(asking, target(asking, now), m_terms.length, now);
 }
 
-void ShareLedger::release(const Incarnation &holder)
+void ShareAllocator::release(const Incarnation &holder)
 {
     m_holders.erase(nameOfHolder(holder));
 }
 
-ShareGrant ShareLedger::lend(const DomainName &borrower, const ShareDemand &demand, Instant now)
+ShareGrant ShareAllocator::lend(const DomainName &borrower, const ShareDemand &demand, Instant now)
 {
     Holder &asking = heard(nameOfHolder(borrower), demand, now);
     asking.isBorrower = true;
@@ -73,7 +74,7 @@
     return give(asking, std::min(left, demand.wanted), m_terms.loanLength, now);
 }
 
-ShareDemand ShareLedger::loanDemand(const DomainName &lender, Instant now) const
+ShareDemand ShareAllocator::loanDemand(const DomainName &lender, Instant now) const
 {
     const auto found = m_loans.find(lender);
     const bool hasLoan = found != m_loans.end() && found->second.validUntil > now;
@@ -86,14 +87,16 @@
     return demand;
 }
 
-void ShareLedger::loanGranted(const DomainName &lender, const ShareGrant &grant, Instant askedAt)
+void ShareAllocator::applyLoanGrant(const DomainName &lender, const ShareGrant &grant,
+                                    Instant requestedAt)
 {
     Loan &loan = m_loans[lender];
     if (grant.sequence > loan.sequence)
-        loan = {grant.sequence, grant.amount, askedAt + shortened(grant.length, m_terms.driftPpm)};
+        loan = {grant.sequence, grant.amount,
+                requestedAt + shortened(grant.length, m_terms.driftPpm)};
 }
 
-double ShareLedger::outstanding(Instant now) const
+double ShareAllocator::outstanding(Instant now) const
 {
     double sum = 0.0;
     for (const auto &[name, holder] : m_holders)
@@ -101,8 +104,8 @@
     return sum;
 }
 
-ShareLedger::Holder &ShareLedger::heard(const std::string &name, const ShareDemand &demand,
-                                        Instant now)
+ShareAllocator::Holder &ShareAllocator::heard(const std::string &name, const ShareDemand &demand,
+                                              Instant now)
 {
     dropExpired(now);
     Holder &holder = m_holders[name];
@@ -114,7 +117,7 @@
     return holder;
 }
 
-ShareGrant ShareLedger::give(Holder &holder, double target, Duration length, Instant now)
+ShareGrant ShareAllocator::give(Holder &holder, double target, Duration length, Instant now)
 {
     const double others = outstanding(now) - heldBy(holder, now);
     const double limit = std::max(0.0, available(now) - others);
@@ -125,7 +128,7 @@
 }
 
 /** \returns the sum of the loans that last beyond \a until. */
-double ShareLedger::borrowed(Instant until) const
+double ShareAllocator::borrowed(Instant until) const
 {
     double sum = 0.0;
     for (const auto &[lender, loan] : m_loans) {
@@ -136,12 +139,12 @@
 }
 
 /** \returns what may be given for the length of a share from \a now. */
-double ShareLedger::available(Instant now) const
+double ShareAllocator::available(Instant now) const
 {
     return m_own + borrowed(now + stretched(m_terms.length, m_terms.driftPpm));
 }
 
-double ShareLedger::totalWanted() const
+double ShareAllocator::totalWanted() const
 {
     double sum = 0.0;
     for (const auto &[name, holder] : m_holders) {
@@ -152,13 +155,13 @@
 }
 
 /** What is borrowed is not lent on: it would outlast the loan. */
-double ShareLedger::lendable() const
+double ShareAllocator::lendable() const
 {
     return std::max(0.0, m_own - totalWanted());
 }
 
 /** \returns what daemons leave to borrowers: what those hold, and what they are to get. */
-double ShareLedger::keptForBorrowers(Instant now) const
+double ShareAllocator::keptForBorrowers(Instant now) const
 {
     double held = 0.0;
     double wanted = 0.0;
@@ -172,7 +175,7 @@
 }
 
 /** \returns the share of a daemon: all it wants if that can be, else no more than any other. */
-double ShareLedger::target(const Holder &holder, Instant now) const
+double ShareAllocator::target(const Holder &holder, Instant now) const
 {
     const double amount = std::max(0.0, available(now) - keptForBorrowers(now));
     const auto daemons = std::ranges::count_if(
@@ -184,7 +187,7 @@
 }
 
 /** \returns the level at which demands, cut off there, sum up to \a amount. */
-double ShareLedger::waterLevel(double amount) const
+double ShareAllocator::waterLevel(double amount) const
 {
     std::vector<double> demands;
     for (const auto &[name, holder] : m_holders) {
@@ -201,7 +204,7 @@
     return demands.empty() ? 0.0 : demands.back();
 }
 
-double ShareLedger::rounded(double amount, double limit) const
+double ShareAllocator::rounded(double amount, double limit) const
 {
     if (m_terms.unit <= 0.0)
         return amount;
@@ -209,7 +212,7 @@
     return up <= limit ? up : std::floor(amount / m_terms.unit) * m_terms.unit;
 }
 
-void ShareLedger::dropExpired(Instant now)
+void ShareAllocator::dropExpired(Instant now)
 {
     for (auto &[name, holder] : m_holders)
         std::erase_if(holder.given, [&](const Given &given) { return given.expiresAt <= now; });
@@ -219,7 +222,7 @@
     });
 }
 
-double ShareLedger::heldBy(const Holder &holder, Instant now)
+double ShareAllocator::heldBy(const Holder &holder, Instant now)
 {
     double most = holder.inUse;
     for (const Given &given : holder.given) {
--- a/src/libbulrush/process/shareledger.h
+++ b/src/libbulrush/process/shareallocator.h
@@ -54,20 +54,20 @@
  * A domain that is cut off goes on with its own part, and gets back what it lent when the loan has
  * run out. Not thread safe.
  */
-class ShareLedger
+class ShareAllocator
 {
 public:
     /**
      * \a own is the domain's part of the limit, \a epoch that of the steward.
      */
-    ShareLedger(double own, std::uint64_t epoch, ShareTerms terms);
+    ShareAllocator(double own, std::uint64_t epoch, ShareTerms terms);
 
     /**
      * Makes a ledger that follows another at \a now. It does not know what its predecessor gave:
      * until the longest of that has run out it confirms what holders say they hold, and gives
      * nothing new.
      */
-    static ShareLedger successor(double own, std::uint64_t epoch, ShareTerms terms, Instant now);
+    static ShareAllocator successor(double own, std::uint64_t epoch, ShareTerms terms, Instant now);
 
     /**
      * Ends the successor's wait early. \pre every daemon and domain that the predecessor may have
@@ -96,8 +96,8 @@
      */
     ShareDemand loanDemand(const DomainName &lender, Instant now) const;
 
-    /** A loan has come, for a demand told at \a askedAt. One older than the last is ignored. */
-    void loanGranted(const DomainName &lender, const ShareGrant &grant, Instant askedAt);
+    /** A loan has come, for a demand told at \a requestedAt. One older than the last is ignored. */
+    void applyLoanGrant(const DomainName &lender, const ShareGrant &grant, Instant requestedAt);
 
     /** \returns the sum that holders may be acting by at \a now. */
     double outstanding(Instant now) const;
--- a/src/libbulrush/process/versionstore.h
+++ b/src/libbulrush/process/versionstore.h
@@ -27,7 +27,7 @@
 struct PlatformListing
 {
     /** When the reading was asked for, not when it was answered. */
-    Instant askedAt;
+    Instant requestedAt;
     std::vector<VersionedItem> items;
 };
 
@@ -82,9 +82,9 @@
 
     /**
      * Notes that a peer held the same set as this store.
-     * \param askedAt when the peer was asked; \param peerAge how old the peer's certainty was.
+     * \param requestedAt when the peer was asked; \param peerAge how old the peer's certainty was.
      */
-    void confirmSameAsPeer(Instant askedAt, Duration peerAge);
+    void confirmSameAsPeer(Instant requestedAt, Duration peerAge);
 
     /**
      * \returns whether \a header names something newer than what is held.
@@ -119,7 +119,7 @@
      * \returns for how long this daemon has been unable to be sure that it is current: since
      * currentAsOf(), or since its start.
      */
-    Duration unsureFor(Instant now) const;
+    Duration unconfirmedDuration(Instant now) const;
 
     const VersionStoreCounters &counters() const;
 
--- a/src/libbulrush/request/claim.h
+++ b/src/libbulrush/request/claim.h
@@ -79,26 +79,26 @@
 { };
 
 /** The caller has gone, or waits no longer: it is answered, whatever is under way. */
-struct ClaimGivenUp
+struct ClaimAbandoned
 {
     FailurePoint reason = FailurePoint::DeadlineBeforeDispatch;
 };
 
-/** The time asked for with SettleLater has come. */
-struct ClaimSettleDue
+/** The time asked for with ScheduleClaimRecheck has come. */
+struct ClaimRecheckDue
 { };
 
 /** The dispatched request has its end. */
-struct ClaimedWorkEnded
+struct ClaimedRequestFinished
 {
     Outcome outcome;
     /** What to answer a caller that asks again; for a whole answer. */
     std::string storedAnswer;
 };
 
-using ClaimEvent =
-    std::variant<ClaimWriteCommitted, ClaimWriteConflicted, ClaimWriteNotSent, ClaimWriteLost,
-                 ClaimRowRead, ClaimReadFailed, ClaimGivenUp, ClaimSettleDue, ClaimedWorkEnded>;
+using ClaimEvent = std::variant<ClaimWriteCommitted, ClaimWriteConflicted, ClaimWriteNotSent,
+                                ClaimWriteLost, ClaimRowRead, ClaimReadFailed, ClaimAbandoned,
+                                ClaimRecheckDue, ClaimedRequestFinished>;
 
 // Actions of a claim.
 
@@ -118,9 +118,9 @@
 };
 
 /** Send the request to a backend server: said once at most. */
-struct DispatchClaimed
+struct DispatchClaimedRequest
 {
-    bool operator==(const DispatchClaimed &) const = default;
+    bool operator==(const DispatchClaimedRequest &) const = default;
 };
 
 /** Give the caller its end, now. */
@@ -140,29 +140,30 @@
 };
 
 /** Give the caller outcomeOfHeldClaim(): another request with its key holds the claim. */
-struct AnswerByHolder
+struct AnswerForHeldClaim
 {
     Incarnation holder;
 
-    bool operator==(const AnswerByHolder &) const = default;
+    bool operator==(const AnswerForHeldClaim &) const = default;
 };
 
-/** Send ClaimSettleDue after a while; the caller has its answer already. */
-struct SettleLater
+/** Send ClaimRecheckDue after a while; the caller has its answer already. */
+struct ScheduleClaimRecheck
 {
     Duration delay;
 
-    bool operator==(const SettleLater &) const = default;
+    bool operator==(const ScheduleClaimRecheck &) const = default;
 };
 
 /** The claim needs nothing more. */
-struct ForgetClaim
+struct DiscardClaim
 {
-    bool operator==(const ForgetClaim &) const = default;
+    bool operator==(const DiscardClaim &) const = default;
 };
 
-using ClaimAction = std::variant<WriteClaim, ReadClaim, DispatchClaimed, AnswerCaller, AnswerStored,
-                                 AnswerByHolder, SettleLater, ForgetClaim>;
+using ClaimAction =
+    std::variant<WriteClaim, ReadClaim, DispatchClaimedRequest, AnswerCaller, AnswerStored,
+                 AnswerForHeldClaim, ScheduleClaimRecheck, DiscardClaim>;
 using ClaimActions = std::vector<ClaimAction>;
 
 /** What is known of the daemon that holds a claim. */
@@ -242,7 +243,7 @@
     ClaimActions onReadFailed();
     ClaimActions onGivenUp(FailurePoint reason);
     ClaimActions onSettleDue();
-    ClaimActions onWorkEnded(const ClaimedWorkEnded &ended);
+    ClaimActions onWorkEnded(const ClaimedRequestFinished &ended);
     ClaimActions dispatchIfInTime(std::uint64_t version, Instant now);
     ClaimActions answerByOther(const ClaimRow &row);
     ClaimActions refuse(FailurePoint point);
--- a/src/libbulrushentry/rowsfeed.cpp
+++ b/src/libbulrushentry/rowsfeed.cpp
@@ -108,7 +108,7 @@
     const std::uint64_t version = held.request.version;
     const auto [place, isNew] = encoded.try_emplace({held.follower, version});
     if (isNew) {
-        place->second.rows = held.follower->rowsSince(version, held.askedAt);
+        place->second.rows = held.follower->rowsSince(version, held.requestedAt);
         place->second.list = encodeRowList(place->second.rows);
         place->second.rows.rows.clear();
     }
@@ -122,7 +122,7 @@
 bool RowsFeed::tryAnswer(const HeldRequest &held, EncodedChanges &encoded, Instant now)
 {
     const bool isFresh = held.follower->isFresh(now);
-    const bool hasWaited = now - held.askedAt >= held.request.wait;
+    const bool hasWaited = now - held.requestedAt >= held.request.wait;
     if (!held.follower->isServing() || (hasWaited && !isFresh)) {
         held.writer->send(io::refusal(serviceUnavailable));
         return true;
@@ -133,7 +133,7 @@
     if (!isFresh || (!isNewer && !hasWaited))
         return false;
     EncodedRows &changes = changesFor(held, encoded);
-    changes.rows.age = held.askedAt - held.follower->confirmedAt();
+    changes.rows.age = held.requestedAt - held.follower->confirmedAt();
     std::string body = encodeRows(changes.rows, changes.list);
     if (!m_admission.admits(held.request.table, body.size(), now)) {
         held.writer->send(io::refusal(busyStatus));
--- a/src/libbulrushentry/rowsfeed.h
+++ b/src/libbulrushentry/rowsfeed.h
@@ -66,7 +66,7 @@
         FeedRequest request;
         const TableFollower *follower;
         std::shared_ptr<io::ResponseWriter> writer;
-        Instant askedAt;
+        Instant requestedAt;
         /** A confirmation by the store that is later than this is worth an answer. */
         Instant newerThan;
     };
--- a/src/libbulrushentry/tablefollower.cpp
+++ b/src/libbulrushentry/tablefollower.cpp
@@ -451,10 +451,10 @@
         && (!m_timings.confirmation || now - m_confirmedAt < m_timings.confirmation->askStoreAfter);
 }
 
-RelayedRows TableFollower::rowsSince(std::uint64_t version, Instant askedAt) const
+RelayedRows TableFollower::rowsSince(std::uint64_t version, Instant requestedAt) const
 {
     RelayedRows result = m_rows.since(version);
-    result.age = askedAt - m_confirmedAt;
+    result.age = requestedAt - m_confirmedAt;
     result.chain = m_chainLength;
     return result;
 }
--- a/src/libbulrushentry/tablefollower.h
+++ b/src/libbulrushentry/tablefollower.h
@@ -151,7 +151,7 @@
     std::uint64_t version() const;
 
     /** \returns the changes after \a version, or all rows. \pre hasRows() */
-    RelayedRows rowsSince(std::uint64_t version, Instant askedAt) const;
+    RelayedRows rowsSince(std::uint64_t version, Instant requestedAt) const;
 
 private:
     void begin(ChangeHandler changed, AnswerHandler answered);
--- a/src/libbulrushio/connection/proxyexchange.cpp
+++ b/src/libbulrushio/connection/proxyexchange.cpp
@@ -145,7 +145,7 @@
     m_answerHead = std::move(head);
     const Outcome outcome = outcomeOfAnswer(m_result.status, parseRanStatement(m_result.ran),
                                             m_result.reason, Duration{});
-    m_isRefused = !std::holds_alternative<WholeAnswer>(outcome);
+    m_isRefused = !std::holds_alternative<CompleteAnswer>(outcome);
     if (m_target.captureLimit > 0)
         m_result.contentType = firstFieldValue(m_answerHead.headers, "Content-Type");
 }
--- a/src/libbulrushio/process/leasecodec.cpp
+++ b/src/libbulrushio/process/leasecodec.cpp
@@ -13,7 +13,7 @@
 
 constexpr std::array<std::string_view, 3> orderKindNames{"prepare", "revoke", "grant"};
 
-Json::Value encodePiece(const SlicePiece &piece)
+Json::Value encodePiece(const ServiceKeyRange &piece)
 {
     Json::Value json{Json::objectValue};
     json["service"] = piece.service.value();
@@ -22,9 +22,9 @@
     return json;
 }
 
-SlicePiece decodePiece(JsonReader &reader)
+ServiceKeyRange decodePiece(JsonReader &reader)
 {
-    SlicePiece piece;
+    ServiceKeyRange piece;
     piece.service = ServiceName{reader.text("service")};
     const auto begin = hashFromHex(reader.text("begin"));
     const auto end = hashFromHex(reader.text("end"));
