--- a/src/libbulrushio/process/peermessagecodec.cpp
+++ b/src/libbulrushio/process/peermessagecodec.cpp
@@ -195,7 +195,7 @@
     return buckets;
 }
 
-void encodeNews(Json::Value &value, const News &news)
+void encodeNews(Json::Value &value, const GossipUpdate &news)
 {
     if (!news.members.empty())
         value["members"] = encodeList(news.members);
@@ -203,9 +203,9 @@
         value["items"] = encodeList(news.items);
 }
 
-News decodeNews(const Json::Value &value)
+GossipUpdate decodeNews(const Json::Value &value)
 {
-    News news;
+    GossipUpdate news;
     if (value.isMember("members")) {
         for (const Json::Value &member : listOf(value["members"]))
             news.members.push_back(decodeMember(member));
@@ -261,7 +261,7 @@
         encodeNews(value, ack.news);
     }
 
-    void operator()(const NewsPush &push) const
+    void operator()(const GossipPush &push) const
     {
         value["kind"] = "news";
         encodeNews(value, push.news);
@@ -333,7 +333,7 @@
     if (kind == "ack")
         return Ack{numberOf(value["sequence"]), decodeSummary(value), decodeNews(value)};
     if (kind == "news")
-        return NewsPush{decodeNews(value)};
+        return GossipPush{decodeNews(value)};
     if (kind == "indirectPing")
         return IndirectPing{numberOf(value["sequence"]), HostName(textOf(value["target"]))};
     if (kind == "indirectAck")
--- a/src/libbulrushio/process/stewardcodec.cpp
+++ b/src/libbulrushio/process/stewardcodec.cpp
@@ -11,7 +11,7 @@
 
 constexpr std::array<std::string_view, 3> verdictNames{"promised", "refused", "resigned"};
 
-Json::Value encodeCandidate(const StewardCandidate &candidate)
+Json::Value encodeCandidate(const LeaderCandidate &candidate)
 {
     Json::Value json{Json::objectValue};
     json["incarnation"] = candidate.incarnation.value();
@@ -20,9 +20,9 @@
     return json;
 }
 
-std::vector<StewardCandidate> decodeCandidates(JsonReader &row)
+std::vector<LeaderCandidate> decodeCandidates(JsonReader &row)
 {
-    std::vector<StewardCandidate> candidates;
+    std::vector<LeaderCandidate> candidates;
     for (const Json::Value &entry : row.list("candidates")) {
         JsonReader reader{entry};
         candidates.push_back({Incarnation{reader.text("incarnation")},
@@ -44,7 +44,7 @@
 
 } // namespace
 
-Json::Value encodeStewardRow(const StewardRow &row)
+Json::Value encodeStewardRow(const LeaderRow &row)
 {
     Json::Value json{Json::objectValue};
     json["holder"] = row.holder.value();
@@ -56,7 +56,7 @@
     json["workPastLeaseNs"] = jsonOf(row.workPastLease);
     json["renewal"] = jsonOf(row.renewal);
     json["candidates"] = Json::Value{Json::arrayValue};
-    for (const StewardCandidate &candidate : row.candidates)
+    for (const LeaderCandidate &candidate : row.candidates)
         json["candidates"].append(encodeCandidate(candidate));
     json["isReleased"] = row.isReleased;
     json["successor"] = row.successor.value();
@@ -65,10 +65,10 @@
     return json;
 }
 
-std::optional<StewardRow> decodeStewardRow(const Json::Value &json)
+std::optional<LeaderRow> decodeStewardRow(const Json::Value &json)
 {
     JsonReader reader{json};
-    StewardRow row;
+    LeaderRow row;
     row.holder = Incarnation{reader.text("holder")};
     row.holderAddress = reader.text("holderAddress");
     row.epoch = reader.number("epoch");
@@ -81,14 +81,14 @@
     row.isReleased = reader.flag("isReleased");
     row.successor = Incarnation{reader.text("successor")};
     row.writer = Incarnation{reader.text("writer")};
-    row.writeId = StewardWriteId{reader.text("writeId")};
+    row.writeId = LeaderWriteId{reader.text("writeId")};
     if (!reader.isValid())
         return std::nullopt;
     return row;
 }
 
 Json::Value encodePromiseRequest(const DomainName &domain, const Incarnation &from,
-                                 const AskPromise &question)
+                                 const RequestPromise &question)
 {
     Json::Value json{Json::objectValue};
     json["domain"] = domain.value();
@@ -100,11 +100,11 @@
     return json;
 }
 
-std::optional<PromiseAsked> decodePromiseRequest(const Json::Value &json)
+std::optional<PromiseRequested> decodePromiseRequest(const Json::Value &json)
 {
     JsonReader reader{json};
-    const PromiseAsked question{Incarnation{reader.text("from")}, reader.number("epoch"),
-                                reader.span("lengthNs"), reader.number("askId")};
+    const PromiseRequested question{Incarnation{reader.text("from")}, reader.number("epoch"),
+                                    reader.span("lengthNs"), reader.number("askId")};
     if (!reader.isValid())
         return std::nullopt;
     return question;
@@ -131,7 +131,7 @@
     return release;
 }
 
-Json::Value encodePromiseAnswer(const PromiseAnswered &answer)
+Json::Value encodePromiseAnswer(const PromiseRequestAnswered &answer)
 {
     Json::Value json{Json::objectValue};
     json["from"] = answer.from.value();
@@ -141,15 +141,15 @@
     return json;
 }
 
-std::optional<PromiseAnswered> decodePromiseAnswer(const Json::Value &json)
+std::optional<PromiseRequestAnswered> decodePromiseAnswer(const Json::Value &json)
 {
     JsonReader reader{json};
     const auto verdict = verdictOf(reader.text("verdict"));
     if (!verdict)
         return std::nullopt;
 
-    const PromiseAnswered answer{Incarnation{reader.text("from")}, reader.number("epoch"),
-                                 reader.number("askId"), *verdict};
+    const PromiseRequestAnswered answer{Incarnation{reader.text("from")}, reader.number("epoch"),
+                                        reader.number("askId"), *verdict};
     if (!reader.isValid())
         return std::nullopt;
     return answer;
--- a/src/libbulrushio/process/stewardcodec.h
+++ b/src/libbulrushio/process/stewardcodec.h
@@ -1,8 +1,8 @@
 #pragma once
 
-#include "process/stewardaction.h"
-#include "process/stewardevent.h"
-#include "process/stewardrow.h"
+#include "process/leaderelectionaction.h"
+#include "process/leaderelectionevent.h"
+#include "process/leaderrow.h"
 
 #include <json/value.h>
 
@@ -11,23 +11,23 @@
 namespace bulrush::io {
 
 /** \returns \a row in the JSON format of the platform's table. */
-Json::Value encodeStewardRow(const StewardRow &row);
+Json::Value encodeStewardRow(const LeaderRow &row);
 
 /** \returns the row in \a json, or nothing if a field is missing or of another type. */
-std::optional<StewardRow> decodeStewardRow(const Json::Value &json);
+std::optional<LeaderRow> decodeStewardRow(const Json::Value &json);
 
 /** \returns a promise request encoded as the parameters of a remote call. */
 Json::Value encodePromiseRequest(const DomainName &domain, const Incarnation &from,
-                                 const AskPromise &question);
+                                 const RequestPromise &question);
 
 /** \returns the promise request in \a json, or nothing if it is invalid. */
-std::optional<PromiseAsked> decodePromiseRequest(const Json::Value &json);
+std::optional<PromiseRequested> decodePromiseRequest(const Json::Value &json);
 
 /** \returns \a answer encoded as the result of a remote call. */
-Json::Value encodePromiseAnswer(const PromiseAnswered &answer);
+Json::Value encodePromiseAnswer(const PromiseRequestAnswered &answer);
 
 /** \returns the answer in \a json, or nothing if it is invalid. */
-std::optional<PromiseAnswered> decodePromiseAnswer(const Json::Value &json);
+std::optional<PromiseRequestAnswered> decodePromiseAnswer(const Json::Value &json);
 
 /** \returns a release of promises encoded as the parameters of a remote call. */
 Json::Value encodePromiseRelease(const DomainName &domain, const ReleasePromise &release);
--- a/src/libbulrushio/version/burnreport.cpp
+++ b/src/libbulrushio/version/burnreport.cpp
@@ -220,7 +220,7 @@
     if (report.partlyObserved > 0)
         lines.push_back(fmt::format("Counting for less than 3 days: {}, the shortest for {}. What "
                                     "earlier daemons counted there is lost.",
-                                    report.partlyObserved, spanText(report.shortestObserved)));
+                                    report.partlyObserved, spanText(report.minObservedDuration)));
     const bool isMixed = std::ranges::any_of(report.rows, &BurnRow::hasMixedTargets);
     if (isMixed)
         lines.push_back("* Daemons judged by different targets; the strictest is shown.");
@@ -468,7 +468,7 @@
     value["reported"] = encodeHosts(report.reported);
     value["missing"] = encodeHosts(report.missing);
     value["partlyObserved"] = numberValue(report.partlyObserved);
-    value["shortestObservedSeconds"] = secondsOf(report.shortestObserved);
+    value["shortestObservedSeconds"] = secondsOf(report.minObservedDuration);
     return serialize(value, "  ") + "\n";
 }
 
--- a/tests/bulrushctl/test_operatorcommands.cpp
+++ b/tests/bulrushctl/test_operatorcommands.cpp
@@ -44,18 +44,18 @@
 
 Json::Value leaderRowJson()
 {
-    StewardRow row;
+    LeaderRow row;
     row.holder = Incarnation{"antwerp-1/7"};
     row.epoch = 4;
     row.leaseLength = 1200ms;
     row.promiseLength = 10s;
     row.candidates = {{Incarnation{"ghent-1/3"}, DomainName{"ghent"}, "127.0.0.21:8081"}};
     row.writer = row.holder;
-    row.writeId = StewardWriteId{"w1"};
+    row.writeId = LeaderWriteId{"w1"};
     return io::encodeStewardRow(row);
 }
 
-StewardRow leaderRowOf(const FakePlatform &platform)
+LeaderRow leaderRowOf(const FakePlatform &platform)
 {
     const auto row = io::decodeStewardRow(platform.row(leaderRowId).value);
     BOOST_REQUIRE(row);
@@ -109,7 +109,7 @@
     BOOST_TEST(fixture.platform.row(leaderRowId).version == 1u);
 
     BOOST_CHECK(fixture.commands.releaseLeadership(DomainName{"antwerp"}, true) == ExitCode::Done);
-    const StewardRow row = leaderRowOf(fixture.platform);
+    const LeaderRow row = leaderRowOf(fixture.platform);
     BOOST_TEST(row.isReleased);
     BOOST_CHECK(row.leaseLength == 11200ms);
     BOOST_TEST(row.candidates.empty());
--- a/tests/bulrushctl/test_platformprocess.cpp
+++ b/tests/bulrushctl/test_platformprocess.cpp
@@ -2,7 +2,7 @@
 
 #include "commandline.h"
 #include "standinprocess/childprocess.h"
-#include "standinprocess/synchttp.h"
+#include "standinprocess/synchttpclient.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -40,7 +40,7 @@
 
     void setFaults(const std::string &body)
     {
-        SyncHttp http;
+        SyncHttpClient http;
         BOOST_REQUIRE(http.post(platform.address("antwerp") + "/_faults", body).status == 200);
     }
 };
--- a/tests/entryfleet/entryfleet.h
+++ b/tests/entryfleet/entryfleet.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "standinprocess/childprocess.h"
-#include "standinprocess/synchttp.h"
+#include "standinprocess/synchttpclient.h"
 
 #include <json/value.h>
 
@@ -195,7 +195,7 @@
     std::map<std::string, int> m_split;
     int m_version = 0;
     int m_nextRequest = 1;
-    SyncHttp m_http;
+    SyncHttpClient m_http;
 };
 
 } // namespace bulrush::test
--- a/tests/entryfleet/test_entryanswers.cpp
+++ b/tests/entryfleet/test_entryanswers.cpp
@@ -282,7 +282,7 @@
     std::map<int, int> statuses;
     std::vector<std::string> answers;
     for (const auto &caller : callers)
-        answers.push_back(caller->receiveToEnd());
+        answers.push_back(caller->receiveUntilClosed());
     // After this time, all requests in the queues of the servers have run.
     std::this_thread::sleep_for(2s);
     for (const RequestRun &run : fleet.runs())
--- a/tests/entryfleet/test_entrycallers.cpp
+++ b/tests/entryfleet/test_entrycallers.cpp
@@ -56,7 +56,7 @@
     caller.send(requests);
     std::string answers;
     BOOST_TEST(EntryFleet::eventually([&] {
-        answers += caller.receivedSoFar();
+        answers += caller.receiveAvailable();
         return answers.find("request=p7") != std::string::npos;
     }));
     const auto took = Clock::now() - start;
@@ -74,7 +74,7 @@
     std::string last = readOf("last", 3);
     last.insert(last.size() - 2, "Connection: close\r\n");
     closing.send(readOf("before", 4) + last + readOf("behind", 5));
-    const std::string ended = closing.receiveToEnd();
+    const std::string ended = closing.receiveUntilClosed();
     BOOST_TEST(ended.find("request=before") != std::string::npos, ended);
     BOOST_TEST(ended.find("request=last") != std::string::npos, ended);
     for (const RequestRun &run : runs())
@@ -89,7 +89,7 @@
         requests += readOf("s" + std::to_string(i), i * 8192);
     caller.send(requests);
     daemon("a1").terminate();
-    const std::string answers = caller.receiveToEnd();
+    const std::string answers = caller.receiveUntilClosed();
     for (const RequestRun &run : runs()) {
         BOOST_TEST((!run.request.starts_with('s')
                     || answers.find("request=" + run.request) != std::string::npos),
@@ -199,7 +199,7 @@
         caller.send(headOf(id, "/pay/x", 3) + "one");
         std::string answer;
         BOOST_TEST(EntryFleet::eventually([&] {
-            answer += caller.receivedSoFar();
+            answer += caller.receiveAvailable();
             return answer.find("request=" + id) != std::string::npos;
         }));
         BOOST_TEST(answer.starts_with("HTTP/1.1 200"), answer);
--- a/tests/entryfleet/test_entrycrashes.cpp
+++ b/tests/entryfleet/test_entrycrashes.cpp
@@ -53,7 +53,7 @@
 private:
     void call(const SyncHttpRequest &prototype, std::size_t caller)
     {
-        SyncHttp http;
+        SyncHttpClient http;
         for (int i = 0; !m_isStopped; ++i) {
             SyncHttpRequest request = prototype;
             request.headers.push_back({"X-Bulrushswitch-Request-Id",
@@ -198,7 +198,7 @@
     std::vector<std::thread> readers;
     for (const std::string &host : hosts)
         readers.emplace_back([this, host] {
-            SyncHttp http;
+            SyncHttpClient http;
             SyncHttpRequest request;
             request.url = callersAddress(host) + "/find/popular";
             request.headers = {{"Host", "shop.example"},
--- a/tests/entryfleet/test_entryshutdown.cpp
+++ b/tests/entryfleet/test_entryshutdown.cpp
@@ -48,7 +48,7 @@
         request.headers = {{"Host", "shop.example"},
                            {"X-Bulrushswitch-Request-Id", id},
                            {"X-Bulrushswitch-Deadline-Ms", std::to_string(deadlineMs)}};
-        return std::async(std::launch::async, [request] { return SyncHttp{}.send(request); });
+        return std::async(std::launch::async, [request] { return SyncHttpClient{}.send(request); });
     }
 };
 
@@ -102,7 +102,7 @@
     // By now new requests are rejected, and no request is in flight.
     std::this_thread::sleep_for(1500ms);
     caller.send(request.substr(request.size() / 2));
-    const std::string answer = caller.receiveToEnd();
+    const std::string answer = caller.receiveUntilClosed();
     BOOST_TEST(answer.starts_with("HTTP/1.1 503"), answer);
     BOOST_TEST(daemon("a1").terminate().code.value_or(-1) == 0);
 }
@@ -123,7 +123,7 @@
     caller.send(std::string_view{body}.substr(body.size() / 2));
     std::string answer;
     BOOST_TEST(eventually([&] {
-        answer += caller.receivedSoFar();
+        answer += caller.receiveAvailable();
         return answer.find("request=up") != std::string::npos;
     }));
     BOOST_TEST(answer.starts_with("HTTP/1.1 200"), answer);
@@ -140,7 +140,7 @@
             + "\r\nX-Bulrushswitch-Deadline-Ms: 4000\r\nX-Bulrushswitch-Shard-Key: 7\r\n\r\n");
         std::string answer;
         BOOST_TEST(eventually([&] {
-            answer += caller.receivedSoFar();
+            answer += caller.receiveAvailable();
             return answer.find("request=" + id) != std::string::npos;
         }));
         return answer;
@@ -193,7 +193,7 @@
                        {"X-Bulrushswitch-Request-Id", "left"},
                        {"X-Bulrushswitch-Deadline-Ms", "4000"}};
     request.timeout = 200ms;
-    BOOST_TEST(SyncHttp{}.send(request).curlCode != 0);
+    BOOST_TEST(SyncHttpClient{}.send(request).curlCode != 0);
     BOOST_TEST(eventually([&] {
         return page("a1", "/metrics").find("bulrush_callers_gone_total 1") != std::string::npos;
     }));
--- a/tests/fleet/fleet.cpp
+++ b/tests/fleet/fleet.cpp
@@ -162,7 +162,7 @@
     return m_http.get(daemon(host).address("operators") + "/assignment?domain=" + domain).json();
 }
 
-std::string Fleet::stewardOf(const std::string &domain, const std::string &asked)
+std::string Fleet::leaderOf(const std::string &domain, const std::string &asked)
 {
     const Json::Value view = status(asked);
     for (const Json::Value &leader : view["stewards"]) {
--- a/tests/fleet/fleet.h
+++ b/tests/fleet/fleet.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "standinprocess/childprocess.h"
-#include "standinprocess/synchttp.h"
+#include "standinprocess/synchttpclient.h"
 
 #include <json/value.h>
 
@@ -73,7 +73,7 @@
     Json::Value assignment(const std::string &host, const std::string &domain);
 
     /** \returns the host of the leader of \a domain by the status of host \a asked, or "". */
-    std::string stewardOf(const std::string &domain, const std::string &asked);
+    std::string leaderOf(const std::string &domain, const std::string &asked);
 
     /** Sets the platform's faults for the calls of one domain, or of all domains for "*". */
     void setPlatformFault(const std::string &domain, const std::string &mode, int loseAnswers = 0);
@@ -126,7 +126,7 @@
     std::map<std::string, std::unique_ptr<ChildProcess>> m_daemons;
     std::uint64_t m_contractVersion = 0;
     std::string m_lastProblem;
-    SyncHttp m_http;
+    SyncHttpClient m_http;
 };
 
 } // namespace bulrush::test
--- a/tests/fleet/test_drains.cpp
+++ b/tests/fleet/test_drains.cpp
@@ -17,7 +17,7 @@
     Fleet fleet{shape};
     SyncHttpResult upload;
     std::thread caller{[&, address = fleet.daemon("a1").address("callers")] {
-        SyncHttp http;
+        SyncHttpClient http;
         SyncHttpRequest put;
         put.method = "PUT";
         put.url = address + "/uploads/long";
--- a/tests/fleet/test_freezes.cpp
+++ b/tests/fleet/test_freezes.cpp
@@ -44,16 +44,16 @@
 BOOST_AUTO_TEST_CASE(frozenLeaderIsReplacedAndResumesWithoutLeadership)
 {
     Fleet fleet;
-    const std::string leader = fleet.stewardOf("b", "b1");
+    const std::string leader = fleet.leaderOf("b", "b1");
     BOOST_REQUIRE(!leader.empty());
     const std::string other = leader == "b1" ? "b2" : "b1";
     fleet.daemon(leader).stop();
 
-    BOOST_TEST(Fleet::eventually([&] { return fleet.stewardOf("b", other) == other; }));
+    BOOST_TEST(Fleet::eventually([&] { return fleet.leaderOf("b", other) == other; }));
     BOOST_TEST(Fleet::eventually([&] { return fleet.servesKeys(other, 60); }));
 
     fleet.daemon(leader).resume();
     BOOST_TEST(Fleet::eventually([&] { return fleet.servesKeys(leader, 60); }));
-    BOOST_TEST(fleet.stewardOf("b", leader) == other);
+    BOOST_TEST(fleet.leaderOf("b", leader) == other);
     BOOST_TEST(fleet.firstOverlap() == "");
 }
--- a/tests/fleet/test_losses.cpp
+++ b/tests/fleet/test_losses.cpp
@@ -43,12 +43,12 @@
 BOOST_AUTO_TEST_CASE(killedLeaderAndServerManagerAreReplaced)
 {
     Fleet fleet;
-    const std::string leader = fleet.stewardOf("a", "a1");
+    const std::string leader = fleet.leaderOf("a", "a1");
     BOOST_REQUIRE(!leader.empty());
     const std::string other = leader == "a1" ? "a2" : "a1";
     fleet.daemon(leader).kill();
 
-    BOOST_TEST(Fleet::eventually([&] { return fleet.stewardOf("a", other) == other; }));
+    BOOST_TEST(Fleet::eventually([&] { return fleet.leaderOf("a", other) == other; }));
     BOOST_TEST(Fleet::eventually([&] { return fleet.servesKeys(other, 60); }));
     BOOST_TEST(fleet.servesKeys("b1", 60));
     BOOST_TEST(fleet.firstOverlap() == "");
--- a/tests/fleet/test_outages.cpp
+++ b/tests/fleet/test_outages.cpp
@@ -29,7 +29,7 @@
 BOOST_AUTO_TEST_CASE(keysAreServedDuringAPlatformOutage)
 {
     Fleet fleet;
-    const std::string leader = fleet.stewardOf("a", "a1");
+    const std::string leader = fleet.leaderOf("a", "a1");
     fleet.setPlatformFault("*", "down");
     BOOST_TEST(Fleet::eventually([&] { return holdsByPromisesOnly(fleet, "a", leader); }));
 
@@ -52,7 +52,7 @@
 BOOST_AUTO_TEST_CASE(serverLostDuringAnOutageIsReplacedWithinItsDomain)
 {
     Fleet fleet;
-    const std::string leader = fleet.stewardOf("a", "a1");
+    const std::string leader = fleet.leaderOf("a", "a1");
     fleet.setPlatformFault("*", "down");
     BOOST_TEST(Fleet::eventually([&] { return holdsByPromisesOnly(fleet, "a", leader); }));
     fleet.server("catalogue-a1").kill();
@@ -66,7 +66,7 @@
 BOOST_AUTO_TEST_CASE(domainWithoutThePlatformKeepsServing)
 {
     Fleet fleet;
-    const std::string leader = fleet.stewardOf("c", "c1");
+    const std::string leader = fleet.leaderOf("c", "c1");
     fleet.setPlatformFault("c", "down");
     std::this_thread::sleep_for(outageDuration);
 
--- a/tests/handover/test_handover.cpp
+++ b/tests/handover/test_handover.cpp
@@ -1,5 +1,5 @@
 #define BOOST_TEST_MODULE handover
-#include "ownershipworld.h"
+#include "ownershipsimulation.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -34,7 +34,7 @@
 }
 
 /** Adds a summary of the observations and checks the invariants of all scenarios. */
-void finish(OwnershipWorld &simulation, const std::string &name, int keys = 8)
+void finish(OwnershipSimulation &simulation, const std::string &name, int keys = 8)
 {
     Duration worst{0};
     std::ostringstream summary;
@@ -58,7 +58,7 @@
 
 BOOST_AUTO_TEST_CASE(planned_move)
 {
-    OwnershipWorld simulation({});
+    OwnershipSimulation simulation({});
     simulation.at(2s, [&] { simulation.moveSlice(0, 1); });
     simulation.runUntil(10s);
     BOOST_TEST((simulation.unavailable(0, 1s, 9s) < plannedMoveLimit));
@@ -68,7 +68,7 @@
 
 BOOST_AUTO_TEST_CASE(server_frozen_past_its_grant_and_thawed)
 {
-    OwnershipWorld simulation({});
+    OwnershipSimulation simulation({});
     simulation.at(2s, [&] { simulation.freezeServer(1); });
     simulation.at(6s, [&] { simulation.thawServer(1); });
     simulation.runUntil(10s);
@@ -78,9 +78,9 @@
 
 BOOST_AUTO_TEST_CASE(checking_server_frozen_past_its_grant_and_thawed)
 {
-    WorldSettings settings;
+    SimulationSettings settings;
     settings.checksFence = true;
-    OwnershipWorld simulation(settings);
+    OwnershipSimulation simulation(settings);
     simulation.at(2s, [&] { simulation.freezeServer(1); });
     simulation.at(6s, [&] { simulation.thawServer(1); });
     simulation.runUntil(10s);
@@ -89,7 +89,7 @@
 
 BOOST_AUTO_TEST_CASE(server_killed)
 {
-    OwnershipWorld simulation({});
+    OwnershipSimulation simulation({});
     simulation.at(2s, [&] { simulation.killServer(1); });
     simulation.runUntil(10s);
     finish(simulation, "server_killed");
@@ -97,7 +97,7 @@
 
 BOOST_AUTO_TEST_CASE(attendant_frozen_and_thawed)
 {
-    OwnershipWorld simulation({});
+    OwnershipSimulation simulation({});
     simulation.at(2s, [&] { simulation.freezeDaemon(1); });
     simulation.at(6s, [&] { simulation.thawDaemon(1); });
     simulation.runUntil(10s);
@@ -107,7 +107,7 @@
 
 BOOST_AUTO_TEST_CASE(attendant_killed)
 {
-    OwnershipWorld simulation({});
+    OwnershipSimulation simulation({});
     simulation.at(2s, [&] { simulation.killDaemon(0); });
     simulation.runUntil(10s);
     finish(simulation, "attendant_killed");
@@ -115,9 +115,9 @@
 
 BOOST_AUTO_TEST_CASE(attendant_of_a_checking_server_killed)
 {
-    WorldSettings settings;
+    SimulationSettings settings;
     settings.checksFence = true;
-    OwnershipWorld simulation(settings);
+    OwnershipSimulation simulation(settings);
     simulation.at(2s, [&] { simulation.killDaemon(0); });
     simulation.runUntil(10s);
     finish(simulation, "attendant_of_checking_server_killed");
@@ -125,7 +125,7 @@
 
 BOOST_AUTO_TEST_CASE(attendant_and_server_lost_together)
 {
-    OwnershipWorld simulation({});
+    OwnershipSimulation simulation({});
     simulation.at(2s, [&] {
         simulation.killDaemon(1);
         simulation.killServer(1);
@@ -136,9 +136,9 @@
 
 BOOST_AUTO_TEST_CASE(daemon_routes_by_an_old_assignment)
 {
-    WorldSettings settings;
+    SimulationSettings settings;
     settings.terms.pullInterval = 400ms;
-    OwnershipWorld simulation(settings);
+    OwnershipSimulation simulation(settings);
     simulation.at(1900ms, [&] { simulation.setViewsBlocked(2, true); });
     simulation.at(2s, [&] { simulation.moveSlice(0, 1); });
     simulation.at(4s, [&] { simulation.setViewsBlocked(2, false); });
@@ -149,14 +149,14 @@
 
 BOOST_AUTO_TEST_CASE(messages_delayed_duplicated_and_reordered)
 {
-    WorldSettings settings;
+    SimulationSettings settings;
     settings.slowShare = 0.2;
     settings.slowDelay = 400ms;
     settings.duplicateShare = 0.3;
     settings.lossShare = 0.05;
     settings.moves.stopTimeout = 2s;
     settings.moves.deferralPeriod = 100ms;
-    OwnershipWorld simulation(settings);
+    OwnershipSimulation simulation(settings);
     for (int i = 0; i < 6; ++i)
         simulation.at(2s + 700ms * i, [&simulation, i] { simulation.moveSlice(0, (i + 1) % 4); });
     simulation.runUntil(10s);
@@ -166,10 +166,10 @@
 
 BOOST_AUTO_TEST_CASE(unknown_commit_took_effect)
 {
-    OwnershipWorld simulation({});
-    simulation.at(1900ms, [&] { simulation.setPlatform(PlatformFault::AnswerLost); });
+    OwnershipSimulation simulation({});
+    simulation.at(1900ms, [&] { simulation.setPlatformFault(PlatformFault::AnswerLost); });
     simulation.at(2s, [&] { simulation.moveSlice(0, 1); });
-    simulation.at(2100ms, [&] { simulation.setPlatform(PlatformFault::None); });
+    simulation.at(2100ms, [&] { simulation.setPlatformFault(PlatformFault::None); });
     simulation.runUntil(10s);
     BOOST_TEST((simulation.publishedVersion() == bulrush::Fence{1, 2}));
     finish(simulation, "unknown_commit_took_effect");
@@ -177,10 +177,10 @@
 
 BOOST_AUTO_TEST_CASE(unknown_commit_took_no_effect)
 {
-    OwnershipWorld simulation({});
-    simulation.at(1900ms, [&] { simulation.setPlatform(PlatformFault::WriteLost); });
+    OwnershipSimulation simulation({});
+    simulation.at(1900ms, [&] { simulation.setPlatformFault(PlatformFault::WriteLost); });
     simulation.at(2s, [&] { simulation.moveSlice(0, 1); });
-    simulation.at(2100ms, [&] { simulation.setPlatform(PlatformFault::None); });
+    simulation.at(2100ms, [&] { simulation.setPlatformFault(PlatformFault::None); });
     simulation.runUntil(10s);
     BOOST_TEST((simulation.publishedVersion() == bulrush::Fence{1, 2}));
     finish(simulation, "unknown_commit_took_no_effect");
@@ -188,10 +188,10 @@
 
 BOOST_AUTO_TEST_CASE(unknown_commit_takes_effect_late)
 {
-    OwnershipWorld simulation({});
-    simulation.at(1900ms, [&] { simulation.setPlatform(PlatformFault::WriteLate); });
+    OwnershipSimulation simulation({});
+    simulation.at(1900ms, [&] { simulation.setPlatformFault(PlatformFault::WriteLate); });
     simulation.at(2s, [&] { simulation.moveSlice(0, 1); });
-    simulation.at(2100ms, [&] { simulation.setPlatform(PlatformFault::None); });
+    simulation.at(2100ms, [&] { simulation.setPlatformFault(PlatformFault::None); });
     simulation.runUntil(10s);
     BOOST_TEST((simulation.publishedVersion() == bulrush::Fence{1, 2}));
     finish(simulation, "unknown_commit_took_effect_late");
@@ -199,15 +199,15 @@
 
 BOOST_AUTO_TEST_CASE(platform_outage_with_a_lost_server)
 {
-    OwnershipWorld simulation({});
-    simulation.at(1500ms, [&] { simulation.setPlatform(PlatformFault::Down); });
+    OwnershipSimulation simulation({});
+    simulation.at(1500ms, [&] { simulation.setPlatformFault(PlatformFault::Down); });
     simulation.at(2s, [&] { simulation.killServer(1); });
     simulation.at(5s, [&] { simulation.moveSlice(0, 2); });
     simulation.at(6s, [&] {
         BOOST_TEST(simulation.handover()->isUnpublished());
         BOOST_TEST((simulation.publishedVersion() == bulrush::Fence{1, 1}));
     });
-    simulation.at(7s, [&] { simulation.setPlatform(PlatformFault::None); });
+    simulation.at(7s, [&] { simulation.setPlatformFault(PlatformFault::None); });
     simulation.runUntil(10s);
     BOOST_TEST(!simulation.handover()->isUnpublished());
     BOOST_TEST((simulation.publishedVersion() == simulation.handover()->version()));
@@ -216,10 +216,10 @@
 
 BOOST_AUTO_TEST_CASE(platform_goes_down_in_the_middle_of_a_planned_move)
 {
-    OwnershipWorld simulation({});
-    simulation.at(1999ms, [&] { simulation.setPlatform(PlatformFault::Down); });
+    OwnershipSimulation simulation({});
+    simulation.at(1999ms, [&] { simulation.setPlatformFault(PlatformFault::Down); });
     simulation.at(2s, [&] { simulation.moveSlice(0, 1); });
-    simulation.at(7s, [&] { simulation.setPlatform(PlatformFault::None); });
+    simulation.at(7s, [&] { simulation.setPlatformFault(PlatformFault::None); });
     simulation.runUntil(10s);
     BOOST_TEST((simulation.unavailable(0, 1s, 6s) < 500ms));
     finish(simulation, "platform_down_in_planned_move");
@@ -227,11 +227,11 @@
 
 BOOST_AUTO_TEST_CASE(planned_departure_of_a_host_with_an_upload_in_flight)
 {
-    OwnershipWorld simulation({});
+    OwnershipSimulation simulation({});
     simulation.at(1800ms, [&] { simulation.startUpload(0, 3s); });
-    simulation.at(2s, [&] { simulation.leaveDaemon(0); });
+    simulation.at(2s, [&] { simulation.scheduleDeparture(0); });
     simulation.runUntil(10s);
-    BOOST_TEST(simulation.endedUploads() == 1);
+    BOOST_TEST(simulation.completedUploads() == 1);
     for (int key = 0; key < 8; ++key)
         BOOST_TEST((simulation.unavailable(key, 1s, 9s) < plannedMoveLimit));
     finish(simulation, "departure_with_upload");
@@ -240,26 +240,26 @@
 BOOST_AUTO_TEST_CASE(change_of_attendant_becomes_a_move_while_an_upload_runs)
 {
     // Work may still run after all daemons have stopped sending, so the move has to wait for it.
-    WorldSettings settings;
+    SimulationSettings settings;
     settings.moves.commitInterval = 500ms;
-    OwnershipWorld simulation(settings);
+    OwnershipSimulation simulation(settings);
     simulation.at(1800ms, [&] { simulation.startUpload(0, 3s); });
     simulation.at(2s, [&] { simulation.moveSlice(1, 2); });
-    simulation.at(2030ms, [&] { simulation.leaveDaemon(0); });
+    simulation.at(2030ms, [&] { simulation.scheduleDeparture(0); });
     simulation.at(2100ms, [&] { simulation.moveSlice(0, 1); });
     simulation.runUntil(10s);
-    BOOST_TEST(simulation.endedUploads() == 1);
+    BOOST_TEST(simulation.completedUploads() == 1);
     finish(simulation, "attendance_becomes_move");
 }
 
 BOOST_AUTO_TEST_CASE(steward_frozen_and_thawed_after_a_takeover)
 {
-    OwnershipWorld simulation({});
+    OwnershipSimulation simulation({});
     simulation.at(2s, [&] {
-        simulation.freezeSteward();
-        simulation.startSuccessor();
+        simulation.freezeLeader();
+        simulation.startSuccessorAfterTerm();
     });
-    simulation.at(7s, [&] { simulation.thawStewards(); });
+    simulation.at(7s, [&] { simulation.thawLeaders(); });
     simulation.at(7500ms, [&] { simulation.moveSlice(0, 1); });
     simulation.runUntil(10s);
     BOOST_TEST((simulation.publishedVersion().epoch == 2U));
@@ -268,14 +268,14 @@
 
 BOOST_AUTO_TEST_CASE(successor_starts_from_views_above_the_row)
 {
-    OwnershipWorld simulation({});
-    simulation.at(1500ms, [&] { simulation.setPlatform(PlatformFault::Down); });
+    OwnershipSimulation simulation({});
+    simulation.at(1500ms, [&] { simulation.setPlatformFault(PlatformFault::Down); });
     simulation.at(2s, [&] { simulation.killServer(1); });
     simulation.at(4500ms, [&] {
         BOOST_TEST((simulation.publishedVersion() == bulrush::Fence{1, 1}));
-        simulation.killSteward();
-        simulation.setPlatform(PlatformFault::None);
-        simulation.startSuccessor();
+        simulation.killLeader();
+        simulation.setPlatformFault(PlatformFault::None);
+        simulation.startSuccessorAfterTerm();
     });
     simulation.runUntil(10s);
     const bulrush::Assignment assignment = simulation.handover()->assignment();
--- a/tests/handover/test_leases.cpp
+++ b/tests/handover/test_leases.cpp
@@ -1,10 +1,10 @@
 #define BOOST_TEST_MODULE leases
-#include "process/attendancetable.h"
+#include "process/assignmentrecovery.h"
 #include "process/handover.h"
-#include "process/leasebook.h"
 #include "process/ownershipmap.h"
-#include "process/recovery.h"
-#include "process/routingright.h"
+#include "process/routingleaseholder.h"
+#include "process/routingleasetable.h"
+#include "process/servermanagertable.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -17,8 +17,8 @@
 const ServerName s1("s1");
 const ServerName s2("s2");
 const ServiceName catalogue("catalogue");
-const SlicePiece lower{catalogue, {0, 99}};
-const SlicePiece upper{catalogue, {100, 199}};
+const ServiceKeyRange lower{catalogue, {0, 99}};
+const ServiceKeyRange upper{catalogue, {100, 199}};
 constexpr Fence version{1, 1};
 constexpr Instant leadershipEnd{1h};
 
@@ -30,9 +30,9 @@
 /** The leader's lease table and a daemon that may send work of one slice to s1. */
 struct Fixture
 {
-    LeaseTerms terms;
-    LeaseBook leaseTable{terms, 1};
-    RoutingRight holder{d1, terms};
+    RoutingLeaseTimings terms;
+    RoutingLeaseTable leaseTable{terms, 1};
+    RoutingLeaseHolder holder{d1, terms};
     DispatchQuery query{catalogue, 7, s1, Instant(1min), version};
 
     Fixture()
@@ -50,14 +50,14 @@
         holder.accept(answer(holder.makeRequest(version, now), now), now);
     }
 
-    bool mayDispatch(Instant now) const
+    bool checkDispatch(Instant now) const
     {
-        return std::holds_alternative<DispatchAllowed>(holder.mayDispatch(query, now));
+        return std::holds_alternative<DispatchAllowed>(holder.checkDispatch(query, now));
     }
 
     DispatchRefusal refusal(Instant now) const
     {
-        return std::get<DispatchRefusal>(holder.mayDispatch(query, now));
+        return std::get<DispatchRefusal>(holder.checkDispatch(query, now));
     }
 };
 
@@ -68,8 +68,8 @@
     BOOST_TEST((refusal(ms(0)) == DispatchRefusal::NoLease));
     const LeaseRequest request = holder.makeRequest(version, ms(0));
     const LeaseReply reply = answer(request, ms(300));
-    BOOST_TEST((holder.accept(reply, ms(600)) == LeaseReplyVerdict::Accepted));
-    BOOST_TEST(mayDispatch(ms(1190)));
+    BOOST_TEST((holder.accept(reply, ms(600)) == LeaseReplyStatus::Accepted));
+    BOOST_TEST(checkDispatch(ms(1190)));
     BOOST_TEST((refusal(ms(1200)) == DispatchRefusal::Lapsed));
     BOOST_TEST((leaseTable.sendsUntil(d1) > ms(1500)));
 }
@@ -78,7 +78,7 @@
 {
     renew(ms(0));
     const auto deadline = [this](Instant now) {
-        return std::get<DispatchAllowed>(holder.mayDispatch(query, now)).latestDeadline;
+        return std::get<DispatchAllowed>(holder.checkDispatch(query, now)).latestDeadline;
     };
     BOOST_TEST((deadline(ms(10)) == ms(810)));
     BOOST_TEST((deadline(ms(1000)) == holder.leaseEnd().value()));
@@ -92,10 +92,10 @@
     leaseTable.stop(d1, lower, s1);
     const LeaseReply late = answer(holder.makeRequest(version, ms(5)), ms(6));
     holder.accept(late, ms(7));
-    BOOST_TEST((holder.accept(early, ms(8)) == LeaseReplyVerdict::Unmatched));
-    BOOST_TEST((holder.accept(late, ms(8)) == LeaseReplyVerdict::Unmatched));
+    BOOST_TEST((holder.accept(early, ms(8)) == LeaseReplyStatus::Unmatched));
+    BOOST_TEST((holder.accept(late, ms(8)) == LeaseReplyStatus::Unmatched));
     BOOST_TEST((refusal(ms(9)) == DispatchRefusal::Stopping));
-    BOOST_TEST(holder.wantsPull());
+    BOOST_TEST(holder.needsPull());
 }
 
 BOOST_FIXTURE_TEST_CASE(overtaken_or_duplicated_request_gets_no_answer, Fixture)
@@ -125,16 +125,16 @@
 {
     renew(ms(0));
     query.callerDeadline = ms(100);
-    const auto allowed = std::get<DispatchAllowed>(holder.mayDispatch(query, ms(10)));
+    const auto allowed = std::get<DispatchAllowed>(holder.checkDispatch(query, ms(10)));
     const FlightId flight = holder.startFlight(query, allowed);
     leaseTable.stop(d1, lower, s1);
     renew(ms(20));
     renew(ms(30));
     BOOST_TEST((leaseTable.workEndedFrom(lower, s1) > ms(600)));
     BOOST_TEST((leaseTable.workEndedFrom(lower, s1) < ms(602)));
-    BOOST_TEST(!holder.wantsPull());
+    BOOST_TEST(!holder.needsPull());
     holder.endFlight(flight);
-    BOOST_TEST(holder.wantsPull());
+    BOOST_TEST(holder.needsPull());
     renew(ms(40));
     BOOST_TEST(leaseTable.isIdle(lower, s1));
     BOOST_TEST((leaseTable.workEndedFrom(lower, s1) <= ms(40)));
@@ -144,7 +144,7 @@
 {
     const Fence later{1, 2};
     renew(ms(0));
-    holder.startFlight(query, std::get<DispatchAllowed>(holder.mayDispatch(query, ms(1))));
+    holder.startFlight(query, std::get<DispatchAllowed>(holder.checkDispatch(query, ms(1))));
     leaseTable.stop(d1, lower, s1);
     leaseTable.allow(d1, {lower, s1, later});
     leaseTable.stop(d1, lower, s1);
@@ -168,7 +168,7 @@
     renew(ms(0));
     LeaseReply old = answer(holder.makeRequest(version, ms(10)), ms(10));
     old.assignmentVersion = {0, 9};
-    BOOST_TEST((holder.accept(old, ms(11)) == LeaseReplyVerdict::Outdated));
+    BOOST_TEST((holder.accept(old, ms(11)) == LeaseReplyStatus::Outdated));
     BOOST_TEST((holder.leaseEnd().value() < ms(1200)));
     query.routedBy = {2, 1};
     query.server = s2;
@@ -200,7 +200,7 @@
 {
     const std::set<ServerName> servers{ServerName("a"), ServerName("b"), ServerName("c"),
                                        ServerName("d"), ServerName("e"), ServerName("f")};
-    AttendanceTable table;
+    ServerManagerTable table;
     table.fit(servers, {d1, Incarnation("d2"), Incarnation("d3")});
     const std::vector<Attendance> first(table.attendances().begin(), table.attendances().end());
     table.fit(servers, {d1, Incarnation("d3")});
@@ -222,7 +222,7 @@
     Assignment view = row;
     view.version = {1, 4};
     view.slices = {{catalogue, {0, 199}, s2, {1, 4}}};
-    Recovery recovery(row, ms(100), ms(300));
+    AssignmentRecovery recovery(row, ms(100), ms(300));
     recovery.setAsked({d1}, {s1});
     recovery.addView(d1, view);
     BOOST_TEST(!recovery.result(ms(200)).has_value());
@@ -242,13 +242,13 @@
 /** A handover whose orders and commits are confirmed immediately, and the daemon d1. */
 struct HandoverFixture
 {
-    LeaseBook leaseTable{{}, 1};
+    RoutingLeaseTable leaseTable{{}, 1};
     Handover handover{{}, 1, Assignment{}, {}, leaseTable};
-    RoutingRight holder{d1, {}};
+    RoutingLeaseHolder holder{d1, {}};
 
     HandoverFixture()
     {
-        drive(TenureExtended{leadershipEnd}, ms(0));
+        drive(LeadershipExtended{leadershipEnd}, ms(0));
     }
 
     void drive(const HandoverEvent &event, Instant now)
@@ -257,14 +257,16 @@
             if (const auto *order = std::get_if<ServerOrder>(&action))
                 drive(OrderConfirmed{order->order, 0}, now);
             if (const auto *commit = std::get_if<CommitAssignment>(&action))
-                drive(CommitEnded{commit->commit, CommitOutcome::Committed}, now);
+                drive(CommitCompleted{commit->commit, CommitOutcome::Committed}, now);
         }
     }
 
     void want(const ServerName &server, Instant now)
     {
-        drive(AssignmentWanted{{{}, {}, {{catalogue, {0, 99}, server, {}}}, {{s1, d1}, {s2, d1}}}},
-              now);
+        drive(
+            WantedAssignmentChanged{
+                {{}, {}, {{catalogue, {0, 99}, server, {}}}, {{s1, d1}, {s2, d1}}}},
+            now);
     }
 
     void pull(Instant now)
@@ -285,7 +287,7 @@
     pull(ms(201));
     pull(ms(202));
     BOOST_TEST(holder.rights().empty());
-    drive(PlatformOutage{true}, ms(203));
+    drive(PlatformOutageChanged{true}, ms(203));
     pull(ms(204));
     BOOST_REQUIRE_EQUAL(holder.rights().size(), 1U);
     BOOST_TEST((holder.rights()[0].server == s1));
--- a/tests/handoversearch/test_handoversearch.cpp
+++ b/tests/handoversearch/test_handoversearch.cpp
@@ -1,5 +1,5 @@
 #define BOOST_TEST_MODULE handoversearch
-#include "ownershipworld.h"
+#include "ownershipsimulation.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -30,10 +30,10 @@
  * All durations are a quarter of the production values. With odd seeds, clock rates differ by up to
  * a fifth; even seeds have accurate clocks and many slow messages.
  */
-WorldSettings searchSettings(std::uint64_t seed, PlantedFault fault)
+SimulationSettings searchSettings(std::uint64_t seed, PlantedFault fault)
 {
     const bool hasDrift = seed % 2 == 1;
-    WorldSettings settings;
+    SimulationSettings settings;
     settings.seed = seed;
     settings.fault = fault;
     settings.terms = {300ms, 75ms, 200ms, 120ms, hasDrift ? 200'000 : 1'000};
@@ -53,8 +53,8 @@
     settings.requestPeriod = 8ms;
     settings.minRun = seed % 8 < 2 ? 2ms : 100ms;
     settings.maxRun = 119ms;
-    settings.serverQuiet = 120ms;
-    settings.daemonQuiet = 180ms;
+    settings.serverSilenceTimeout = 120ms;
+    settings.daemonSilenceTimeout = 180ms;
     settings.tenure = 600ms;
     return settings;
 }
@@ -84,7 +84,7 @@
     /** \returns whether all keys are served at the end, provided that any daemon is left. */
     bool isLive() const
     {
-        if (!m_simulation.hasLive())
+        if (!m_simulation.hasLiveProcesses())
             return true;
         for (int key = 0; key < 4; ++key) {
             if (m_simulation.unavailable(key, scheduleEnd - settledPeriod, scheduleEnd)
@@ -94,7 +94,7 @@
         return true;
     }
 
-    const OwnershipWorld &simulation() const
+    const OwnershipSimulation &simulation() const
     {
         return m_simulation;
     }
@@ -135,14 +135,14 @@
             break;
         case 4:
             m_simulation.at(from, [this] {
-                m_simulation.freezeSteward();
-                m_simulation.startSuccessor();
+                m_simulation.freezeLeader();
+                m_simulation.startSuccessorAfterTerm();
             });
-            m_simulation.at(until, [this] { m_simulation.thawStewards(); });
+            m_simulation.at(until, [this] { m_simulation.thawLeaders(); });
             break;
         case 5:
-            m_simulation.at(from, [this] { m_simulation.setPlatform(PlatformFault::Down); });
-            m_simulation.at(until, [this] { m_simulation.setPlatform(PlatformFault::None); });
+            m_simulation.at(from, [this] { m_simulation.setPlatformFault(PlatformFault::Down); });
+            m_simulation.at(until, [this] { m_simulation.setPlatformFault(PlatformFault::None); });
             break;
         case 6:
         case 7: {
@@ -156,13 +156,13 @@
         }
         default:
             m_simulation.at(from, [this, fault = 2 + draw(3)] {
-                m_simulation.setPlatform(static_cast<PlatformFault>(fault));
+                m_simulation.setPlatformFault(static_cast<PlatformFault>(fault));
             });
-            m_simulation.at(until, [this] { m_simulation.setPlatform(PlatformFault::None); });
+            m_simulation.at(until, [this] { m_simulation.setPlatformFault(PlatformFault::None); });
         }
     }
 
-    OwnershipWorld m_simulation;
+    OwnershipSimulation m_simulation;
     std::mt19937_64 m_random;
 };
 
@@ -232,5 +232,5 @@
     checkDetected(PlantedFault::NoWaitForRunningWork, "no wait for running work");
     checkDetected(PlantedFault::NoDriftMargin, "no drift margin");
     checkDetected(PlantedFault::IdleReportedEarly, "idle reported early");
-    checkDetected(PlantedFault::UnknownTakenAsCommitted, "unknown taken as committed");
+    checkDetected(PlantedFault::UnknownTreatedAsCommitted, "unknown taken as committed");
 }
--- a/tests/limits/test_limits.cpp
+++ b/tests/limits/test_limits.cpp
@@ -60,7 +60,7 @@
 /** Sends \a count requests one after the other, as a caller who takes no notice of refusals. */
 Told sendMany(const std::string &address, int count, int refusalStatus)
 {
-    SyncHttp http;
+    SyncHttpClient http;
     Told told;
     for (int i = 0; i < count; ++i) {
         const SyncHttpResult result =
@@ -178,7 +178,7 @@
     // A daemon of another domain knows the steward only if it is a candidate there.
     std::string lost;
     BOOST_REQUIRE(Fleet::eventually([&] {
-        lost = fleet.stewardOf("a", "a1");
+        lost = fleet.leaderOf("a", "a1");
         return !lost.empty();
     }));
     const std::size_t before = fleet.observed().size();
--- a/tests/loads/test_layoutinforce.cpp
+++ b/tests/loads/test_layoutinforce.cpp
@@ -17,14 +17,14 @@
 /** Handover whose orders and commits are confirmed immediately. */
 struct HandoverFixture
 {
-    LeaseBook book{{}, 1};
+    RoutingLeaseTable book{{}, 1};
     Handover handover{{}, 1, Assignment{}, {}, book};
     std::vector<Assignment> commits;
     int orders = 0;
 
     HandoverFixture()
     {
-        drive(TenureExtended{start + 1h}, start);
+        drive(LeadershipExtended{start + 1h}, start);
     }
 
     void drive(const HandoverEvent &event, Instant now)
@@ -36,7 +36,7 @@
             }
             if (const auto *commit = std::get_if<CommitAssignment>(&action)) {
                 commits.push_back(commit->next);
-                drive(CommitEnded{commit->commit, CommitOutcome::Committed}, now);
+                drive(CommitCompleted{commit->commit, CommitOutcome::Committed}, now);
             }
         }
     }
@@ -46,7 +46,7 @@
         Assignment wanted{{}, {}, {}, {{s1, d1}}};
         for (const SliceRange &range : ranges)
             wanted.slices.push_back({catalogue, range, s1, {}});
-        drive(AssignmentWanted{wanted}, now);
+        drive(WantedAssignmentChanged{wanted}, now);
     }
 
     std::vector<SliceRange> ranges() const
@@ -88,13 +88,13 @@
     fixture.want(whole, start + 1s);
     fixture.want(split, start + 1100ms);
     BOOST_TEST((fixture.ranges() == whole));
-    fixture.drive(PlatformOutage{true}, start + 2s);
-    fixture.drive(TimePassed{}, start + 10s);
+    fixture.drive(PlatformOutageChanged{true}, start + 2s);
+    fixture.drive(HandoverTick{}, start + 10s);
     BOOST_TEST((fixture.ranges() == whole));
     BOOST_TEST(fixture.commits.size() == 1U);
-    fixture.drive(PlatformOutage{false}, start + 11s);
-    fixture.drive(PublishedRead{fixture.handover.version()}, start + 12s);
-    fixture.drive(TimePassed{}, start + 13s);
+    fixture.drive(PlatformOutageChanged{false}, start + 11s);
+    fixture.drive(PublishedVersionRead{fixture.handover.version()}, start + 12s);
+    fixture.drive(HandoverTick{}, start + 13s);
     BOOST_TEST((fixture.ranges() == split));
 }
 
--- a/tests/loads/test_loads.cpp
+++ b/tests/loads/test_loads.cpp
@@ -1,8 +1,8 @@
 #define BOOST_TEST_MODULE Loads
 
 #include "process/jsonreader.h"
-#include "version/loadledger.h"
 #include "version/loadreportcodec.h"
+#include "version/loadreporttable.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -76,7 +76,7 @@
 BOOST_AUTO_TEST_CASE(latestReportsOfAllDaemonsAreSummed)
 {
     const std::vector<SliceRange> slices{{0, 99}, {100, 100}};
-    LoadLedger ledger{10s};
+    LoadReportTable ledger{10s};
     BOOST_TEST((ledger.merged(catalogue, slices, 0) == LoadReport{}));
     ledger.note(d1, {{catalogue, {{{{0, 99}, 500.0}}, {}}}}, start);
     ledger.note(d1, {{catalogue, smallReport()}}, start + 2s);
--- a/tests/membership/virtualnetwork.h
+++ b/tests/membership/virtualnetwork.h
@@ -76,8 +76,9 @@
 
     /** Delivers a message that an old run of a daemon left in the network. */
     void deliver(const std::string &to, const PeerMessage &message);
-    /** Gives \a host an answer of the platform that was read at \a askedAt. */
-    void answerListing(const std::string &host, Instant askedAt, std::vector<VersionedItem> items);
+    /** Gives \a host an answer of the platform that was read at \a requestedAt. */
+    void answerListing(const std::string &host, Instant requestedAt,
+                       std::vector<VersionedItem> items);
 
     void runFor(Duration span);
     Instant now() const;
--- a/tests/ownershipobserver/ownershipworld.cpp
+++ b/tests/ownershipobserver/ownershipsimulation.cpp
@@ -1,4 +1,4 @@
-#include "ownershipworld.h"
+#include "ownershipsimulation.h"
 
 #include <cstdio>
 
@@ -40,7 +40,7 @@
 
 } // namespace
 
-OwnershipWorld::OwnershipWorld(const WorldSettings &settings)
+OwnershipSimulation::OwnershipSimulation(const SimulationSettings &settings)
     : m_settings(settings)
     , m_random(settings.seed)
     , m_now(1s)
@@ -53,28 +53,28 @@
     for (int i = 0; i < settings.daemons; ++i) {
         const std::string name = "d" + std::to_string(i + 1);
         m_daemons.push_back(std::make_unique<Daemon>(
-            makeProcess(name), RoutingRight(Incarnation(name), m_settings.terms)));
+            makeProcess(name), RoutingLeaseHolder(Incarnation(name), m_settings.terms)));
         Daemon &daemon = *m_daemons.back();
         after(1ms * i, [this, &daemon] { tickDaemon(daemon); });
     }
     for (int key = 0; key < settings.keys; ++key) {
         m_plannedServers.push_back(key % settings.servers);
-        if (settings.askedKeys.empty())
+        if (settings.requestedKeys.empty())
             after(settings.requestPeriod * key / settings.keys, [this, key] { request(key); });
     }
-    for (const int key : settings.askedKeys)
+    for (const int key : settings.requestedKeys)
         after(1ms, [this, key] { request(key); });
     m_publishedAssignment.domain = DomainName("north");
     m_publishedEpoch = 0;
     startNewLeader();
 }
 
-void OwnershipWorld::at(Duration time, std::function<void()> step)
+void OwnershipSimulation::at(Duration time, std::function<void()> step)
 {
     m_events.emplace(Instant(1s) + time, std::move(step));
 }
 
-void OwnershipWorld::runUntil(Duration time)
+void OwnershipSimulation::runUntil(Duration time)
 {
     const Instant end = Instant(1s) + time;
     while (!m_events.empty() && m_events.begin()->first <= end) {
@@ -85,7 +85,7 @@
     m_now = end;
 }
 
-void OwnershipWorld::killServer(int index)
+void OwnershipSimulation::killServer(int index)
 {
     Server &server = *m_servers[index];
     note(server.process.name + " killed");
@@ -94,7 +94,7 @@
     server.running.clear();
 }
 
-void OwnershipWorld::freezeServer(int index)
+void OwnershipSimulation::freezeServer(int index)
 {
     Server &server = *m_servers[index];
     note(server.process.name + " freezes");
@@ -102,7 +102,7 @@
     m_interruptedWork += interruptRunningWork(server);
 }
 
-int OwnershipWorld::interruptRunningWork(Server &server)
+int OwnershipSimulation::interruptRunningWork(Server &server)
 {
     int ended = 0;
     for (auto &[id, running] : server.running) {
@@ -116,29 +116,29 @@
     return ended;
 }
 
-void OwnershipWorld::thawServer(int index)
+void OwnershipSimulation::thawServer(int index)
 {
     thaw(m_servers[index]->process);
 }
 
-void OwnershipWorld::killDaemon(int index)
+void OwnershipSimulation::killDaemon(int index)
 {
     note(m_daemons[index]->process.name + " killed");
     m_daemons[index]->process.isAlive = false;
 }
 
-void OwnershipWorld::freezeDaemon(int index)
+void OwnershipSimulation::freezeDaemon(int index)
 {
     note(m_daemons[index]->process.name + " freezes");
     m_daemons[index]->process.isFrozen = true;
 }
 
-void OwnershipWorld::thawDaemon(int index)
+void OwnershipSimulation::thawDaemon(int index)
 {
     thaw(m_daemons[index]->process);
 }
 
-void OwnershipWorld::isolate(int daemon, int server, bool isIsolated)
+void OwnershipSimulation::isolate(int daemon, int server, bool isIsolated)
 {
     const std::string names =
         m_daemons[daemon]->process.name + " and " + m_servers[server]->process.name;
@@ -147,32 +147,32 @@
     m_servers[server]->process.isIsolated = isIsolated;
 }
 
-void OwnershipWorld::leaveDaemon(int index)
+void OwnershipSimulation::scheduleDeparture(int index)
 {
     note("host of " + m_daemons[index]->process.name + " is to leave");
     m_daemons[index]->isLeaving = true;
     plan(currentLeader());
 }
 
-void OwnershipWorld::freezeSteward()
+void OwnershipSimulation::freezeLeader()
 {
     note("steward " + std::to_string(currentLeader().epoch) + " freezes");
     currentLeader().process.isFrozen = true;
 }
 
-void OwnershipWorld::thawStewards()
+void OwnershipSimulation::thawLeaders()
 {
     for (const auto &leader : m_leaders)
         thaw(leader->process);
 }
 
-void OwnershipWorld::killSteward()
+void OwnershipSimulation::killLeader()
 {
     note("steward " + std::to_string(currentLeader().epoch) + " killed");
     currentLeader().process.isAlive = false;
 }
 
-void OwnershipWorld::startSuccessor()
+void OwnershipSimulation::startSuccessorAfterTerm()
 {
     // Replaces the leader election: a successor waits until the term has expired on every clock.
     Leader &leader = currentLeader();
@@ -184,11 +184,11 @@
         if (m_platformFault == PlatformFault::None)
             startNewLeader();
         else
-            startSuccessor();
+            startSuccessorAfterTerm();
     });
 }
 
-void OwnershipWorld::moveSlice(int key, int server)
+void OwnershipSimulation::moveSlice(int key, int server)
 {
     Leader &leader = currentLeader();
     note("plan: slice " + std::to_string(key) + " to " + m_servers[server]->process.name);
@@ -198,7 +198,7 @@
     plan(leader);
 }
 
-void OwnershipWorld::setPlatform(PlatformFault fault)
+void OwnershipSimulation::setPlatformFault(PlatformFault fault)
 {
     m_platformFault = fault;
     const bool isPlatformOut = fault == PlatformFault::Down;
@@ -210,17 +210,17 @@
             if (isPlatformOut != (m_platformFault == PlatformFault::Down))
                 return;
             leader.isPlatformOut = isPlatformOut;
-            applyEvent(leader, PlatformOutage{isPlatformOut});
+            applyEvent(leader, PlatformOutageChanged{isPlatformOut});
         });
     });
 }
 
-void OwnershipWorld::setViewsBlocked(int daemon, bool isBlocked)
+void OwnershipSimulation::setViewsBlocked(int daemon, bool isBlocked)
 {
     m_daemons[daemon]->isViewBlocked = isBlocked;
 }
 
-void OwnershipWorld::startUpload(int key, Duration length)
+void OwnershipSimulation::startUpload(int key, Duration length)
 {
     note("upload on slice " + std::to_string(key));
     const View &view = *m_daemons[0]->view;
@@ -234,7 +234,7 @@
              length, true);
 }
 
-void OwnershipWorld::note(const std::string &line)
+void OwnershipSimulation::note(const std::string &line)
 {
     char stamp[32];
     std::snprintf(stamp, sizeof stamp, "%10.3f ms  ",
@@ -242,20 +242,20 @@
     m_session += stamp + line + "\n";
 }
 
-int OwnershipWorld::refusals(DispatchRefusal reason) const
+int OwnershipSimulation::refusals(DispatchRefusal reason) const
 {
     const auto found = m_refusals.find(reason);
     return found == m_refusals.end() ? 0 : found->second;
 }
 
-Duration OwnershipWorld::unavailable(int key, Duration from, Duration until) const
+Duration OwnershipSimulation::unavailable(int key, Duration from, Duration until) const
 {
     const Instant start = Instant(1s);
     const Duration gap = m_observer.longestGap(keyHash(key), start + from, start + until);
     return std::max<Duration>(gap - m_settings.requestPeriod, 0ns);
 }
 
-bool OwnershipWorld::hasLive() const
+bool OwnershipSimulation::hasLiveProcesses() const
 {
     const auto isAlive = [](const auto &entry) {
         return entry->process.isAlive;
@@ -264,22 +264,22 @@
         && std::any_of(m_daemons.begin(), m_daemons.end(), isAlive);
 }
 
-Instant OwnershipWorld::lastStartAt(int server) const
+Instant OwnershipSimulation::lastStartAt(int server) const
 {
     return m_servers[server]->lastStart - Duration(1s);
 }
 
-const Handover *OwnershipWorld::handover() const
+const Handover *OwnershipSimulation::handover() const
 {
     return m_leaders.back()->handover.get();
 }
 
-void OwnershipWorld::after(Duration delay, std::function<void()> step)
+void OwnershipSimulation::after(Duration delay, std::function<void()> step)
 {
     m_events.emplace(m_now + delay, std::move(step));
 }
 
-void OwnershipWorld::send(const Process &from, Process &to, const std::function<void()> &step)
+void OwnershipSimulation::send(const Process &from, Process &to, const std::function<void()> &step)
 {
     if (from.isIsolated != to.isIsolated)
         return;
@@ -290,7 +290,7 @@
     }
 }
 
-void OwnershipWorld::deliver(Process &to, const std::function<void()> &step)
+void OwnershipSimulation::deliver(Process &to, const std::function<void()> &step)
 {
     if (!to.isAlive)
         return;
@@ -300,7 +300,7 @@
         step();
 }
 
-void OwnershipWorld::thaw(Process &process)
+void OwnershipSimulation::thaw(Process &process)
 {
     if (!process.isFrozen || !process.isAlive)
         return;
@@ -311,13 +311,13 @@
         step();
 }
 
-Instant OwnershipWorld::local(const Process &process) const
+Instant OwnershipSimulation::local(const Process &process) const
 {
     const Duration run = m_now.time_since_epoch();
     return Instant(run + run * process.ppm / 1'000'000 + process.offset);
 }
 
-Duration OwnershipWorld::delay(double slowShare)
+Duration OwnershipSimulation::delay(double slowShare)
 {
     const Duration most = randomUnit() < slowShare ? m_settings.slowDelay : m_settings.maxDelay;
     return m_settings.minDelay
@@ -325,12 +325,12 @@
             randomUnit() * static_cast<double>((most - m_settings.minDelay).count())));
 }
 
-double OwnershipWorld::randomUnit()
+double OwnershipSimulation::randomUnit()
 {
     return static_cast<double>(m_random() >> 11) * 0x1.0p-53;
 }
 
-OwnershipWorld::Process OwnershipWorld::makeProcess(std::string name)
+OwnershipSimulation::Process OwnershipSimulation::makeProcess(std::string name)
 {
     const double drawn = randomUnit() * 2 - 1;
     const double rate = m_settings.hasExtremeClocks ? (drawn < 0 ? -1 : 1) : drawn;
@@ -339,34 +339,34 @@
     return {std::move(name), offset, ppm, true, false, false, {}};
 }
 
-OwnershipWorld::Daemon *OwnershipWorld::daemonOf(const Incarnation &incarnation)
+OwnershipSimulation::Daemon *OwnershipSimulation::daemonOf(const Incarnation &incarnation)
 {
     return incarnation.isEmpty() ? nullptr : m_daemons.at(indexOf(incarnation.value())).get();
 }
 
-OwnershipWorld::Server &OwnershipWorld::serverOf(const ServerName &name)
+OwnershipSimulation::Server &OwnershipSimulation::serverOf(const ServerName &name)
 {
     return *m_servers.at(indexOf(name.value()));
 }
 
-OwnershipWorld::Leader &OwnershipWorld::currentLeader()
+OwnershipSimulation::Leader &OwnershipSimulation::currentLeader()
 {
     return *m_leaders.back();
 }
 
-SliceRange OwnershipWorld::range(int key) const
+SliceRange OwnershipSimulation::range(int key) const
 {
     const KeyHash width = ~KeyHash{0} / static_cast<KeyHash>(m_settings.keys);
     const KeyHash begin = width * static_cast<KeyHash>(key);
     return {begin, key + 1 == m_settings.keys ? ~KeyHash{0} : begin + width - 1};
 }
 
-KeyHash OwnershipWorld::keyHash(int key) const
+KeyHash OwnershipSimulation::keyHash(int key) const
 {
     return range(key).begin + 1000;
 }
 
-void OwnershipWorld::tickDaemon(Daemon &daemon)
+void OwnershipSimulation::tickDaemon(Daemon &daemon)
 {
     if (!daemon.process.isAlive)
         return;
@@ -374,13 +374,13 @@
     if (daemon.process.isFrozen)
         return;
     const Instant now = local(daemon.process);
-    if (now >= daemon.nextPull || daemon.right.wantsPull())
+    if (now >= daemon.nextPull || daemon.right.needsPull())
         pull(daemon);
     if (now >= daemon.nextPing)
         ping(daemon);
 }
 
-void OwnershipWorld::pull(Daemon &daemon)
+void OwnershipSimulation::pull(Daemon &daemon)
 {
     const Instant now = local(daemon.process);
     daemon.nextPull = now + m_settings.terms.pullInterval;
@@ -395,10 +395,10 @@
          [this, index, request] { answerPull(index, request); });
 }
 
-void OwnershipWorld::ping(Daemon &daemon)
+void OwnershipSimulation::ping(Daemon &daemon)
 {
     const Instant now = local(daemon.process);
-    daemon.nextPing = now + m_settings.serverQuiet / 5;
+    daemon.nextPing = now + m_settings.serverSilenceTimeout / 5;
     for (const Attendance &attendance : daemon.view->assignment.attendances) {
         const bool attends = attendance.attendant.value() == daemon.process.name;
         if (!attends) {
@@ -407,7 +407,7 @@
             continue;
         }
         const Instant last = daemon.lastPong.try_emplace(attendance.server, now).first->second;
-        daemon.right.setServerLost(attendance.server, now - last > m_settings.serverQuiet);
+        daemon.right.setServerLost(attendance.server, now - last > m_settings.serverSilenceTimeout);
         Server &server = serverOf(attendance.server);
         const ServerName name = attendance.server;
         send(daemon.process, server.process, [this, &server, &daemon, name] {
@@ -420,7 +420,7 @@
     }
 }
 
-void OwnershipWorld::receiveReply(Daemon &daemon, LeaseReply reply)
+void OwnershipSimulation::receiveReply(Daemon &daemon, LeaseReply reply)
 {
     const Instant now = local(daemon.process);
     if (m_settings.fault == PlantedFault::LeaseCountedFromReceipt)
@@ -428,14 +428,14 @@
     daemon.right.accept(reply, now);
 }
 
-void OwnershipWorld::receiveView(Daemon &daemon, const ViewPointer &view)
+void OwnershipSimulation::receiveView(Daemon &daemon, const ViewPointer &view)
 {
     const bool isNewer = view->assignment.version > daemon.view->assignment.version;
     if (!daemon.isViewBlocked && isNewer)
         daemon.view = view;
 }
 
-void OwnershipWorld::request(int key)
+void OwnershipSimulation::request(int key)
 {
     after(m_settings.requestPeriod, [this, key] { request(key); });
     for (std::size_t tried = 0; tried < m_daemons.size(); ++tried) {
@@ -464,12 +464,12 @@
     }
 }
 
-void OwnershipWorld::dispatch(Daemon &daemon, DispatchQuery query, Duration run, bool isUpload)
+void OwnershipSimulation::dispatch(Daemon &daemon, DispatchQuery query, Duration run, bool isUpload)
 {
     const Instant now = local(daemon.process);
     query.callerDeadline = now + callerTimeout;
     const auto reading = daemon.clocks.find(query.server);
-    const DispatchDecision decision = daemon.right.mayDispatch(query, now);
+    const DispatchDecision decision = daemon.right.checkDispatch(query, now);
     if (const auto *refusal = std::get_if<DispatchRefusal>(&decision)) {
         ++m_refusals[*refusal];
         return;
@@ -497,7 +497,7 @@
         });
 }
 
-bool OwnershipWorld::isFenceAccepted(const Server &server, const Work &work) const
+bool OwnershipSimulation::isFenceAccepted(const Server &server, const Work &work) const
 {
     const auto coversWork = [&work](const SliceOwner &slice) {
         return contains(slice.range, work.key) && slice.fence >= work.fence;
@@ -510,7 +510,7 @@
     return isGranted && !isRevoked;
 }
 
-void OwnershipWorld::receiveWork(Server &server, const Work &work)
+void OwnershipSimulation::receiveWork(Server &server, const Work &work)
 {
     Daemon &daemon = *m_daemons[static_cast<std::size_t>(work.daemon)];
     const bool isLate = local(server.process).time_since_epoch() > work.deadline;
@@ -530,7 +530,7 @@
     });
 }
 
-void OwnershipWorld::completeWork(Server &server, std::uint64_t id)
+void OwnershipSimulation::completeWork(Server &server, std::uint64_t id)
 {
     const auto found = server.running.find(id);
     if (found == server.running.end())
@@ -548,7 +548,7 @@
          [&daemon, flight = work.flight] { daemon.right.endFlight(flight); });
 }
 
-void OwnershipWorld::receiveOrder(Server &server, const ServerOrder &order, std::size_t leader)
+void OwnershipSimulation::receiveOrder(Server &server, const ServerOrder &order, std::size_t leader)
 {
     std::uint32_t running = 0;
     for (const SliceOwner &slice : order.slices) {
@@ -568,8 +568,8 @@
     confirmOrder(order, leader, OrderConfirmed{order.order, running});
 }
 
-void OwnershipWorld::confirmOrder(const ServerOrder &order, std::size_t index,
-                                  const HandoverEvent &event)
+void OwnershipSimulation::confirmOrder(const ServerOrder &order, std::size_t index,
+                                       const HandoverEvent &event)
 {
     Daemon *through = daemonOf(order.through);
     const Duration clock = local(serverOf(order.server).process).time_since_epoch();
@@ -581,7 +581,7 @@
          });
 }
 
-void OwnershipWorld::tickLeader(Leader &leader)
+void OwnershipSimulation::tickLeader(Leader &leader)
 {
     if (!leader.process.isAlive)
         return;
@@ -598,16 +598,17 @@
         return;
     }
     for (const auto &[incarnation, last] : leader.lastPull) {
-        if (last + m_settings.daemonQuiet >= now || !leader.lostDaemons.insert(incarnation).second)
+        if (last + m_settings.daemonSilenceTimeout >= now
+            || !leader.lostDaemons.insert(incarnation).second)
             continue;
         note("steward takes " + incarnation.value() + " for lost");
-        applyEvent(leader, AttendantLost{incarnation});
+        applyEvent(leader, ServerManagerLost{incarnation});
         plan(leader);
     }
-    applyEvent(leader, TenureExtended{leader.termEnd});
+    applyEvent(leader, LeadershipExtended{leader.termEnd});
 }
 
-void OwnershipWorld::startNewLeader()
+void OwnershipSimulation::startNewLeader()
 {
     const std::size_t index = m_leaders.size();
     m_publishedEpoch = index + 1;
@@ -620,7 +621,7 @@
     const Duration wait =
         index == 0 ? 0ms : stretched(m_settings.terms.runCap, m_settings.terms.driftPpm);
     leader.recovery =
-        std::make_unique<Recovery>(m_publishedAssignment, now + wait, now + wait + 300ms);
+        std::make_unique<AssignmentRecovery>(m_publishedAssignment, now + wait, now + wait + 300ms);
     std::set<Incarnation> asked;
     std::set<ServerName> askedServers;
     for (const auto &daemon : m_daemons)
@@ -650,18 +651,18 @@
     after(0ms, [this, &leader] { tickLeader(leader); });
 }
 
-void OwnershipWorld::finishRecovery(Leader &leader)
+void OwnershipSimulation::finishRecovery(Leader &leader)
 {
     const std::optional<Assignment> start = leader.recovery->result(local(leader.process));
     if (!start)
         return;
-    LeaseTerms terms = m_settings.terms;
+    RoutingLeaseTimings terms = m_settings.terms;
     if (m_settings.fault == PlantedFault::NoWaitForRunningWork)
         terms.runCap = 0ms;
-    leader.book = std::make_unique<LeaseBook>(terms, leader.epoch);
+    leader.book = std::make_unique<RoutingLeaseTable>(terms, leader.epoch);
     leader.handover = std::make_unique<Handover>(m_settings.moves, leader.epoch, *start,
                                                  m_publishedAssignment.version, *leader.book);
-    leader.attendances = AttendanceTable(start->attendances);
+    leader.attendances = ServerManagerTable(start->attendances);
     if (m_settings.checksFence) {
         std::set<ServerName> checking;
         for (const auto &server : m_servers)
@@ -672,13 +673,13 @@
     leader.isPlatformOut = m_platformFault == PlatformFault::Down;
     for (const auto &daemon : m_daemons)
         leader.lastPull[Incarnation(daemon->process.name)] = local(leader.process);
-    applyEvent(leader, TenureExtended{leader.termEnd});
-    applyEvent(leader, PlatformOutage{leader.isPlatformOut});
+    applyEvent(leader, LeadershipExtended{leader.termEnd});
+    applyEvent(leader, PlatformOutageChanged{leader.isPlatformOut});
     leader.plannedServers = m_plannedServers;
     plan(leader);
 }
 
-void OwnershipWorld::answerPull(std::size_t index, const LeaseRequest &request)
+void OwnershipSimulation::answerPull(std::size_t index, const LeaseRequest &request)
 {
     Leader &leader = *m_leaders[index];
     if (!leader.handover)
@@ -686,7 +687,7 @@
     const Instant now = local(leader.process);
     leader.lastPull[request.incarnation] = now;
     if (leader.lostDaemons.erase(request.incarnation) > 0) {
-        applyEvent(leader, AttendantFound{request.incarnation});
+        applyEvent(leader, ServerManagerRecovered{request.incarnation});
         plan(leader);
     }
     updateLostServers(leader, request);
@@ -705,17 +706,17 @@
     if (leader.view && request.knownVersion < leader.view->assignment.version)
         send(leader.process, daemon.process,
              [this, &daemon, view = leader.view] { receiveView(daemon, view); });
-    applyEvent(leader, TimePassed{});
+    applyEvent(leader, HandoverTick{});
 }
 
-void OwnershipWorld::updateLostServers(Leader &leader, const LeaseRequest &request)
+void OwnershipSimulation::updateLostServers(Leader &leader, const LeaseRequest &request)
 {
     std::erase_if(leader.lostServers, [&](const auto &entry) {
         const bool isFound = entry.second == request.incarnation
             && std::find(request.lostServers.begin(), request.lostServers.end(), entry.first)
                 == request.lostServers.end();
         if (isFound) {
-            applyEvent(leader, ServerFound{entry.first});
+            applyEvent(leader, ServerRecovered{entry.first});
             after(0ms, [this, &leader] { plan(leader); });
         }
         return isFound;
@@ -731,7 +732,7 @@
     }
 }
 
-void OwnershipWorld::plan(Leader &leader)
+void OwnershipSimulation::plan(Leader &leader)
 {
     if (!leader.handover || leader.process.isFrozen)
         return;
@@ -761,10 +762,10 @@
     leader.attendances.fit(servers, daemons);
     wanted.attendances.assign(leader.attendances.attendances().begin(),
                               leader.attendances.attendances().end());
-    applyEvent(leader, AssignmentWanted{wanted});
+    applyEvent(leader, WantedAssignmentChanged{wanted});
 }
 
-void OwnershipWorld::applyEvent(Leader &leader, const HandoverEvent &event)
+void OwnershipSimulation::applyEvent(Leader &leader, const HandoverEvent &event)
 {
     if (!leader.handover)
         return;
@@ -772,7 +773,7 @@
         perform(leader.epoch - 1, action);
 }
 
-void OwnershipWorld::perform(std::size_t index, const HandoverAction &action)
+void OwnershipSimulation::perform(std::size_t index, const HandoverAction &action)
 {
     Leader &leader = *m_leaders[index];
     if (const auto *order = std::get_if<ServerOrder>(&action)) {
@@ -792,16 +793,17 @@
     } else if (const auto *write = std::get_if<CommitAssignment>(&action)) {
         note("commit " + text(write->next.version) + " over " + text(write->expected));
         commit(index, *write);
-    } else if (std::holds_alternative<ReadPublished>(action)) {
+    } else if (std::holds_alternative<ReadPublishedVersion>(action)) {
         if (m_platformFault == PlatformFault::Down)
             return;
         note("read the row");
         after(delay(), [this, index] {
             const Fence seen{m_publishedAssignment.version};
-            send(m_leaders[index]->process, m_leaders[index]->process,
-                 [this, index, seen] { applyEvent(*m_leaders[index], PublishedRead{seen}); });
+            send(m_leaders[index]->process, m_leaders[index]->process, [this, index, seen] {
+                applyEvent(*m_leaders[index], PublishedVersionRead{seen});
+            });
         });
-    } else if (const auto *prompt = std::get_if<PromptPull>(&action)) {
+    } else if (const auto *prompt = std::get_if<PromptLeasePull>(&action)) {
         if (Daemon *daemon = daemonOf(prompt->daemon))
             send(leader.process, daemon->process, [this, daemon] { pull(*daemon); });
     } else {
@@ -809,7 +811,7 @@
     }
 }
 
-void OwnershipWorld::publishAssignment(Leader &leader, const AssignmentInForce &inForce)
+void OwnershipSimulation::publishAssignment(Leader &leader, const AssignmentInForce &inForce)
 {
     note("in force " + text(inForce.assignment.version)
          + (inForce.isUnpublished ? ", unpublished" : ""));
@@ -823,7 +825,7 @@
     }
 }
 
-CommitOutcome OwnershipWorld::write(std::uint64_t epoch, const CommitAssignment &action)
+CommitOutcome OwnershipSimulation::write(std::uint64_t epoch, const CommitAssignment &action)
 {
     if (epoch != m_publishedEpoch)
         return CommitOutcome::Refused;
@@ -833,17 +835,17 @@
     return CommitOutcome::Committed;
 }
 
-void OwnershipWorld::commit(std::size_t index, const CommitAssignment &action)
+void OwnershipSimulation::commit(std::size_t index, const CommitAssignment &action)
 {
     const std::uint64_t epoch = m_leaders[index]->epoch;
     const auto answer = [this, index, action](CommitOutcome outcome) {
-        if (m_settings.fault == PlantedFault::UnknownTakenAsCommitted
+        if (m_settings.fault == PlantedFault::UnknownTreatedAsCommitted
             && outcome == CommitOutcome::Unknown)
             outcome = CommitOutcome::Committed;
         deliver(m_leaders[index]->process, [this, index, action, outcome] {
             note("commit " + text(action.next.version)
                  + " ends: " + std::to_string(static_cast<int>(outcome)));
-            applyEvent(*m_leaders[index], CommitEnded{action.commit, outcome});
+            applyEvent(*m_leaders[index], CommitCompleted{action.commit, outcome});
         });
     };
     const PlatformFault fault = m_platformFault;
--- a/tests/ownershipobserver/ownershipworld.h
+++ b/tests/ownershipobserver/ownershipsimulation.h
@@ -2,11 +2,11 @@
 
 #include "observer.h"
 
-#include "process/attendancetable.h"
+#include "process/assignmentrecovery.h"
 #include "process/handover.h"
-#include "process/recovery.h"
-#include "process/routingright.h"
+#include "process/routingleaseholder.h"
 #include "process/serverdeadline.h"
+#include "process/servermanagertable.h"
 
 #include <functional>
 #include <memory>
@@ -20,7 +20,7 @@
     NoWaitForRunningWork,
     NoDriftMargin,
     IdleReportedEarly,
-    UnknownTakenAsCommitted,
+    UnknownTreatedAsCommitted,
 };
 
 enum class PlatformFault {
@@ -34,17 +34,17 @@
     WriteLate,
 };
 
-struct WorldSettings
+struct SimulationSettings
 {
     std::uint64_t seed = 1;
-    bulrush::LeaseTerms terms;
-    bulrush::HandoverTerms moves;
+    bulrush::RoutingLeaseTimings terms;
+    bulrush::HandoverLimits moves;
     int daemons = 3;
     int servers = 4;
     /** Number of slices, each with one key. */
     int keys = 8;
     /** Keys that callers request; all if empty. */
-    std::vector<int> askedKeys;
+    std::vector<int> requestedKeys;
     bool checksFence = false;
     bulrush::Duration minDelay = std::chrono::microseconds{500};
     bulrush::Duration maxDelay = std::chrono::milliseconds{1};
@@ -61,8 +61,8 @@
     bulrush::Duration requestPeriod = std::chrono::milliseconds{5};
     bulrush::Duration minRun = std::chrono::milliseconds{2};
     bulrush::Duration maxRun = std::chrono::milliseconds{20};
-    bulrush::Duration serverQuiet = std::chrono::milliseconds{500};
-    bulrush::Duration daemonQuiet = std::chrono::milliseconds{700};
+    bulrush::Duration serverSilenceTimeout = std::chrono::milliseconds{500};
+    bulrush::Duration daemonSilenceTimeout = std::chrono::milliseconds{700};
     bulrush::Duration tenure = std::chrono::seconds{3};
     PlantedFault fault = PlantedFault::None;
 };
@@ -71,10 +71,10 @@
  * A simulation of a domain leader, daemons, backend servers and a platform on virtual time. Each
  * process has its own clock. The network delays, duplicates, reorders and loses messages.
  */
-class OwnershipWorld
+class OwnershipSimulation
 {
 public:
-    explicit OwnershipWorld(const WorldSettings &settings);
+    explicit OwnershipSimulation(const SimulationSettings &settings);
 
     /** Calls \a step at true time \a time after the start. */
     void at(bulrush::Duration time, std::function<void()> step);
@@ -89,14 +89,14 @@
     /** Partitions a daemon and a server from all other processes, but not from each other. */
     void isolate(int daemon, int server, bool isIsolated);
     /** Schedules the departure of the daemon's host; it manages no servers from then on. */
-    void leaveDaemon(int daemon);
-    void freezeSteward();
-    void thawStewards();
-    void killSteward();
+    void scheduleDeparture(int daemon);
+    void freezeLeader();
+    void thawLeaders();
+    void killLeader();
     /** Starts a new leader when the current term expires, unless that term is extended. */
-    void startSuccessor();
+    void startSuccessorAfterTerm();
     void moveSlice(int key, int server);
-    void setPlatform(PlatformFault fault);
+    void setPlatformFault(PlatformFault fault);
     /** Blocks the delivery of assignments to the daemon. Its lease pulls are still answered. */
     void setViewsBlocked(int daemon, bool isBlocked);
     void startUpload(int key, bulrush::Duration length);
@@ -117,7 +117,7 @@
     {
         return m_interruptedWork;
     }
-    int endedUploads() const
+    int completedUploads() const
     {
         return m_endedUploads;
     }
@@ -133,7 +133,7 @@
     bulrush::Duration unavailable(int key, bulrush::Duration from, bulrush::Duration until) const;
     bulrush::Instant lastStartAt(int server) const;
     /** \returns whether at least one server and one daemon are alive. */
-    bool hasLive() const;
+    bool hasLiveProcesses() const;
     bulrush::Fence publishedVersion() const
     {
         return m_publishedAssignment.version;
@@ -195,13 +195,13 @@
     };
     struct Daemon
     {
-        Daemon(Process itself, bulrush::RoutingRight itsRight)
+        Daemon(Process itself, bulrush::RoutingLeaseHolder itsRight)
             : process(std::move(itself))
             , right(std::move(itsRight))
         { }
 
         Process process;
-        bulrush::RoutingRight right;
+        bulrush::RoutingLeaseHolder right;
         ViewPointer view = std::make_shared<View>(bulrush::Assignment());
         std::map<bulrush::ServerName, bulrush::ServerClockReading> clocks;
         std::map<bulrush::ServerName, bulrush::Instant> lastPong;
@@ -216,10 +216,10 @@
     {
         Process process;
         std::uint64_t epoch = 1;
-        std::unique_ptr<bulrush::LeaseBook> book;
+        std::unique_ptr<bulrush::RoutingLeaseTable> book;
         std::unique_ptr<bulrush::Handover> handover;
-        std::unique_ptr<bulrush::Recovery> recovery;
-        bulrush::AttendanceTable attendances;
+        std::unique_ptr<bulrush::AssignmentRecovery> recovery;
+        bulrush::ServerManagerTable attendances;
         bulrush::Instant termEnd;
         std::map<bulrush::Incarnation, bulrush::Instant> lastPull;
         std::set<bulrush::Incarnation> lostDaemons;
@@ -277,7 +277,7 @@
     void commit(std::size_t index, const bulrush::CommitAssignment &action);
     bulrush::CommitOutcome write(std::uint64_t epoch, const bulrush::CommitAssignment &action);
 
-    WorldSettings m_settings;
+    SimulationSettings m_settings;
     std::mt19937_64 m_random;
     bulrush::Instant m_now;
     std::multimap<bulrush::Instant, std::function<void()>> m_events;
--- a/tests/peermessagecodec/test_peermessagecodec.cpp
+++ b/tests/peermessagecodec/test_peermessagecodec.cpp
@@ -27,13 +27,13 @@
 std::vector<PeerMessage::Body> everyKind()
 {
     const VersionedItem item = makeItem({ItemKind::Assignment, "antwerp"}, {4, 9}, "a\n\"b\" é");
-    const News news{{member()}, {item.header}};
+    const GossipUpdate news{{member()}, {item.header}};
     const Summary sure{1, std::numeric_limits<std::uint64_t>::max(), std::chrono::seconds{5}};
     Exchange exchange;
     exchange.members[31] = 7;
     return {Ping{5, sure, news},
             Ack{6, {1, 2, std::nullopt}, {}},
-            NewsPush{news},
+            GossipPush{news},
             IndirectPing{7, HostName{"b1"}},
             IndirectAck{8, member()},
             exchange,
--- a/tests/platformadapter/test_storeclient.cpp
+++ b/tests/platformadapter/test_storeclient.cpp
@@ -4,7 +4,7 @@
 
 #include "process/scalartype.h"
 #include "standinprocess/childprocess.h"
-#include "standinprocess/synchttp.h"
+#include "standinprocess/synchttpclient.h"
 
 #include <asio/io_context.hpp>
 #include <boost/test/unit_test.hpp>
@@ -26,7 +26,7 @@
     asio::io_context loop;
     io::ServerClient client{loop};
     StoreClient store{client, *io::endpoint(io::PortZero::Refused).parse(process.address("one"))};
-    SyncHttp http;
+    SyncHttpClient http;
 
     template<typename Outcome>
     Outcome await(const std::function<void(std::function<void(Outcome)>)> &start)
--- a/tests/platformclient/test_platformclient.cpp
+++ b/tests/platformclient/test_platformclient.cpp
@@ -3,7 +3,7 @@
 #include "process/platformclient.h"
 #include "process/platformerror.h"
 #include "standinprocess/childprocess.h"
-#include "standinprocess/synchttp.h"
+#include "standinprocess/synchttpclient.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -55,7 +55,7 @@
 
     bulrush::test::ChildProcess process{BULRUSH_BINARY_DIR "/platform-standin",
                                         {"--end-with-parent", "--listen", "a=127.0.0.1:0"}};
-    bulrush::test::SyncHttp http;
+    bulrush::test::SyncHttpClient http;
     asio::io_context loop;
     HttpClient fetcher{loop};
     PlatformClient client{fetcher, {"http://" + process.address("a"), 20s}};
--- a/tests/requestlife/test_attendant.cpp
+++ b/tests/requestlife/test_attendant.cpp
@@ -1,4 +1,4 @@
-#include "connection/attendant.h"
+#include "connection/servermanager.h"
 #include "goldensession.h"
 
 #include <boost/test/unit_test.hpp>
@@ -17,7 +17,7 @@
 class AttendantSession
 {
 public:
-    explicit AttendantSession(std::string_view name, AttendantLimits limits = {})
+    explicit AttendantSession(std::string_view name, ServerManagerLimits limits = {})
         : m_golden(name)
         , m_attendant(limits)
     { }
@@ -30,7 +30,7 @@
         perform(m_attendant.submit({id, {requestClass, true, m_now + wait}, false}, m_now));
     }
 
-    void ended(WorkId id, WorkEnd end, std::string_view what)
+    void ended(WorkId id, WorkResult end, std::string_view what)
     {
         note("work " + std::to_string(id) + " " + std::string{what});
         perform(m_attendant.workEnded(id, end, m_now));
@@ -54,7 +54,7 @@
         m_golden.check();
     }
 
-    Attendant &attendant()
+    ServerManager &attendant()
     {
         return m_attendant;
     }
@@ -71,9 +71,9 @@
         m_golden.note(line);
     }
 
-    void perform(const AttendantActions &actions)
+    void perform(const ServerManagerActions &actions)
     {
-        for (const AttendantAction &action : actions)
+        for (const ServerManagerAction &action : actions)
             std::visit([this](const auto &one) { perform(one); }, action);
     }
 
@@ -99,7 +99,7 @@
     }
 
     GoldenSession m_golden;
-    Attendant m_attendant;
+    ServerManager m_attendant;
     Instant m_now = start;
 };
 
@@ -127,15 +127,15 @@
         m_now += 10s;
         perform(m_attendant.advance(m_now));
         while (!m_sent.empty())
-            end(m_sent.begin()->first, WorkEnd::Answered);
+            end(m_sent.begin()->first, WorkResult::Answered);
         BOOST_TEST_REQUIRE(m_queued.empty());
         BOOST_TEST_REQUIRE(m_attendant.load(RequestClass::Ordinary).inFlight == 0);
     }
 
 private:
-    static AttendantLimits limits()
+    static ServerManagerLimits limits()
     {
-        AttendantLimits limits;
+        ServerManagerLimits limits;
         limits.queueLimit = 8;
         return limits;
     }
@@ -146,7 +146,7 @@
         if (choice < 5)
             submit();
         else if (choice < 8 && !m_sent.empty())
-            end(m_sent.begin()->first, static_cast<WorkEnd>(m_random() % 4));
+            end(m_sent.begin()->first, static_cast<WorkResult>(m_random() % 4));
         else if (choice == 8)
             perform(m_attendant.serverAnswered(false, m_now));
         else
@@ -163,15 +163,15 @@
         perform(m_attendant.submit({id, {requestClass, true, deadline}, false}, m_now));
     }
 
-    void end(WorkId id, WorkEnd workEnd)
+    void end(WorkId id, WorkResult workEnd)
     {
         m_sent.erase(id);
         perform(m_attendant.workEnded(id, workEnd, m_now));
     }
 
-    void perform(const AttendantActions &actions)
+    void perform(const ServerManagerActions &actions)
     {
-        for (const AttendantAction &action : actions)
+        for (const ServerManagerAction &action : actions)
             std::visit([this](const auto &one) { perform(one); }, action);
     }
 
@@ -201,16 +201,16 @@
     }
 
     std::mt19937 m_random;
-    Attendant m_attendant{limits()};
+    ServerManager m_attendant{limits()};
     std::map<WorkId, Instant> m_queued;
     std::map<WorkId, Instant> m_sent;
     WorkId m_nextId = 1;
     Instant m_now = start;
 };
 
-bool isSent(const AttendantActions &actions, WorkId id)
+bool isSent(const ServerManagerActions &actions, WorkId id)
 {
-    return actions == AttendantActions{DispatchWork{id}};
+    return actions == ServerManagerActions{DispatchWork{id}};
 }
 
 } // namespace
@@ -219,21 +219,21 @@
 
 BOOST_AUTO_TEST_CASE(slotsAreNeverOverfilled)
 {
-    Attendant attendant{{}};
+    ServerManager attendant{{}};
     for (WorkId id = 1; id <= 10; ++id)
         BOOST_TEST(isSent(attendant.submit(ordinary(id), start), id) == (id <= 3));
     BOOST_TEST(attendant.load(RequestClass::Ordinary).inFlight == 3);
     BOOST_TEST(attendant.load(RequestClass::Ordinary).queuedBefore == 7);
-    BOOST_TEST(isSent(attendant.workEnded(2, WorkEnd::Answered, start + 20ms), 4));
-    BOOST_TEST(attendant.workEnded(2, WorkEnd::Answered, start + 20ms).empty());
+    BOOST_TEST(isSent(attendant.workEnded(2, WorkResult::Answered, start + 20ms), 4));
+    BOOST_TEST(attendant.workEnded(2, WorkResult::Answered, start + 20ms).empty());
 }
 
 BOOST_AUTO_TEST_CASE(queueIsBounded)
 {
-    Attendant attendant{{}};
+    ServerManager attendant{{}};
     int refused = 0;
     for (WorkId id = 1; id <= 1000; ++id) {
-        for (const AttendantAction &action : attendant.submit(ordinary(id, 100s), start)) {
+        for (const ServerManagerAction &action : attendant.submit(ordinary(id, 100s), start)) {
             const auto *refusal = std::get_if<RefuseWork>(&action);
             refused += refusal != nullptr && refusal->reason == FailurePoint::QueueFull ? 1 : 0;
         }
@@ -242,7 +242,7 @@
     BOOST_TEST(attendant.load(RequestClass::Ordinary).queuedBefore == 64);
 }
 
-BOOST_AUTO_TEST_CASE(workThatCannotBeInTimeIsRefusedWhenItComes)
+BOOST_AUTO_TEST_CASE(workThatWouldBeLateIsRefusedOnSubmission)
 {
     AttendantSession session{"attendant-overload"};
     for (WorkId id = 1; id <= 8; ++id)
@@ -251,7 +251,7 @@
     session.submit(10, RequestClass::Priority, 125ms);
     session.submit(11, RequestClass::Priority, 125ms);
     session.advance(20ms);
-    session.ended(1, WorkEnd::Answered, "is answered");
+    session.ended(1, WorkResult::Answered, "is answered");
     session.submit(12, RequestClass::Ordinary, 10ms);
     session.advance(90ms);
     session.check();
@@ -267,12 +267,12 @@
     BOOST_TEST(session.attendant().isSuspected());
     session.submit(6, RequestClass::Priority, 2s);
     session.serverAnswered();
-    session.ended(1, WorkEnd::Lost, "is given up on");
-    session.ended(2, WorkEnd::Lost, "is given up on");
+    session.ended(1, WorkResult::Lost, "is given up on");
+    session.ended(2, WorkResult::Lost, "is given up on");
     session.submit(7, RequestClass::Priority, 4s);
     session.advance(1700ms);
-    session.ended(3, WorkEnd::Answered, "is answered");
-    session.ended(7, WorkEnd::Answered, "is answered");
+    session.ended(3, WorkResult::Answered, "is answered");
+    session.ended(7, WorkResult::Answered, "is answered");
     BOOST_TEST(!session.attendant().isSuspected());
     session.check();
 }
@@ -282,43 +282,43 @@
     AttendantSession session{"attendant-shed"};
     for (WorkId id = 1; id <= 9; ++id)
         session.submit(id, RequestClass::Ordinary, 5s);
-    session.ended(1, WorkEnd::Shed, "is shed by the server");
-    session.ended(2, WorkEnd::Cold, "is refused by the cold server");
-    session.ended(3, WorkEnd::Answered, "is answered");
-    session.ended(4, WorkEnd::Answered, "is answered");
-    session.ended(5, WorkEnd::Answered, "is answered");
-    session.ended(6, WorkEnd::Answered, "is answered");
+    session.ended(1, WorkResult::Shed, "is shed by the server");
+    session.ended(2, WorkResult::Cold, "is refused by the cold server");
+    session.ended(3, WorkResult::Answered, "is answered");
+    session.ended(4, WorkResult::Answered, "is answered");
+    session.ended(5, WorkResult::Answered, "is answered");
+    session.ended(6, WorkResult::Answered, "is answered");
     session.check();
 }
 
-BOOST_AUTO_TEST_CASE(drainingServerGetsNothingNewAndEndsItsFlights)
+BOOST_AUTO_TEST_CASE(drainingServerGetsNoNewWorkAndFinishesWorkInFlight)
 {
     AttendantSession session{"attendant-draining"};
     for (WorkId id = 1; id <= 4; ++id)
         session.submit(id, RequestClass::Ordinary, 5s);
     session.serverAnswered(true);
     session.submit(5, RequestClass::Priority, 5s);
-    session.ended(1, WorkEnd::Answered, "is answered");
-    session.ended(2, WorkEnd::Answered, "is answered");
-    session.ended(3, WorkEnd::Answered, "is answered");
+    session.ended(1, WorkResult::Answered, "is answered");
+    session.ended(2, WorkResult::Answered, "is answered");
+    session.ended(3, WorkResult::Answered, "is answered");
     session.check();
 }
 
 BOOST_AUTO_TEST_CASE(lostWorkHoldsItsSlotUntilItsDeadline)
 {
-    Attendant attendant{{}};
+    ServerManager attendant{{}};
     for (WorkId id = 1; id <= 4; ++id)
         attendant.submit(ordinary(id, id == 1 ? 200ms : 5s), start);
-    BOOST_TEST(attendant.workEnded(1, WorkEnd::Lost, start + 20ms).empty());
+    BOOST_TEST(attendant.workEnded(1, WorkResult::Lost, start + 20ms).empty());
     BOOST_TEST(attendant.load(RequestClass::Ordinary).inFlight == 3);
     BOOST_TEST(isSent(attendant.advance(start + 200ms), 4));
 }
 
 BOOST_AUTO_TEST_CASE(streamedBodiesHoldConnectionsNotSlots)
 {
-    AttendantLimits limits;
+    ServerManagerLimits limits;
     limits.streamedBodyLimit = 4;
-    Attendant attendant{limits};
+    ServerManager attendant{limits};
     const auto upload = [](WorkId id) {
         AttendedWork work = ordinary(id, 100s);
         work.hasStreamedBody = true;
@@ -334,11 +334,11 @@
 
 BOOST_AUTO_TEST_CASE(cancelledWorkIsNotSent)
 {
-    Attendant attendant{{}};
+    ServerManager attendant{{}};
     for (WorkId id = 1; id <= 5; ++id)
         attendant.submit(ordinary(id), start);
     attendant.cancel(4);
-    BOOST_TEST(isSent(attendant.workEnded(1, WorkEnd::Answered, start + 20ms), 5));
+    BOOST_TEST(isSent(attendant.workEnded(1, WorkResult::Answered, start + 20ms), 5));
 }
 
 BOOST_AUTO_TEST_CASE(randomWorkIsSentOrRefusedOnceAndNeverBeyondTheSlots)
--- a/tests/requestlife/test_claim.cpp
+++ b/tests/requestlife/test_claim.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-const Outcome whole = WholeAnswer{};
+const Outcome whole = CompleteAnswer{};
 const Outcome silent = Unknown{FailurePoint::WrittenAndSilent, 1s};
 const Outcome shed = NotRun{FailurePoint::ServerShed, 1s};
 
@@ -94,13 +94,13 @@
         if (pick(12) == 0)
             m_world.advance(700ms);
         if (pick(12) == 0)
-            m_world.send(daemon, ClaimGivenUp{});
+            m_world.send(daemon, ClaimAbandoned{});
         else if (m_world.isWriting(daemon))
             m_world.platform(daemon, static_cast<Fate>(pick(4)));
         else if (m_world.isReading(daemon))
             pick(3) == 0 ? m_world.readFailed(daemon) : m_world.readAnswered(daemon);
         else if (m_world.isWaitingToSettle(daemon))
-            m_world.send(daemon, ClaimSettleDue{});
+            m_world.send(daemon, ClaimRecheckDue{});
         else if (m_world.isDispatched(daemon))
             m_world.workEnded(daemon, pick(3) == 0 ? shed : (pick(2) == 0 ? silent : whole));
     }
@@ -121,7 +121,7 @@
         else if (m_world.isReading(daemon))
             m_world.readAnswered(daemon);
         else if (m_world.isWaitingToSettle(daemon))
-            m_world.send(daemon, ClaimSettleDue{});
+            m_world.send(daemon, ClaimRecheckDue{});
         else if (m_world.isDispatched(daemon))
             m_world.workEnded(daemon, whole);
     }
@@ -181,7 +181,7 @@
     world.ask("second");
     world.platform("second", Fate::Answered);
     BOOST_TEST(world.answerAt("second") == "409 ran=unknown in-progress");
-    world.send("first", ClaimSettleDue{});
+    world.send("first", ClaimRecheckDue{});
     world.readAnswered("first");
     world.platform("first", Fate::Answered);
     world.ask("second");
@@ -192,14 +192,14 @@
     session.check();
 }
 
-BOOST_AUTO_TEST_CASE(writeStillUnderWayIsShutOut)
+BOOST_AUTO_TEST_CASE(delayedWriteHasNoEffectAfterARewrite)
 {
     GoldenSession session{"claim-write-shut-out"};
     ClaimWorld world{&session};
     world.ask("first");
     world.platform("first", Fate::StillUnderWay);
     world.readFailed("first");
-    world.send("first", ClaimSettleDue{});
+    world.send("first", ClaimRecheckDue{});
     world.readAnswered("first");
     world.platform("first", Fate::Answered);
     world.deliverLate();
@@ -209,7 +209,7 @@
     session.check();
 }
 
-BOOST_AUTO_TEST_CASE(daemonDiesAfterDispatch)
+BOOST_AUTO_TEST_CASE(daemonCrashesAfterDispatch)
 {
     GoldenSession session{"claim-daemon-killed"};
     ClaimWorld world{&session};
@@ -259,7 +259,7 @@
     ClaimWorld world{&session};
     world.ask("first");
     world.advance(2100ms);
-    world.send("first", ClaimGivenUp{});
+    world.send("first", ClaimAbandoned{});
     BOOST_TEST(world.answerAt("first") == "503 ran=no deadline");
     world.platform("first", Fate::Answered);
     world.platform("first", Fate::Answered);
@@ -284,7 +284,7 @@
     session.check();
 }
 
-BOOST_AUTO_TEST_CASE(silentServerLeavesItUnknownForGood)
+BOOST_AUTO_TEST_CASE(missingAnswerLeavesTheClaimUnknown)
 {
     GoldenSession session{"claim-unknown"};
     ClaimWorld world{&session};
@@ -299,7 +299,7 @@
     session.check();
 }
 
-BOOST_AUTO_TEST_CASE(seededSearchNeverRunsTwiceNorLies)
+BOOST_AUTO_TEST_CASE(seededSearchNeverRunsTwiceNorAnswersWrongly)
 {
     for (unsigned seed = 0; seed < 20000; ++seed) {
         ClaimSearch search{seed};
--- a/tests/rowsworld/rowssimulation.cpp
+++ b/tests/rowsworld/rowssimulation.cpp
@@ -69,7 +69,7 @@
     std::shared_ptr<PendingRequest> pending;
     std::uint64_t version = 0;
     bool isAlternate = false;
-    Instant askedAt;
+    Instant requestedAt;
     Instant newerThan;
 };
 
@@ -408,7 +408,7 @@
 void RowsSimulation::receiveRequest(std::size_t index, HeldRequest held)
 {
     Daemon &daemon = *m_daemons[index];
-    held.askedAt = m_now;
+    held.requestedAt = m_now;
     held.newerThan = std::min(held.newerThan, daemon.tables[held.table].confirmedAt);
     daemon.held.push_back(held);
     answerHeldRequests(index);
@@ -425,7 +425,8 @@
 {
     Daemon &daemon = *m_daemons[index];
     const Table rows = daemon.tables[held.table];
-    const bool hasWaited = m_now - held.askedAt >= (held.isAlternate ? alternateWait : followWait);
+    const bool hasWaited =
+        m_now - held.requestedAt >= (held.isAlternate ? alternateWait : followWait);
     const auto answer = [this, index, held](Callback callback, std::size_t bytes = 0) {
         // Sending an answer takes processor time, too.
         handle(index, [this, index, held, bytes, callback = std::move(callback)] {
--- a/tests/standinprocess/rawconnection.cpp
+++ b/tests/standinprocess/rawconnection.cpp
@@ -68,12 +68,12 @@
     return true;
 }
 
-std::string RawConnection::receivedSoFar()
+std::string RawConnection::receiveAvailable()
 {
     return receivedBytes(m_socket, MSG_DONTWAIT);
 }
 
-std::string RawConnection::receiveToEnd()
+std::string RawConnection::receiveUntilClosed()
 {
     return receivedBytes(m_socket, 0);
 }
--- a/tests/standinprocess/rawconnection.h
+++ b/tests/standinprocess/rawconnection.h
@@ -23,10 +23,10 @@
     bool send(std::string_view bytes);
 
     /** \returns the bytes that have arrived and were not returned before, without waiting. */
-    std::string receivedSoFar();
+    std::string receiveAvailable();
 
     /** Waits for the peer to close the connection. \returns all bytes that arrived until then. */
-    std::string receiveToEnd();
+    std::string receiveUntilClosed();
 
     /** Closes the connection; further calls have no effect. */
     void close();
--- a/tests/standinprocess/synchttp.cpp
+++ b/tests/standinprocess/synchttpclient.cpp
@@ -1,4 +1,4 @@
-#include "standinprocess/synchttp.h"
+#include "standinprocess/synchttpclient.h"
 
 #include <curl/curl.h>
 #include <json/reader.h>
@@ -67,19 +67,19 @@
     return value;
 }
 
-SyncHttp::SyncHttp()
+SyncHttpClient::SyncHttpClient()
     : m_easy(curl_easy_init())
 {
     if (m_easy == nullptr)
         throw std::runtime_error("curl_easy_init failed");
 }
 
-SyncHttp::~SyncHttp()
+SyncHttpClient::~SyncHttpClient()
 {
     curl_easy_cleanup(m_easy);
 }
 
-SyncHttpResult SyncHttp::send(const SyncHttpRequest &request)
+SyncHttpResult SyncHttpClient::send(const SyncHttpRequest &request)
 {
     SyncHttpResult result;
     const HeaderList headers = headerListOf(request);
@@ -111,12 +111,12 @@
     return result;
 }
 
-SyncHttpResult SyncHttp::get(const std::string &url)
+SyncHttpResult SyncHttpClient::get(const std::string &url)
 {
     return send({"GET", url, {}, {}});
 }
 
-SyncHttpResult SyncHttp::post(const std::string &url, const std::string &body)
+SyncHttpResult SyncHttpClient::post(const std::string &url, const std::string &body)
 {
     return send({"POST", url, {{"Content-Type", "application/json"}}, body});
 }
--- a/tests/standinprocess/synchttp.h
+++ b/tests/standinprocess/synchttpclient.h
@@ -46,14 +46,14 @@
  * Makes blocking HTTP/1.1 calls with libcurl. Each call uses a new connection, so that libcurl
  * never sends a request twice. Not thread safe: each thread needs its own object.
  */
-class SyncHttp
+class SyncHttpClient
 {
 public:
-    SyncHttp();
-    ~SyncHttp();
+    SyncHttpClient();
+    ~SyncHttpClient();
 
-    SyncHttp(const SyncHttp &) = delete;
-    SyncHttp &operator=(const SyncHttp &) = delete;
+    SyncHttpClient(const SyncHttpClient &) = delete;
+    SyncHttpClient &operator=(const SyncHttpClient &) = delete;
 
     SyncHttpResult send(const SyncHttpRequest &request);
     SyncHttpResult get(const std::string &url);
--- a/tests/standins_test/test_backendstandin.cpp
+++ b/tests/standins_test/test_backendstandin.cpp
@@ -1,7 +1,7 @@
 #define BOOST_TEST_MODULE backendstandin
 #include "standinprocess/childprocess.h"
 #include "standinprocess/rawconnection.h"
-#include "standinprocess/synchttp.h"
+#include "standinprocess/synchttpclient.h"
 
 #include <boost/test/unit_test.hpp>
 #include <curl/curl.h>
@@ -65,21 +65,22 @@
     static SyncHttpResult workAt(const std::string &url, const std::string &fence,
                                  const std::string &deadline)
     {
-        return SyncHttp{}.send({"POST",
-                                url,
-                                {{"X-Bulrush-Service", "catalogue"},
-                                 {"X-Bulrush-Key", "k"},
-                                 {"X-Bulrush-Fence", fence},
-                                 {"X-Bulrush-Request", "r-1"},
-                                 {"X-Bulrush-Idempotency-Key", "i-1"},
-                                 {"X-Bulrush-Deadline", deadline}},
-                                "body"});
+        return SyncHttpClient{}.send({"POST",
+                                      url,
+                                      {{"X-Bulrush-Service", "catalogue"},
+                                       {"X-Bulrush-Key", "k"},
+                                       {"X-Bulrush-Fence", fence},
+                                       {"X-Bulrush-Request", "r-1"},
+                                       {"X-Bulrush-Idempotency-Key", "i-1"},
+                                       {"X-Bulrush-Deadline", deadline}},
+                                      "body"});
     }
 
     /** Requests work without waiting for the answer. */
     std::future<SyncHttpResult> startWork(const std::string &path)
     {
-        return std::async(std::launch::async, [url = url(path)] { return SyncHttp{}.get(url); });
+        return std::async(std::launch::async,
+                          [url = url(path)] { return SyncHttpClient{}.get(url); });
     }
 
     /** Waits until the reported load shows \a running and \a queued. */
@@ -93,7 +94,7 @@
     }
 
     ChildProcess process;
-    SyncHttp http;
+    SyncHttpClient http;
 };
 
 std::string grantOrder(const std::string &fence, const std::string &begin = "0000000000000000",
@@ -273,9 +274,9 @@
     Backend backend{{"--connections", "1"}};
     RawConnection held{backend.process.address()};
     RawConnection refused{backend.process.address()};
-    BOOST_TEST(refused.receiveToEnd().empty());
+    BOOST_TEST(refused.receiveUntilClosed().empty());
     BOOST_TEST(held.send("GET /_control/load HTTP/1.1\r\nHost: b\r\nConnection: close\r\n\r\n"));
-    BOOST_TEST(held.receiveToEnd().starts_with("HTTP/1.1 200"));
+    BOOST_TEST(held.receiveUntilClosed().starts_with("HTTP/1.1 200"));
 
     // Until the server has detected that `held` is closed, it refuses further connections.
     Json::Value log;
@@ -303,7 +304,7 @@
         caller.send("GET / HTTP/1.1\r\nHost: b\r\n\r\n");
         while (backend.observed()["done"].asInt() == done)
             std::this_thread::sleep_for(std::chrono::milliseconds{2});
-        BOOST_TEST(caller.receivedSoFar().empty());
+        BOOST_TEST(caller.receiveAvailable().empty());
     }
     behave("whole");
     BOOST_TEST(backend.work("/mine").json()["target"].asString() == "/mine");
@@ -321,7 +322,7 @@
     const std::int64_t clock = backend.load()["clockMs"].asInt64();
     backend.process.stop();
     auto expired = std::async(std::launch::async, [&backend, clock] {
-        return SyncHttp{}.send(
+        return SyncHttpClient{}.send(
             {"GET", backend.url("/"), {{"X-Bulrush-Deadline", std::to_string(clock + 100)}}, {}});
     });
     BOOST_TEST((expired.wait_for(std::chrono::milliseconds{150}) == std::future_status::timeout));
--- a/tests/standins_test/test_platformstandin.cpp
+++ b/tests/standins_test/test_platformstandin.cpp
@@ -1,7 +1,7 @@
 #define BOOST_TEST_MODULE platformstandin
 #include "standinprocess/childprocess.h"
 #include "standinprocess/rawconnection.h"
-#include "standinprocess/synchttp.h"
+#include "standinprocess/synchttpclient.h"
 
 #include <boost/test/unit_test.hpp>
 #include <curl/curl.h>
@@ -50,7 +50,7 @@
     }
 
     ChildProcess process;
-    SyncHttp http;
+    SyncHttpClient http;
 };
 
 } // namespace
@@ -159,7 +159,7 @@
                     + std::to_string(body.size()) + "\r\n\r\n" + body);
     while (row("k", "gent")["version"].asInt() != 1)
         std::this_thread::sleep_for(std::chrono::milliseconds{2});
-    BOOST_TEST(connection.receivedSoFar().empty());
+    BOOST_TEST(connection.receiveAvailable().empty());
 
     post("/_faults", R"({"listener":"antwerp","mode":"slow","slowMs":30})");
     const auto before = std::chrono::steady_clock::now();
--- a/tests/stewardsearch/randomschedule.cpp
+++ b/tests/stewardsearch/randomschedule.cpp
@@ -1,6 +1,6 @@
 #include "randomschedule.h"
 
-#include "stewardworld.h"
+#include "leaderelectionsimulation.h"
 
 #include <algorithm>
 #include <cstdlib>
@@ -15,14 +15,14 @@
 constexpr std::int64_t driftPpm = 50'000;
 constexpr TrueTime scheduleLength = 60s;
 
-StewardTimings searchTimings(std::uint64_t seed)
+LeaderElectionTimings searchTimings(std::uint64_t seed)
 {
     // Short durations and a large drift bound make faults visible within one schedule. With late
     // renewals, less of the lease is left to mask a fault.
     const Duration renewInterval = (seed % 3 + 1) * 500ms;
     return {.renewInterval = renewInterval,
-            .platformPatience = renewInterval + 250ms,
-            .askInterval = seed % 2 == 0 ? 350ms : 500ms,
+            .platformSilenceTimeout = renewInterval + 250ms,
+            .promiseRequestInterval = seed % 2 == 0 ? 350ms : 500ms,
             .promiseLength = 6s,
             .outageAllowance = 20s,
             .driftPpm = driftPpm};
@@ -66,7 +66,7 @@
     Duration drawDelay();
 
     std::mt19937_64 m_random;
-    StewardWorld m_simulation;
+    LeaderElectionSimulation m_simulation;
     PlatformMode m_platformMode = PlatformMode::Healthy;
     bool m_hasSlowMessages = false;
     bool m_isPlatformUp = true;
--- a/tests/stewardseat/test_promises.cpp
+++ b/tests/stewardseat/test_promises.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-const std::vector<StewardCandidate> candidates = {{Incarnation("a2"), DomainName("a"), "a2:1"}};
+const std::vector<LeaderCandidate> candidates = {{Incarnation("a2"), DomainName("a"), "a2:1"}};
 
 } // namespace
 
--- a/tests/stewardseat/test_stewardseat.cpp
+++ b/tests/stewardseat/test_stewardseat.cpp
@@ -1,7 +1,7 @@
-#define BOOST_TEST_MODULE StewardSeat
+#define BOOST_TEST_MODULE LeaderElection
 
 #include "goldenfile.h"
-#include "stewardworld.h"
+#include "leaderelectionsimulation.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -18,10 +18,10 @@
 }
 
 /** Three daemons of domain a, whose leader is elected, and one daemon each of domains b and c. */
-struct Scenario : StewardWorld
+struct Scenario : LeaderElectionSimulation
 {
-    explicit Scenario(StewardTimings timings = {})
-        : StewardWorld(timings)
+    explicit Scenario(LeaderElectionTimings timings = {})
+        : LeaderElectionSimulation(timings)
     { }
 
     /** Starts all daemons, a1 first, and waits until a1 has named its candidates. */
@@ -56,7 +56,7 @@
     {
         const TrueTime crashAt = now();
         kill("a1");
-        while (steward().empty() || !seat(steward()).mayGrantAt(Instant(now())))
+        while (steward().empty() || !election(steward()).mayGrantAt(Instant(now())))
             run(10ms);
         return now() - crashAt;
     }
@@ -85,8 +85,8 @@
     scenario.kill("a1");
     scenario.runUntil(9s);
     BOOST_TEST(!scenario.steward().empty());
-    BOOST_TEST(scenario.seat(scenario.steward()).epoch() == 2U);
-    BOOST_TEST(scenario.seat(scenario.steward()).mayGrantAt(Instant(9s)));
+    BOOST_TEST(scenario.election(scenario.steward()).epoch() == 2U);
+    BOOST_TEST(scenario.election(scenario.steward()).mayGrantAt(Instant(9s)));
     scenario.finish("holderlost");
 }
 
@@ -108,8 +108,9 @@
     // With a long renewal interval, little of the lease is left when promises are released.
     for (TrueTime cutAt = 5s; cutAt < 6s; cutAt += 100ms) {
         for (TrueTime crashAt = 16s; crashAt < 18s; crashAt += 50ms) {
-            Scenario scenario(
-                {.renewInterval = 1s, .platformPatience = 1250ms, .askInterval = 350ms});
+            Scenario scenario({.renewInterval = 1s,
+                               .platformSilenceTimeout = 1250ms,
+                               .promiseRequestInterval = 350ms});
             scenario.startAll();
             scenario.runUntil(cutAt);
             scenario.setPlatformUp(false);
@@ -237,7 +238,7 @@
     scenario.at(7900ms, [&] { scenario.setPlatformCut("a1", true); });
     scenario.at(6900ms, [&] { scenario.setPlatformCut("a2", true); });
     scenario.runUntil(10500ms);
-    BOOST_TEST(scenario.seat("a2").hasUnsettledWrite());
+    BOOST_TEST(scenario.election("a2").hasUnsettledWrite());
     BOOST_TEST(scenario.row().row.holder.value() == "a1");
     BOOST_TEST(scenario.steward().empty());
     scenario.runUntil(12s);
@@ -298,7 +299,7 @@
     scenario.setPlatformUp(true);
     scenario.run(60s);
     BOOST_TEST(scenario.steward() == "a1");
-    BOOST_TEST(!scenario.seat("a4").isCandidate());
+    BOOST_TEST(!scenario.election("a4").isCandidate());
     scenario.finish("newdaemonsinoutage");
 }
 
@@ -361,7 +362,7 @@
     scenario.setPlatformUp(false);
     scenario.runUntil(124900ms);
     BOOST_TEST(scenario.steward() == "a2");
-    BOOST_TEST(!scenario.seat("a1").isStewardAt(Instant(scenario.now())));
+    BOOST_TEST(!scenario.election("a1").isLeaderAt(Instant(scenario.now())));
     scenario.run(10s);
     BOOST_TEST(scenario.steward() == "a2");
     scenario.setPlatformUp(true);
@@ -466,7 +467,7 @@
     scenario.startAll();
     scenario.depart("a1");
     scenario.run(10s);
-    BOOST_TEST(scenario.seat("a1").isDepartureComplete());
+    BOOST_TEST(scenario.election("a1").isDepartureComplete());
     BOOST_TEST(scenario.steward() == "a2");
     scenario.kill("a1");
     scenario.finish("handover");
--- a/tests/stewardworld/stewardworld.cpp
+++ b/tests/stewardworld/leaderelectionsimulation.cpp
@@ -1,4 +1,4 @@
-#include "stewardworld.h"
+#include "leaderelectionsimulation.h"
 
 #include <algorithm>
 #include <chrono>
@@ -44,30 +44,30 @@
 
 } // namespace
 
-StewardWorld::StewardWorld(StewardTimings timings)
+LeaderElectionSimulation::LeaderElectionSimulation(LeaderElectionTimings timings)
     : m_timings(timings)
 { }
 
-void StewardWorld::start(const std::string &name, DriftingClock clock)
+void LeaderElectionSimulation::start(const std::string &name, DriftingClock clock)
 {
     note(name + " starts");
     const DomainName domain(name.substr(0, 1));
     Daemon daemon;
     daemon.self = {Incarnation(name), domain, name + ":1"};
     daemon.clock = clock;
-    daemon.seat = std::make_unique<StewardSeat>(daemon.self, DomainName("a"), m_timings);
+    daemon.election = std::make_unique<LeaderElection>(daemon.self, DomainName("a"), m_timings);
     m_daemons[name] = std::move(daemon);
     sendPeers(name);
     tick(name);
 }
 
-void StewardWorld::kill(const std::string &name)
+void LeaderElectionSimulation::kill(const std::string &name)
 {
     note(name + " dies");
     m_daemons.erase(name);
 }
 
-void StewardWorld::freeze(const std::string &name, Duration length)
+void LeaderElectionSimulation::freeze(const std::string &name, Duration length)
 {
     note(name + " freezes");
     m_daemons.at(name).frozenUntil = m_now + length;
@@ -75,25 +75,25 @@
         if (!isAlive(name) || m_daemons.at(name).frozenUntil > m_now)
             return;
         note(name + " thaws");
-        for (const StewardEvent &event : std::exchange(m_daemons.at(name).inbox, {}))
+        for (const LeaderElectionEvent &event : std::exchange(m_daemons.at(name).inbox, {}))
             deliver(name, event);
     });
 }
 
-void StewardWorld::depart(const std::string &name)
+void LeaderElectionSimulation::depart(const std::string &name)
 {
     note(name + " is told to depart");
     m_daemons.at(name).isDeparting = true;
     deliver(name, DepartureRequested{});
 }
 
-void StewardWorld::setPlatformUp(bool isUp)
+void LeaderElectionSimulation::setPlatformUp(bool isUp)
 {
     note(isUp ? "platform up" : "platform down");
     m_isPlatformUp = isUp;
 }
 
-void StewardWorld::setPlatformCut(const std::string &name, bool isCut)
+void LeaderElectionSimulation::setPlatformCut(const std::string &name, bool isCut)
 {
     note(name + (isCut ? " loses the platform" : " reaches the platform again"));
     if (isCut)
@@ -102,7 +102,7 @@
         m_platformCuts.erase(name);
 }
 
-void StewardWorld::setCut(const std::string &one, const std::string &other, bool isCut)
+void LeaderElectionSimulation::setCut(const std::string &one, const std::string &other, bool isCut)
 {
     note(one + " and " + other + (isCut ? " are cut off from each other" : " reach each other"));
     if (isCut)
@@ -111,21 +111,21 @@
         m_cuts.erase({one, other});
 }
 
-void StewardWorld::releaseByOperator()
+void LeaderElectionSimulation::releaseByOperator()
 {
-    m_row.row = releasedByOperator(m_row.row, Incarnation("operator"), StewardWriteId("operator"));
+    m_row.row = releasedByOperator(m_row.row, Incarnation("operator"), LeaderWriteId("operator"));
     m_row.version = ++m_latestVersion;
     noteRow("an operator releases");
 }
 
-void StewardWorld::deleteRow()
+void LeaderElectionSimulation::deleteRow()
 {
     note("the row is deleted");
     m_row = {};
     ++m_latestVersion;
 }
 
-void StewardWorld::runUntil(TrueTime time)
+void LeaderElectionSimulation::runUntil(TrueTime time)
 {
     while (!m_scheduledCalls.empty() && m_scheduledCalls.begin()->first <= time) {
         auto next = m_scheduledCalls.extract(m_scheduledCalls.begin());
@@ -135,21 +135,21 @@
     m_now = time;
 }
 
-void StewardWorld::at(TrueTime time, std::function<void()> callback)
+void LeaderElectionSimulation::at(TrueTime time, std::function<void()> callback)
 {
     m_scheduledCalls.emplace(time, std::move(callback));
 }
 
-std::string StewardWorld::steward() const
+std::string LeaderElectionSimulation::steward() const
 {
     for (const auto &[name, daemon] : m_daemons) {
-        if (daemon.seat->isStewardAt(daemon.clock.at(m_now)))
+        if (daemon.election->isLeaderAt(daemon.clock.at(m_now)))
             return name;
     }
     return {};
 }
 
-void StewardWorld::note(const std::string &line)
+void LeaderElectionSimulation::note(const std::string &line)
 {
     char time[32];
     const double seconds = std::chrono::duration<double>(m_now).count();
@@ -157,16 +157,16 @@
     m_transcript += time + line + '\n';
 }
 
-void StewardWorld::tick(const std::string &name)
+void LeaderElectionSimulation::tick(const std::string &name)
 {
     if (!isAlive(name))
         return;
     if (m_daemons.at(name).frozenUntil <= m_now)
-        handle(m_daemons.at(name), StewardTick{});
+        handle(m_daemons.at(name), LeaderElectionTick{});
     at(m_now + tickInterval, [this, name] { tick(name); });
 }
 
-void StewardWorld::sendPeers(const std::string &name)
+void LeaderElectionSimulation::sendPeers(const std::string &name)
 {
     if (!isAlive(name))
         return;
@@ -179,7 +179,7 @@
     at(m_now + peersInterval, [this, name] { sendPeers(name); });
 }
 
-void StewardWorld::deliver(const std::string &name, const StewardEvent &event)
+void LeaderElectionSimulation::deliver(const std::string &name, const LeaderElectionEvent &event)
 {
     if (!isAlive(name))
         return;
@@ -190,16 +190,17 @@
         handle(daemon, event);
 }
 
-void StewardWorld::handle(Daemon &daemon, const StewardEvent &event)
+void LeaderElectionSimulation::handle(Daemon &daemon, const LeaderElectionEvent &event)
 {
     const std::string name = daemon.self.incarnation.value();
-    const auto actions = daemon.seat->handle(event, daemon.clock.at(m_now));
-    m_checker.check(name, *daemon.seat, actions, daemon.clock, m_now, m_timings);
-    for (const StewardAction &action : actions)
+    const auto actions = daemon.election->handle(event, daemon.clock.at(m_now));
+    m_checker.check(name, *daemon.election, actions, daemon.clock, m_now, m_timings);
+    for (const LeaderElectionAction &action : actions)
         std::visit([&](const auto &kind) { perform(name, kind); }, action);
 }
 
-void StewardWorld::send(const std::string &from, const std::string &to, StewardEvent event)
+void LeaderElectionSimulation::send(const std::string &from, const std::string &to,
+                                    LeaderElectionEvent event)
 {
     ++m_counts.messages;
     if (m_cuts.contains({from, to}))
@@ -208,19 +209,19 @@
     at(m_now + delay, [this, to, event = std::move(event)] { deliver(to, event); });
 }
 
-bool StewardWorld::reachesPlatform(const std::string &name) const
+bool LeaderElectionSimulation::reachesPlatform(const std::string &name) const
 {
     return m_isPlatformUp && !m_platformCuts.contains(name);
 }
 
-PlatformCallBehavior StewardWorld::nextBehavior(const std::string &name)
+PlatformCallBehavior LeaderElectionSimulation::nextBehavior(const std::string &name)
 {
     PlatformCallBehavior behavior = m_behaviorSource ? m_behaviorSource() : PlatformCallBehavior();
     behavior.isLost = behavior.isLost || !reachesPlatform(name);
     return behavior;
 }
 
-void StewardWorld::perform(const std::string &from, const ReadStewardRow &)
+void LeaderElectionSimulation::perform(const std::string &from, const ReadLeaderRow &)
 {
     ++m_counts.reads;
     const PlatformCallBehavior behavior = nextBehavior(from);
@@ -228,12 +229,12 @@
     if (!behavior.isLost && !behavior.isRefused && !behavior.isAnswerLost)
         at(m_now + behavior.toPlatform, [=, this] {
             at(m_now + behavior.back,
-               [=, this, row = m_row] { answerOnce(from, StewardRowRead{row}, isAnswered); });
+               [=, this, row = m_row] { answerOnce(from, LeaderRowRead{row}, isAnswered); });
         });
-    at(m_now + platformTimeout, [=, this] { answerOnce(from, StewardReadFailed{}, isAnswered); });
+    at(m_now + platformTimeout, [=, this] { answerOnce(from, LeaderRowReadFailed{}, isAnswered); });
 }
 
-void StewardWorld::perform(const std::string &from, const WriteStewardRow &write)
+void LeaderElectionSimulation::perform(const std::string &from, const WriteLeaderRow &write)
 {
     ++m_counts.writes;
     PlatformCallBehavior behavior = nextBehavior(from);
@@ -243,20 +244,20 @@
     }
     auto isAnswered = std::make_shared<bool>(false);
     if (behavior.isRefused) {
-        const StewardWriteAnswered refusal{write.attempt, WriteRefused{}};
+        const LeaderRowWriteResult refusal{write.attempt, WriteRefused{}};
         at(m_now, [=, this] { answerOnce(from, refusal, isAnswered); });
         return;
     }
     if (!behavior.isLost)
         at(m_now + behavior.toPlatform,
            [=, this] { applyWrite(from, write, behavior, isAnswered); });
-    const StewardWriteAnswered unknown{write.attempt, WriteUnknown{}};
+    const LeaderRowWriteResult unknown{write.attempt, WriteUnknown{}};
     at(m_now + platformTimeout, [=, this] { answerOnce(from, unknown, isAnswered); });
 }
 
-void StewardWorld::applyWrite(const std::string &from, const WriteStewardRow &write,
-                              const PlatformCallBehavior &behavior,
-                              const std::shared_ptr<bool> &isAnswered)
+void LeaderElectionSimulation::applyWrite(const std::string &from, const WriteLeaderRow &write,
+                                          const PlatformCallBehavior &behavior,
+                                          const std::shared_ptr<bool> &isAnswered)
 {
     WriteOutcome outcome = WriteConflicted{m_row};
     if (m_row.version == write.expectedVersion) {
@@ -270,40 +271,41 @@
         outcome = WriteCommitted{m_row.version};
     if (behavior.isAnswerLost)
         return;
-    const StewardWriteAnswered answer{write.attempt, outcome};
+    const LeaderRowWriteResult answer{write.attempt, outcome};
     at(m_now + behavior.back, [=, this] { answerOnce(from, answer, isAnswered); });
 }
 
-void StewardWorld::answerOnce(const std::string &to, const StewardEvent &event,
-                              const std::shared_ptr<bool> &isAnswered)
+void LeaderElectionSimulation::answerOnce(const std::string &to, const LeaderElectionEvent &event,
+                                          const std::shared_ptr<bool> &isAnswered)
 {
     if (!std::exchange(*isAnswered, true))
         deliver(to, event);
 }
 
-void StewardWorld::perform(const std::string &from, const AskPromise &promiseRequest)
+void LeaderElectionSimulation::perform(const std::string &from,
+                                       const RequestPromise &promiseRequest)
 {
     Daemon &daemon = m_daemons.at(from);
     if (m_now > daemon.lastPromiseRequestAt + minLogInterval)
         note(from + " asks for promises");
     daemon.lastPromiseRequestAt = m_now;
     send(from, promiseRequest.to.incarnation.value(),
-         PromiseAsked{Incarnation(from), promiseRequest.epoch, promiseRequest.length,
-                      promiseRequest.askId});
+         PromiseRequested{Incarnation(from), promiseRequest.epoch, promiseRequest.length,
+                          promiseRequest.askId});
 }
 
-void StewardWorld::perform(const std::string &from, const AnswerPromise &answer)
+void LeaderElectionSimulation::perform(const std::string &from, const AnswerPromiseRequest &answer)
 {
     Daemon &daemon = m_daemons.at(from);
     const auto [last, isFirst] = daemon.lastVerdicts.try_emplace(answer.to.value());
     if (std::exchange(last->second, answer.verdict) != answer.verdict)
         note(from + ' ' + textOf(answer.verdict) + " (epoch " + std::to_string(answer.epoch) + ')');
     send(from, answer.to.value(),
-         PromiseAnswered{Incarnation(from), answer.epoch, answer.askId, answer.verdict,
-                         answer.isPlatformReachable});
+         PromiseRequestAnswered{Incarnation(from), answer.epoch, answer.askId, answer.verdict,
+                                answer.isPlatformReachable});
 }
 
-void StewardWorld::perform(const std::string &from, const ReleasePromise &release)
+void LeaderElectionSimulation::perform(const std::string &from, const ReleasePromise &release)
 {
     Daemon &daemon = m_daemons.at(from);
     if (std::exchange(daemon.lastReleasedRound, release.askId) != release.askId)
@@ -312,15 +314,15 @@
          PromiseReleased{release.epoch, release.askId, release.length});
 }
 
-void StewardWorld::perform(const std::string &from, const AnnounceSteward &announcement)
+void LeaderElectionSimulation::perform(const std::string &from, const AnnounceLeader &announcement)
 {
     for (const auto &[name, daemon] : m_daemons) {
         if (name != from)
-            send(from, name, StewardAnnounced{announcement.epoch});
+            send(from, name, LeaderAnnounced{announcement.epoch});
     }
 }
 
-void StewardWorld::perform(const std::string &from, const StewardshipBegan &began)
+void LeaderElectionSimulation::perform(const std::string &from, const LeadershipStarted &began)
 {
     const DriftingClock &clock = m_daemons.at(from).clock;
     const Duration wait = began.mayGrantFrom - clock.at(m_now);
@@ -329,16 +331,16 @@
          + (wait > 0ns ? ", may grant in " + std::to_string(inMs) + " ms" : ", may grant at once"));
 }
 
-void StewardWorld::perform(const std::string &from, const StewardshipEnded &ended)
+void LeaderElectionSimulation::perform(const std::string &from, const LeadershipEnded &ended)
 {
     note(from + " is no longer steward of epoch " + std::to_string(ended.epoch) + ": "
          + textOf(ended.reason));
 }
 
-void StewardWorld::noteRow(const std::string &how)
+void LeaderElectionSimulation::noteRow(const std::string &how)
 {
     std::string candidates;
-    for (const StewardCandidate &candidate : m_row.row.candidates)
+    for (const LeaderCandidate &candidate : m_row.row.candidates)
         candidates += ' ' + candidate.incarnation.value();
     note(how + " row " + std::to_string(m_row.version) + ": "
          + (m_row.row.isReleased ? "released, epoch " : "epoch ") + std::to_string(m_row.row.epoch)
--- a/tests/stewardworld/stewardworld.h
+++ b/tests/stewardworld/leaderelectionsimulation.h
@@ -2,7 +2,7 @@
 
 #include "driftingclock.h"
 #include "leadershipchecker.h"
-#include "process/stewardseat.h"
+#include "process/leaderelection.h"
 
 #include <deque>
 #include <functional>
@@ -28,7 +28,7 @@
 };
 
 /** Numbers of calls and messages that the daemons have sent, including lost ones. */
-struct WorldCounts
+struct SimulationCounts
 {
     std::uint64_t reads = 0;
     std::uint64_t writes = 0;
@@ -40,10 +40,10 @@
  * Each daemon has its own drifting clock. The platform can be down, slow or lose answers, and
  * connections between daemons can be cut.
  */
-class StewardWorld
+class LeaderElectionSimulation
 {
 public:
-    explicit StewardWorld(StewardTimings timings);
+    explicit LeaderElectionSimulation(LeaderElectionTimings timings);
 
     /** Starts a daemon. Its name is its incarnation, and the first letter is its domain. */
     void start(const std::string &name, DriftingClock clock = {});
@@ -97,11 +97,11 @@
     }
     /** \returns the current leader, or an empty name if there is none. */
     std::string steward() const;
-    const VersionedStewardRow &row() const
+    const VersionedLeaderRow &row() const
     {
         return m_row;
     }
-    const WorldCounts &counts() const
+    const SimulationCounts &counts() const
     {
         return m_counts;
     }
@@ -109,9 +109,9 @@
     {
         return m_checker;
     }
-    const StewardSeat &seat(const std::string &name) const
+    const LeaderElection &election(const std::string &name) const
     {
-        return *m_daemons.at(name).seat;
+        return *m_daemons.at(name).election;
     }
     /** \returns a log of the events, one line each. */
     const std::string &transcript() const
@@ -123,11 +123,11 @@
 private:
     struct Daemon
     {
-        StewardCandidate self;
+        LeaderCandidate self;
         DriftingClock clock;
-        std::unique_ptr<StewardSeat> seat;
+        std::unique_ptr<LeaderElection> election;
         TrueTime frozenUntil{};
-        std::vector<StewardEvent> inbox;
+        std::vector<LeaderElectionEvent> inbox;
         std::map<std::string, PromiseVerdict> lastVerdicts;
         bool isDeparting = false;
         PromiseRoundId lastReleasedRound = 0;
@@ -136,31 +136,31 @@
 
     void tick(const std::string &name);
     void sendPeers(const std::string &name);
-    void deliver(const std::string &name, const StewardEvent &event);
-    void handle(Daemon &daemon, const StewardEvent &event);
-    void send(const std::string &from, const std::string &to, StewardEvent event);
+    void deliver(const std::string &name, const LeaderElectionEvent &event);
+    void handle(Daemon &daemon, const LeaderElectionEvent &event);
+    void send(const std::string &from, const std::string &to, LeaderElectionEvent event);
     bool reachesPlatform(const std::string &name) const;
     PlatformCallBehavior nextBehavior(const std::string &name);
-    void answerOnce(const std::string &to, const StewardEvent &event,
+    void answerOnce(const std::string &to, const LeaderElectionEvent &event,
                     const std::shared_ptr<bool> &isAnswered);
 
-    void perform(const std::string &from, const ReadStewardRow &read);
-    void perform(const std::string &from, const WriteStewardRow &write);
-    void perform(const std::string &from, const AskPromise &promiseRequest);
-    void perform(const std::string &from, const AnswerPromise &answer);
+    void perform(const std::string &from, const ReadLeaderRow &read);
+    void perform(const std::string &from, const WriteLeaderRow &write);
+    void perform(const std::string &from, const RequestPromise &promiseRequest);
+    void perform(const std::string &from, const AnswerPromiseRequest &answer);
     void perform(const std::string &from, const ReleasePromise &release);
-    void perform(const std::string &from, const AnnounceSteward &announcement);
-    void perform(const std::string &from, const StewardshipBegan &began);
-    void perform(const std::string &from, const StewardshipEnded &ended);
-    void applyWrite(const std::string &from, const WriteStewardRow &write,
+    void perform(const std::string &from, const AnnounceLeader &announcement);
+    void perform(const std::string &from, const LeadershipStarted &began);
+    void perform(const std::string &from, const LeadershipEnded &ended);
+    void applyWrite(const std::string &from, const WriteLeaderRow &write,
                     const PlatformCallBehavior &behavior, const std::shared_ptr<bool> &isAnswered);
     void noteRow(const std::string &how);
 
-    StewardTimings m_timings;
+    LeaderElectionTimings m_timings;
     TrueTime m_now{};
     std::multimap<TrueTime, std::function<void()>> m_scheduledCalls;
     std::map<std::string, Daemon> m_daemons;
-    VersionedStewardRow m_row;
+    VersionedLeaderRow m_row;
     RowVersion m_latestVersion = 0;
     bool m_isPlatformUp = true;
     bool m_deduplicatesWrites = false;
@@ -169,7 +169,7 @@
     std::map<std::string, PlatformCallBehavior> m_nextWriteBehaviors;
     std::function<PlatformCallBehavior()> m_behaviorSource;
     std::function<Duration()> m_delaySource;
-    WorldCounts m_counts;
+    SimulationCounts m_counts;
     LeadershipChecker m_checker;
     std::string m_transcript;
 };
--- a/tests/stewardworld/leadershipchecker.cpp
+++ b/tests/stewardworld/leadershipchecker.cpp
@@ -16,27 +16,29 @@
 
 } // namespace
 
-void LeadershipChecker::check(const std::string &process, const StewardSeat &seat,
-                              const std::vector<StewardAction> &actions, const DriftingClock &clock,
-                              TrueTime now, const StewardTimings &timings)
+void LeadershipChecker::check(const std::string &process, const LeaderElection &election,
+                              const std::vector<LeaderElectionAction> &actions,
+                              const DriftingClock &clock, TrueTime now,
+                              const LeaderElectionTimings &timings)
 {
     Term &term = m_terms[process];
-    for (const StewardAction &action : actions) {
-        if (std::holds_alternative<StewardshipEnded>(action))
+    for (const LeaderElectionAction &action : actions) {
+        if (std::holds_alternative<LeadershipEnded>(action))
             term.until = std::min(term.until, now);
-        if (const auto *began = std::get_if<StewardshipBegan>(&action))
+        if (const auto *began = std::get_if<LeadershipStarted>(&action))
             checkAgainstOthers(process, now, std::max(now, clock.trueTimeOf(began->mayGrantFrom)));
     }
-    if (!seat.isStewardAt(clock.at(now)))
+    if (!election.isLeaderAt(clock.at(now)))
         return;
-    checkAgainstOthers(process, now, seat.mayGrantAt(clock.at(now)) ? now : TrueTime::max());
-    term.until = clock.trueTimeOf(seat.tenureUntil());
+    checkAgainstOthers(process, now, election.mayGrantAt(clock.at(now)) ? now : TrueTime::max());
+    term.until = clock.trueTimeOf(election.leadershipUntil());
     // The latest lease that the process can grant before its next event.
-    const Instant latest = std::min(clock.at(now + tickInterval), seat.tenureUntil() - Duration(1));
-    const Instant leaseUntil = seat.routingLeaseUntil(latest);
+    const Instant latest =
+        std::min(clock.at(now + tickInterval), election.leadershipUntil() - Duration(1));
+    const Instant leaseUntil = election.routingLeaseUntil(latest);
     const Duration work = shortened(timings.workPastLease, timings.driftPpm);
     term.workUntil = std::max(term.workUntil, clock.trueTimeOf(leaseUntil + work));
-    if (!seat.mayGrantAt(clock.at(now)))
+    if (!election.mayGrantAt(clock.at(now)))
         return;
     m_longestTimeWithoutLease = std::max(m_longestTimeWithoutLease, now - m_leasesUntil);
     m_leasesUntil = std::max(m_leasesUntil, clock.trueTimeOf(leaseUntil));
--- a/tests/stewardworld/leadershipchecker.h
+++ b/tests/stewardworld/leadershipchecker.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "driftingclock.h"
-#include "process/stewardseat.h"
+#include "process/leaderelection.h"
 
 #include <map>
 #include <string>
@@ -19,10 +19,10 @@
 class LeadershipChecker
 {
 public:
-    /** Checks \a seat and the actions in \a actions, right after an event at \a now. */
-    void check(const std::string &process, const StewardSeat &seat,
-               const std::vector<StewardAction> &actions, const DriftingClock &clock, TrueTime now,
-               const StewardTimings &timings);
+    /** Checks \a election and the actions in \a actions, right after an event at \a now. */
+    void check(const std::string &process, const LeaderElection &election,
+               const std::vector<LeaderElectionAction> &actions, const DriftingClock &clock,
+               TrueTime now, const LeaderElectionTimings &timings);
 
     const std::vector<std::string> &violations() const
     {
