--- a/src/libbulrush/connection/attendant.cpp
+++ b/src/libbulrush/connection/attendant.cpp
@@ -9,7 +9,7 @@
 
 constexpr Duration shortestRetryAfter = std::chrono::seconds{1};
 
-/** An expected wait is a mean: work is queued only where there is time for twice of it. */
+/** The expected wait is a mean: work is queued only if there is time for this multiple of it. */
 constexpr int waitCaution = 2;
 
 bool eraseWork(std::deque<AttendedWork> &queue, WorkId id)
@@ -251,7 +251,7 @@
         Queue &queue = m_priorityQueue.empty() ? m_ordinaryQueue : m_priorityQueue;
         const AttendedWork work = queue.front();
         queue.pop_front();
-        // With others waiting, a slot is not spent on what will probably be late.
+        // While other work is queued, no slot is used for work that will probably be late.
         const bool isTooLateToTry = queuedCount() > 0
             ? now + m_serviceTime.cautious() > work.policy.deadline
             : isTooLate(work.policy.deadline, now);
@@ -277,7 +277,7 @@
     }
 }
 
-/** Priority work that came may leave the ordinary work behind it too late. */
+/** Newly queued priority work may delay ordinary work past its deadline. */
 void Attendant::refuseDisplaced(Instant now, AttendantActions &actions)
 {
     while (!m_ordinaryQueue.empty()) {
@@ -289,7 +289,7 @@
     }
 }
 
-/** Only what can't be in time even if it were sent now: an estimate may still turn out well. */
+/** Refuses only work that would be late even if sent now, since estimates may be too high. */
 void Attendant::refuseExpired(Queue &queue, Instant now, AttendantActions &actions) const
 {
     std::erase_if(queue, [&](const AttendedWork &work) {
@@ -331,7 +331,8 @@
     case WorkEnd::Lost:
         break;
     }
-    // Only work that ended in silence leaves the server owing an answer.
+    // Lost work leaves its answer outstanding; any other result restarts the measurement of
+    // silence.
     if (end != WorkEnd::Lost)
         m_silentSince = m_running > 0 ? std::optional{now} : std::nullopt;
 }
--- a/src/libbulrush/connection/attendant.h
+++ b/src/libbulrush/connection/attendant.h
@@ -14,23 +14,23 @@
 
 namespace bulrush {
 
-/** Names a piece of work within one attendant. */
+/** Identifies a piece of work within one server manager. */
 using WorkId = std::uint64_t;
 
-/** Work that a backend server is to do. */
+/** Work for a backend server. */
 struct AttendedWork
 {
     WorkId id = 0;
     RequestPolicy policy;
-    /** Whether the body comes slowly: it holds a connection long before it takes a slot. */
+    /** Whether the body is streamed: it occupies a connection long before it takes a slot. */
     bool hasStreamedBody = false;
 };
 
-/** Bounds on the work that one backend server is given. */
+/** Limits on the work for one backend server. */
 struct AttendantLimits
 {
     int slots = 3;
-    /** Streamed bodies under way at once: part of the server's limit of connections. */
+    /** Maximum number of concurrent streamed bodies; a part of the server's connection limit. */
     int streamedBodyLimit = 50;
     int queueLimit = 64;
     Duration firstServiceTime = std::chrono::milliseconds{20};
@@ -47,7 +47,7 @@
     bool operator==(const DispatchWork &) const = default;
 };
 
-/** This work was not sent and won't be: tell its daemon at once. */
+/** This work was not sent and will not be: report it to the daemon that submitted it at once. */
 struct RefuseWork
 {
     WorkId id;
@@ -57,13 +57,13 @@
     bool operator==(const RefuseWork &) const = default;
 };
 
-/** The server answers nothing: tell the steward, and others not to send. */
+/** The server does not answer: report it to the domain leader and to the other senders. */
 struct ReportSuspected
 {
     bool operator==(const ReportSuspected &) const = default;
 };
 
-/** A suspected server answers again. */
+/** A suspected server has answered again. */
 struct ReportRecovered
 {
     bool operator==(const ReportRecovered &) const = default;
@@ -72,36 +72,36 @@
 using AttendantAction = std::variant<DispatchWork, RefuseWork, ReportSuspected, ReportRecovered>;
 using AttendantActions = std::vector<AttendantAction>;
 
-/** What became of dispatched work, as far as the server's load is concerned. */
+/** Result of dispatched work with respect to the server's load. */
 enum class WorkEnd {
-    Answered, ///< the server did it
-    Refused,  ///< the server said that it did not start, without a cause in its own state
-    Shed,     ///< the server has too much
-    Cold,     ///< the server isn't warm
-    Draining, ///< the server leaves
+    Answered, ///< the server completed it
+    Refused,  ///< the server stated that it did not start, for a reason other than its own state
+    Shed,     ///< the server is overloaded
+    Cold,     ///< the server is not warmed up
+    Draining, ///< the server is leaving
     NotSent,  ///< no byte reached the server
-    Lost,     ///< no answer, and none will be taken: the server may be at it until its deadline
+    Lost,     ///< no answer will be accepted; the server may work on it until its deadline
 };
 
-/** What work of one class would meet if it came now. */
+/** Load that work of one class would encounter now. */
 struct AttendantLoad
 {
     int inFlight = 0;
-    /** Queued work that would be sent before it. */
+    /** Queued work that would be sent first. */
     int queuedBefore = 0;
     int freeSlots = 0;
     Duration expectedWait{};
-    /** Mean time in a slot. */
+    /** Mean time that work occupies a slot. */
     Duration serviceTime{};
 
     bool operator==(const AttendantLoad &) const = default;
 };
 
 /**
- * Keeps the exact count of one backend server's work in flight and the queue before it. Work that
- * can't be served before its deadline, by the server's own measured times, is refused when it
- * comes and not when its time is up; priority work goes first, and ordinary work is shed to make
- * room for it, the latest come first.
+ * Tracks the exact number of requests in flight at one backend server and the queue for it. Work
+ * that is not expected to complete before its deadline, by the server's measured service times, is
+ * refused when it is submitted rather than when the deadline passes. Priority work is sent first;
+ * ordinary work, the latest first, is shed to make room for it.
  *
  * Not thread safe.
  */
@@ -110,31 +110,31 @@
 public:
     explicit Attendant(AttendantLimits limits);
 
-    /** Takes in work. \pre its id is new. */
+    /** Submits work. \pre The id is new. */
     AttendantActions submit(const AttendedWork &work, Instant now);
 
-    /** The streamed body of \a id has been sent whole: it takes a slot from now. */
+    /** The streamed body of \a id has been sent completely: it takes a slot from now on. */
     void bodySent(WorkId id, Instant now);
 
-    /** Dispatched work has ended. An unknown id is ignored. */
+    /** Records the result of dispatched work. An unknown id is ignored. */
     AttendantActions workEnded(WorkId id, WorkEnd end, Instant now);
 
     /**
-     * The caller of queued work has gone: it is forgotten. Dispatched work has to end by
+     * Removes queued work whose caller has disconnected. Dispatched work has to be completed with
      * workEnded().
      */
     void cancel(WorkId id);
 
-    /** The server answered a control call: it is not frozen. */
+    /** The server answered a control call, which shows that it is not frozen. */
     AttendantActions serverAnswered(bool isDraining, Instant now);
 
-    /** Refuses what can't be served any more and notices silence. To be called at nextDue(). */
+    /** Refuses expired work and detects an unresponsive server. To be called at nextDue(). */
     AttendantActions advance(Instant now);
 
-    /** \returns when advance() has something to do, or nothing. */
+    /** \returns when advance() has to be called next, or nothing. */
     std::optional<Instant> nextDue() const;
 
-    /** \returns what work of \a requestClass would meet. */
+    /** \returns the load that work of \a requestClass would encounter. */
     AttendantLoad load(RequestClass requestClass) const;
 
     bool isSuspected() const;
@@ -145,7 +145,7 @@
         Serving,
         Probation, ///< one piece of work at a time until one is answered
         Suspected, ///< nothing is sent
-        Draining,  ///< nothing is sent, for good
+        Draining,  ///< nothing is sent any more; final
     };
 
     struct Flight
@@ -153,7 +153,7 @@
         Instant sentAt;
         Instant deadline;
         bool isBodySent = true;
-        /** Ended without an answer; the server may be at it until the deadline. */
+        /** Ended without an answer; the server may work on it until the deadline. */
         bool isLost = false;
     };
 
@@ -189,10 +189,10 @@
     Queue m_ordinaryQueue;
     int m_running = 0;
     int m_streaming = 0;
-    /** Below the server's slots after it shed, and back by one with each round of answers. */
+    /** Reduced below the server's slots after it shed; raised by one per round of answers. */
     int m_slotLimit;
     int m_answersSinceChange = 0;
-    /** Since when the server owes an answer, or nothing. */
+    /** Start of the period in which an answer is outstanding and none arrived, or nothing. */
     std::optional<Instant> m_silentSince;
     bool m_hasRecovered = false;
 };
--- a/src/libbulrush/request/claim.cpp
+++ b/src/libbulrush/request/claim.cpp
@@ -5,7 +5,7 @@
 
 namespace bulrush {
 
-/** Hands each event to its method. */
+/** Dispatches each event to its method. */
 class Claim::EventHandler
 {
 public:
@@ -133,7 +133,7 @@
     const bool isUnchanged = current.version == m_expectedVersion;
     const bool isHeldByUs =
         current.row && isMine(*current.row) && current.row->state == ClaimState::Claimed;
-    // An unchanged row must be written upon, or a write that is still under way could claim it.
+    // An unchanged row has to be overwritten, since a pending write could still claim it.
     if (!isUnchanged && !isHeldByUs)
         return finish();
     m_expectedVersion = current.version;
@@ -255,7 +255,7 @@
 
 Outcome Claim::outcomeOfRefusal(FailurePoint point) const
 {
-    // Not dispatched here, but a caller that asks again may have been served before.
+    // Not dispatched here, but an earlier request with this key may have been served.
     if (m_request.isRepeat)
         return Unknown{FailurePoint::RepeatNotChecked, m_request.retryAfter};
     return NotRun{point, m_request.retryAfter};
--- a/src/libbulrush/request/claim.h
+++ b/src/libbulrush/request/claim.h
@@ -12,32 +12,33 @@
 
 namespace bulrush {
 
-/** One handling of a request by one daemon: never used again, by no daemon. */
+/** Identifies one handling of a request by one daemon. Ids are never reused by any daemon. */
 using AttemptId = Identifier<struct AttemptIdTag>;
 
 /** State of a claim's row. */
 enum class ClaimState {
-    Claimed, ///< the holder may dispatch, or has
+    Claimed, ///< the holder may dispatch the request, or has done so
     Done,    ///< ran; the outcome is stored
     NotRun,  ///< certainly did not run; may be claimed again
-    Unknown, ///< may have run; never claimed again
+    Unknown, ///< may have run; is never claimed again
 };
 
 /**
- * Value of a claim's row: who may run the operation of an idempotency key, or what became of it.
+ * Value of a claim's row: the holder of the right to run the operation of an idempotency key, or
+ * the result of the operation.
  */
 struct ClaimRow
 {
     ClaimState state = ClaimState::Claimed;
     Incarnation holder;
     AttemptId attempt;
-    /** The answer to give again; only when Done. */
+    /** The answer to return to repeated requests; only when Done. */
     std::string storedAnswer;
 
     bool operator==(const ClaimRow &) const = default;
 };
 
-/** A row as it was read: without a value where it does not exist. */
+/** A row as read from the platform: without a value if it does not exist. */
 struct VersionedClaim
 {
     std::uint64_t version = 0;
@@ -54,7 +55,7 @@
     std::uint64_t version;
 };
 
-/** The last write had no effect, because the row was another than expected. */
+/** The last write had no effect, because the row differed from the expected one. */
 struct ClaimWriteConflicted
 {
     VersionedClaim current;
@@ -68,31 +69,31 @@
 struct ClaimWriteLost
 { };
 
-/** The read asked for has its answer. */
+/** Result of the requested read. */
 struct ClaimRowRead
 {
     VersionedClaim current;
 };
 
-/** The read asked for has failed. */
+/** The requested read has failed. */
 struct ClaimReadFailed
 { };
 
-/** The caller has gone, or waits no longer: it is answered, whatever is under way. */
+/** The caller has disconnected or stopped waiting: it is answered even if a call is pending. */
 struct ClaimGivenUp
 {
     FailurePoint reason = FailurePoint::DeadlineBeforeDispatch;
 };
 
-/** The time asked for with SettleLater has come. */
+/** The time requested with SettleLater has passed. */
 struct ClaimSettleDue
 { };
 
-/** The dispatched request has its end. */
+/** The dispatched request has completed. */
 struct ClaimedWorkEnded
 {
     Outcome outcome;
-    /** What to answer a caller that asks again; for a whole answer. */
+    /** The answer for repeated requests; only for a complete answer. */
     std::string storedAnswer;
 };
 
@@ -102,7 +103,7 @@
 
 // Actions of a claim.
 
-/** Write the row if it is still at this version. */
+/** Write the row if it still has this version. */
 struct WriteClaim
 {
     std::uint64_t expectedVersion;
@@ -117,13 +118,13 @@
     bool operator==(const ReadClaim &) const = default;
 };
 
-/** Send the request to a backend server: said once at most. */
+/** Send the request to a backend server; issued at most once. */
 struct DispatchClaimed
 {
     bool operator==(const DispatchClaimed &) const = default;
 };
 
-/** Give the caller its end, now. */
+/** Send the outcome to the caller now. */
 struct AnswerCaller
 {
     Outcome outcome;
@@ -131,7 +132,7 @@
     bool operator==(const AnswerCaller &) const = default;
 };
 
-/** Give the caller the answer that an earlier request with its key had. */
+/** Send the caller the stored answer to an earlier request with its key. */
 struct AnswerStored
 {
     std::string storedAnswer;
@@ -139,7 +140,7 @@
     bool operator==(const AnswerStored &) const = default;
 };
 
-/** Give the caller outcomeOfHeldClaim(): another request with its key holds the claim. */
+/** Send the caller outcomeOfHeldClaim(): another request with its key holds the claim. */
 struct AnswerByHolder
 {
     Incarnation holder;
@@ -147,7 +148,7 @@
     bool operator==(const AnswerByHolder &) const = default;
 };
 
-/** Send ClaimSettleDue after a while; the caller has its answer already. */
+/** Send ClaimSettleDue after the delay; the caller has been answered already. */
 struct SettleLater
 {
     Duration delay;
@@ -155,7 +156,7 @@
     bool operator==(const SettleLater &) const = default;
 };
 
-/** The claim needs nothing more. */
+/** The claim is finished and can be removed. */
 struct ForgetClaim
 {
     bool operator==(const ForgetClaim &) const = default;
@@ -165,41 +166,42 @@
                                  AnswerByHolder, SettleLater, ForgetClaim>;
 using ClaimActions = std::vector<ClaimAction>;
 
-/** What is known of the daemon that holds a claim. */
+/** State of the daemon that holds a claim. */
 enum class HolderState {
     Alive,
-    Gone, ///< ended, or not heard of: what it dispatched may have run
+    Gone, ///< stopped or unreachable: the request may have run if it was dispatched
 };
 
 /**
- * \returns the end of a request whose key is held by another: in progress while its holder is
- * alive, and unknown for good when the holder has gone, since nobody else knows. Thread safe.
+ * \returns the outcome of a request whose key is claimed by another one: in progress while the
+ * holder is alive, and permanently unknown when the holder is gone, since only the holder has the
+ * result. Thread safe.
  */
 Outcome outcomeOfHeldClaim(HolderState holder, Duration retryAfter);
 
-/** What a claim starts from. */
+/** Input of a claim. */
 struct ClaimRequest
 {
     Incarnation self;
     AttemptId attempt;
-    /** Later than this the request is not dispatched. */
+    /** The request is not dispatched after this time. */
     Instant lastDispatch;
-    /** When a refused caller may come back. */
+    /** Delay after which a refused caller may retry. */
     Duration retryAfter = std::chrono::seconds{1};
-    /** Whether the caller says that it has asked with this key before. */
+    /** Whether the caller states that it has sent a request with this key before. */
     bool isRepeat = false;
 };
 
 /**
- * Lets an operation run at most once for its idempotency key, over all entry hosts: the row of the
- * key is claimed by compare-and-set before dispatch, and is never taken from its holder, not even
- * when that has died, since it may have dispatched.
+ * Ensures that an operation runs at most once for its idempotency key, over all entry hosts: the
+ * row of the key is claimed by compare-and-set before dispatch. It is never taken from its holder,
+ * not even when the holder has crashed, since the holder may have dispatched the request.
  *
- * A lost answer to the claim's write is settled by reading the row, and where that shows nothing,
- * by writing again upon the same version, so that of the two writes one at most takes effect. The
- * same settling goes on after the caller was answered, until the row says what happened.
+ * If the answer to the claim's write is lost, the row is read; if that does not show the result,
+ * the row is written again with the same expected version, so that at most one of the two writes
+ * takes effect. This continues after the caller was answered, until the row shows the result.
  *
- * One object for each request; the first actions come from start(). Not thread safe.
+ * One object for each request; the first actions are returned by start(). Not thread safe.
  */
 class Claim
 {
@@ -209,24 +211,25 @@
 
     explicit Claim(ClaimRequest request);
 
-    /** Starts the claim. \pre called once, before any event. */
+    /** Starts the claim. \pre Called once, before any event. */
     ClaimActions start();
 
     /**
-     * \returns what to do upon \a event. Events that don't fit the state are ignored.
+     * \returns the actions to take upon \a event. Events that do not apply to the current state are
+     * ignored.
      */
     ClaimActions handle(const ClaimEvent &event, Instant now);
 
-    /** \returns whether nothing more is to come. */
+    /** \returns whether the claim is finished, so that no further actions follow. */
     bool isOver() const;
 
 private:
     enum class Phase {
         Idle,
         Claiming,   ///< the caller waits for the row
-        Abandoned,  ///< the caller is answered, an answer of the platform is still to come
-        Dispatched, ///< the row is ours and the request is out
-        Recording,  ///< the caller is answered, the row has yet to say what happened
+        Abandoned,  ///< the caller is answered, an answer of the platform is still pending
+        Dispatched, ///< this request holds the claim and has been sent
+        Recording,  ///< the caller is answered, the result is not yet confirmed in the row
         Over,
     };
 
@@ -257,7 +260,7 @@
     Phase m_phase = Phase::Idle;
     /** Version that the last write expects. */
     std::uint64_t m_expectedVersion = 0;
-    /** Whether a write of ours may yet take effect. */
+    /** Whether a write of this claim may still take effect. */
     bool m_isWriteOpen = false;
     ClaimRow m_finalRow;
     Duration m_settleDelay = firstSettleDelay;
--- a/src/libbulrush/request/outcome.cpp
+++ b/src/libbulrush/request/outcome.cpp
@@ -15,7 +15,7 @@
 constexpr int statusGatewayTimeout = 504;
 constexpr int firstServerError = 500;
 
-/** One row of the table that decides every failure. */
+/** One row of the table of failure points. */
 struct FailureEntry
 {
     FailurePoint point;
@@ -88,7 +88,7 @@
             std::max(seconds, std::chrono::seconds{1})};
 }
 
-/** Turns each end into what the caller gets before anything was passed on. */
+/** Converts each outcome to the response for the caller, if nothing was forwarded before. */
 struct ResponseMaker
 {
     CallerResponse operator()(const WholeAnswer &) const
--- a/src/libbulrush/request/retrypolicy.cpp
+++ b/src/libbulrush/request/retrypolicy.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/** \returns whether another server could do better than the one that failed. */
+/** \returns whether an attempt on another server might succeed. */
 bool dependsOnServer(FailurePoint point)
 {
     switch (point) {
--- a/src/libbulrush/version/contract.cpp
+++ b/src/libbulrush/version/contract.cpp
@@ -13,7 +13,7 @@
 }
 
 /**
- * Collects what is wrong with one contract.
+ * Collects the problems of one contract.
  */
 class ContractCheck
 {
--- a/src/libbulrush/version/contract.h
+++ b/src/libbulrush/version/contract.h
@@ -16,38 +16,38 @@
 
 namespace bulrush {
 
-/** What a customer organisation may send, over all entry hosts together. */
+/** Limits on the requests of a customer organisation, over all entry hosts together. */
 struct OrganisationLimits
 {
     std::uint32_t requestsPerSecond = 0;
-    /** Requests in flight at once. */
+    /** Maximum number of requests in flight. */
     std::uint32_t concurrency = 0;
 
     bool operator==(const OrganisationLimits &) const = default;
 };
 
-/** A promise to an organisation: this share of requests is answered within this time. */
+/** A service-level target: this share of requests is answered within this time. */
 struct ServiceLevelTarget
 {
     /** Share of requests, in millionths; 99.9% is 999000. */
     std::uint32_t objectivePpm = 999'000;
     Duration within = std::chrono::milliseconds{300};
-    /** Span that the share is counted over. */
+    /** Period over which the share is computed. */
     Duration window = std::chrono::hours{24 * 30};
 
     bool operator==(const ServiceLevelTarget &) const = default;
 };
 
 /**
- * A service and what the organisation says of the backend servers in its pool. Where the daemon's
- * settings say something else of a server, the more careful of the two counts: the lower number,
- * and a fence is relied on only if both say that it is checked.
+ * A service and the organisation's terms for the backend servers in its pool. Where the daemon's
+ * settings differ from these terms, the stricter value applies: the lower number; the fencing token
+ * is relied on only if both state that it is checked.
  */
 struct ServiceTerms
 {
     ServiceName name;
     bool isDividedByKey = false;
-    /** Whether its servers compare the fence of an order with the grant that they hold. */
+    /** Whether its servers compare the fencing token of a request with the grant that they hold. */
     bool checksFence = false;
     std::uint32_t slotsPerServer = 0;
     std::uint32_t connectionLimit = 0;
@@ -62,7 +62,7 @@
     bool operator==(const NoKey &) const = default;
 };
 
-/** The key is the value of a header field; names compare without regard to case. */
+/** The key is the value of a header field; field names are case-insensitive. */
 struct KeyFromHeader
 {
     std::string name;
@@ -73,7 +73,7 @@
 /** The key is a segment of the path, percent-decoded. */
 struct KeyFromPath
 {
-    /** Place of the segment, from 0. */
+    /** Index of the segment, from 0. */
     std::size_t segment = 0;
 
     bool operator==(const KeyFromPath &) const = default;
@@ -81,7 +81,7 @@
 
 using KeySource = std::variant<NoKey, KeyFromHeader, KeyFromPath>;
 
-/** Which requests are kept when not all can be served. */
+/** Determines which requests are served when there is too much load for all. */
 enum class OperationClass {
     Ordinary, ///< shed before any priority operation
     Priority,
@@ -98,26 +98,26 @@
     /** Whether it may run twice without harm (idempotent). */
     bool isRepeatable = false;
     OperationClass operationClass = OperationClass::Ordinary;
-    /** Within a class, the operation of the lowest cost is shed first. */
+    /** Within a class, the operation with the lowest loss cost is shed first. */
     std::uint32_t lossCost = 0;
-    /** How long callers wait for the whole answer. */
+    /** How long callers wait for the complete answer. */
     Duration deadline{};
     KeySource key;
     std::uint64_t maxBodyBytes = 0;
-    /** The operation's own target, or else the contract's. */
+    /** The operation's own target if it has one, otherwise the contract's. */
     ServiceLevelTarget target;
 
     bool operator==(const Operation &) const = default;
 };
 
 /**
- * All that one customer organisation and its operators agreed on. Every limit follows from it.
+ * Everything that one customer organisation and its operators agreed on. All limits derive from it.
  */
 struct Contract
 {
     OrganisationName organisation;
     /**
-     * In a file to be put: the version that the file was read at, 0 for a new contract.
+     * In a file to be uploaded: the version on which the file is based, 0 for a new contract.
      * In a contract in force: its own version.
      */
     std::uint64_t version = 0;
@@ -130,16 +130,16 @@
 };
 
 /**
- * Checks what can't be seen from one field alone: names that are used twice, services that are not
- * there, operations that can't be told apart, keys that are missing.
- * \returns all that is wrong, in the order of the fields; nothing if the contract can be used.
+ * Checks the consistency between fields: duplicate names, undefined services, operations that match
+ * the same requests, missing keys.
+ * \returns all problems, in the order of the fields; none if the contract can be used.
  * Thread safe.
  */
 FieldProblems problemsOf(const Contract &contract);
 
 /**
- * \returns the operation of \a contract that a request of \a method and path \a segments asks for
- * (see splitPath()), the most specific one where several match, or null if there is none.
+ * \returns the operation of \a contract that matches a request with \a method and path \a segments
+ * (see splitPath()), the most specific one if several match, or null if there is none.
  * Valid as long as \a contract is not changed. Thread safe.
  */
 const Operation *operationFor(const Contract &contract, std::string_view method,
--- a/src/libbulrush/version/heavyhitters.cpp
+++ b/src/libbulrush/version/heavyhitters.cpp
@@ -15,7 +15,7 @@
 }
 
 /**
- * Keeps the hottest \a maximum hitters and notes the most that one left out may have.
+ * Keeps the hottest \a maximum hitters and raises unnamedRate to the highest rate that was dropped.
  */
 void keepHottest(HeavyHitterReport &report, std::size_t maximum)
 {
@@ -72,7 +72,7 @@
 }
 
 /**
- * Gives the smallest counter to another key, without allocating.
+ * Reassigns the smallest counter to another key, without allocating.
  */
 void HeavyHitters::renameSmallest(KeyHash key)
 {
@@ -133,7 +133,7 @@
     for (const HeavyHitterReport &report : reports)
         merged.unnamedRate += report.unnamedRate;
 
-    // A key that a report doesn't name may have up to that report's unnamed rate.
+    // A key that a report does not list may have a rate of up to that report's unnamedRate.
     std::unordered_map<KeyHash, HeavyHitter> byKey;
     for (const HeavyHitterReport &report : reports) {
         for (const HeavyHitter &hitter : report.hitters) {
--- a/src/libbulrush/version/heavyhitters.h
+++ b/src/libbulrush/version/heavyhitters.h
@@ -12,50 +12,50 @@
 namespace bulrush {
 
 /**
- * A key that is asked for often. Its true rate lies between rate - error and rate.
+ * A frequently requested key. Its true rate lies between rate - error and rate.
  */
 struct HeavyHitter
 {
     KeyHash key = 0;
-    /** Requests a second, never too low. */
+    /** Upper bound of the rate, in requests per second. */
     double rate = 0;
-    /** How much of the rate may be other keys'. */
+    /** The part of the rate that may belong to other keys. */
     double error = 0;
 
-    /** \returns the rate that is certain. */
+    /** \returns the lower bound of the rate. */
     double certainRate() const;
 
     bool operator==(const HeavyHitter &) const = default;
 };
 
 /**
- * What one daemon tells of its hot keys.
+ * The hot keys of one daemon.
  */
 struct HeavyHitterReport
 {
     /** Hottest first. */
     std::vector<HeavyHitter> hitters;
-    /** The most that any key may have which isn't named, in requests a second. */
+    /** Upper bound of the rate of any key that is not listed, in requests per second. */
     double unnamedRate = 0;
 
     bool operator==(const HeavyHitterReport &) const = default;
 };
 
 /**
- * Finds the keys that are asked for most, with a fixed number of counters (Space-Saving) that
- * decay: any key above a share of 1 / capacity of the traffic is among them.
+ * Finds the most frequently requested keys with a fixed number of decaying counters (Space-Saving):
+ * any key with more than a share of 1 / capacity of the traffic is among them.
  *
- * Not thread safe: each traffic thread has its own, and reports are merged.
+ * Not thread safe: each traffic thread has its own instance, and reports are merged.
  */
 class HeavyHitters
 {
 public:
-    /** \pre \a capacity is above 0. Memory is linear in \a capacity, whatever the traffic. */
+    /** \pre \a capacity is above 0. Memory is linear in \a capacity, independent of the traffic. */
     HeavyHitters(std::size_t capacity, Duration halfLife, Instant start);
     HeavyHitters(HeavyHitters &&) = default;
     HeavyHitters &operator=(HeavyHitters &&) = default;
 
-    /** Counts \a count requests for \a key. Takes time logarithmic in capacity. */
+    /** Counts \a count requests for \a key. Takes time logarithmic in the capacity. */
     void add(KeyHash key, Instant now, double count = 1.0);
 
     /** \returns the hottest \a maximumHitters keys. */
@@ -70,7 +70,7 @@
         KeyHash key = 0;
         double count = 0;
         double error = 0;
-        /** Where the index of this counter is kept; map nodes stay in place. */
+        /** Points to this counter's index in m_indexByKey, whose nodes have stable addresses. */
         std::size_t *index = nullptr;
     };
 
@@ -82,14 +82,14 @@
 
     std::size_t m_capacity;
     ForwardDecay m_decay;
-    /** A heap with the smallest count first. */
+    /** A min-heap by count. */
     std::vector<Counter> m_counters;
     std::unordered_map<KeyHash, std::size_t> m_indexByKey;
 };
 
 /**
- * \returns the sum of several daemons' reports, with the \a maximumHitters keys of the highest
- * certain rate. Rates stay bounds on the sum of the true rates. Thread safe.
+ * \returns the sum of several daemons' reports, limited to the \a maximumHitters keys with the
+ * highest certain rates. The rates remain bounds on the sum of the true rates. Thread safe.
  */
 HeavyHitterReport mergedReports(std::span<const HeavyHitterReport> reports,
                                 std::size_t maximumHitters);
--- a/src/libbulrush/version/loadledger.h
+++ b/src/libbulrush/version/loadledger.h
@@ -10,8 +10,8 @@
 namespace bulrush {
 
 /**
- * The latest load report of each daemon, as a steward keeps them. A report that isn't followed by
- * another is dropped after a while.
+ * The latest load report of each daemon, as stored by the domain leader. A report expires if no
+ * newer one replaces it within the lifetime.
  *
  * Not thread safe.
  */
@@ -21,16 +21,16 @@
     /** \pre \a lifetime is above 0. */
     explicit LoadLedger(Duration lifetime);
 
-    /** Puts \a reports in the place of what \a daemon reported before. */
+    /** Replaces the previous reports of \a daemon by \a reports. */
     void note(const Incarnation &daemon, std::map<ServiceName, LoadReport> reports, Instant now);
 
-    /** Drops the reports that are too old. */
+    /** Removes reports that are older than the lifetime. */
     void expire(Instant now);
 
     /**
      * \returns the sum of all reports on \a service, on the ranges \a slices; empty if there is no
-     * report, or fewer than \a leastLoad requests a second in all.
-     * \pre \a slices are sorted and don't overlap.
+     * report, or if the sum is below \a leastLoad requests per second.
+     * \pre \a slices are sorted and do not overlap.
      */
     LoadReport merged(const ServiceName &service, std::span<const SliceRange> slices,
                       double leastLoad) const;
--- a/src/libbulrush/version/moveround.cpp
+++ b/src/libbulrush/version/moveround.cpp
@@ -9,16 +9,19 @@
 
 namespace {
 
-/** A server may become too busy by what it takes; then it is relieved in the next pass. */
+/** A receiver may become too busy by the slices it gets; the next pass relieves it. */
 constexpr int maximumPasses = 4;
 
-/** Cold servers looked at for one large key, so that planning stays linear. */
+/** Servers examined for one large key; bounds the planning time to linear. */
 constexpr std::size_t maximumTries = 16;
 
-/** A key with this part of a fair share is large: it may be cheaper to move than the rest. */
+/** A key with this part of a fair share is large: moving it may be cheaper than moving the rest. */
 constexpr double largeRatio = 0.25;
 
-/** A large key moves only to where at most this part of the keys has to make room for it. */
+/**
+ * A large key moves only if the load that cannot make room for it without moving many keys exceeds
+ * the settle ratio at the new server by at most this part of the excess at the old one.
+ */
 constexpr double worthwhileRest = 0.5;
 
 } // namespace
@@ -131,8 +134,8 @@
 }
 
 /**
- * \returns the slices that a server had before this round, those with most load for their keys
- * first: moving them costs the least warm state for the load that it takes away.
+ * \returns the slices that the server had before this round, by falling load per share of the key
+ * space: moving the first ones discards the least warm state for the load that it removes.
  */
 std::vector<MovableSlice *> MoveRound::slicesByDensity(std::size_t server)
 {
@@ -145,7 +148,7 @@
 }
 
 /**
- * \returns whether anything moved.
+ * \returns whether any slice was moved.
  */
 bool MoveRound::relieveAllOnce(const std::vector<bool> &waiting)
 {
@@ -173,7 +176,7 @@
 }
 
 /**
- * Moves large keys to servers that have little else to do, rather than all else away from them.
+ * Moves large keys to servers with little other load, instead of moving all other load away.
  */
 void MoveRound::placeLargeSlices(std::size_t donor, std::span<MovableSlice *const> slices)
 {
@@ -217,7 +220,8 @@
 }
 
 /**
- * \returns the server with the least load that can't make room for a large key, or nothing.
+ * \returns the server with the least fixed load for a large key, or nothing. Cold servers qualify
+ * only if they have room for it.
  */
 std::optional<std::size_t> MoveRound::homeFor(const MovableSlice &slice) const
 {
@@ -234,7 +238,7 @@
 }
 
 /**
- * Moves slices that are no larger than what is too much, until that is gone.
+ * Moves slices that are no larger than the excess load, until no excess is left.
  */
 void MoveRound::shedWithinExcess(std::size_t donor, std::span<MovableSlice *const> slices)
 {
@@ -250,7 +254,7 @@
 }
 
 /**
- * Moves the smallest slice that is larger than what is too much, if some server has room.
+ * Moves the smallest slice that is larger than the excess load, if some server has room for it.
  */
 void MoveRound::shedOneAboveExcess(std::size_t donor, std::span<MovableSlice *const> slices)
 {
@@ -268,7 +272,8 @@
 }
 
 /**
- * Takes slices from the busiest server, as long as that one stays above its fair share.
+ * Moves slices from the busiest server to \a receiver, as long as the former stays above its fair
+ * share.
  */
 void MoveRound::fill(std::size_t receiver)
 {
--- a/src/libbulrush/version/moveround.h
+++ b/src/libbulrush/version/moveround.h
@@ -20,16 +20,16 @@
 {
     SliceRange range;
     std::uint32_t owner = 0;
-    /** Moved in this round or lately: stays, unless its owner is lost or leaving. */
+    /** Moved recently or in this round; not moved again unless its owner is lost or leaving. */
     bool isHeld = false;
-    /** In requests a second. */
+    /** In requests per second. */
     double load = 0;
-    /** Share of the service's part of the line. */
+    /** Share of the service's part of the key space. */
     double share = 0;
 };
 
 /**
- * A slice's way from one server to another, by their indexes.
+ * A move of a slice from one server to another, by their indexes.
  */
 struct SliceMove
 {
@@ -40,7 +40,7 @@
 };
 
 /**
- * Makes the moves of one round of planning, on slices whose layout is settled. Each slice moves at
+ * Chooses the moves of one planning round, for slices whose layout is final. Each slice moves at
  * most once.
  *
  * Not thread safe.
@@ -49,25 +49,26 @@
 {
 public:
     /**
-     * \a budget is the share of the line that may move, and is reduced by what does.
-     * \pre All outlive this; \a slices are sorted by range; \a servers have their loads.
+     * \a budget is the share of the key space that may move; each move reduces it.
+     * \pre All arguments outlive this object; \a slices are sorted by range; the loads of
+     * \a servers are set.
      */
     MoveRound(const PlannerOptions &options, std::span<MovableSlice> slices, ServerLoads &servers,
               double &budget);
 
-    /** Empties servers that are lost, then those that are leaving, whatever the budget. */
+    /** Empties lost servers first, then leaving ones, regardless of the budget. */
     void emptyUnusableServers();
     /**
-     * Takes slices off servers above the target ratio.
-     * \pre \a waiting says for each server whether it is to be left alone.
+     * Moves slices off servers above the target ratio.
+     * \pre \a waiting says for each server whether it must not be relieved yet.
      */
     void relieveBusyServers(const std::vector<bool> &waiting);
-    /** Gives cold servers slices of the busiest ones, a step at a time. */
+    /** Moves slices from the busiest servers to cold ones, up to one step per round. */
     void fillColdServers();
     /**
-     * Gives cold slices to the owner of a neighbour, with which they merge next time: those of
-     * one key that has less than \a coolLoad, and if \a isCrowded any that are narrow enough for
-     * a slice of \a sliceShare.
+     * Moves cold slices to the owner of a neighbour, so that the next round can merge them: slices
+     * of a single key with a load below \a coolLoad, and if \a isCrowded also any pair that fits
+     * into one slice of width \a sliceShare.
      */
     void joinNeighbours(double coolLoad, bool isCrowded, double sliceShare);
 
@@ -96,7 +97,8 @@
     double &m_budget;
     std::vector<SliceMove> m_moves;
     std::vector<std::vector<MovableSlice *>> m_slicesByServer;
-    /** Load that can't leave a server without many keys: all but that of smaller hot keys. */
+    /** Load that cannot leave a server without moving many keys: all but that of smaller hot keys.
+     */
     std::vector<double> m_fixedLoads;
     /** Usable servers by the ratio of fixed load to fair share. */
     std::set<std::pair<double, std::size_t>> m_byFixedRatio;
--- a/src/libbulrush/version/pathpattern.cpp
+++ b/src/libbulrush/version/pathpattern.cpp
@@ -30,7 +30,7 @@
     return static_cast<char>(*high * 16 + *low);
 }
 
-/** Characters that servers are known to read as the end of a segment or of the path. */
+/** Characters that some servers interpret as the end of a segment or of the path. */
 bool isAmbiguous(char c)
 {
     const auto code = static_cast<unsigned char>(c);
--- a/src/libbulrush/version/pathpattern.h
+++ b/src/libbulrush/version/pathpattern.h
@@ -9,26 +9,26 @@
 
 namespace bulrush {
 
-/** A segment of a path, percent-decoded. */
+/** The segments of a path, percent-decoded. */
 using PathSegments = std::vector<std::string>;
 
 /**
  * Splits the path of a request target at its slashes and decodes each segment, so that two
- * spellings of a path can't be taken for two paths. A query is left out.
- * \returns nothing for a path that a backend server might read otherwise than we do: not absolute,
- * a broken escape, a dot segment, or a segment with an encoded slash, backslash or control
+ * spellings of a path are not treated as two paths. A query is left out.
+ * \returns nothing for a path that a backend server might interpret differently: not absolute, a
+ * broken escape, a dot segment, or a segment with an encoded slash, backslash or control
  * character. Thread safe.
  */
 std::optional<PathSegments> splitPath(std::string_view target);
 
 /**
  * A path with placeholders, such as "/catalogue/{item}", that matches every path which begins with
- * its segments. Thread safe once made.
+ * its segments. Thread safe after construction.
  */
 class PathPattern
 {
 public:
-    /** One segment: a literal, or a placeholder that any text but the empty one fits. */
+    /** One segment: a literal, or a placeholder that matches any non-empty text. */
     struct Segment
     {
         /** The literal, or the placeholder's name, which may be empty. */
@@ -41,27 +41,27 @@
     PathPattern() = default;
 
     /**
-     * \returns the pattern written as \a text, or nothing if it is no absolute path, or has an
-     * empty segment, a character that paths must escape, or two placeholders of one name.
+     * \returns the pattern parsed from \a text, or nothing if it is not an absolute path, or has an
+     * empty segment, a character that paths must escape, or two placeholders with the same name.
      */
     static std::optional<PathPattern> parse(std::string_view text);
 
-    /** The pattern as it was written. */
+    /** The text from which the pattern was parsed. */
     const std::string &text() const;
     const std::vector<Segment> &segments() const;
 
     /** \returns whether \a path begins with this pattern's segments. */
     bool matches(std::span<const std::string> path) const;
 
-    /** \returns the place of the placeholder \a name among the segments, or nothing. */
+    /** \returns the index of the segment with the placeholder \a name, or nothing. */
     std::optional<std::size_t> placeholder(std::string_view name) const;
 
-    /** \returns whether both match the same paths, whatever their placeholders are called. */
+    /** \returns whether both match the same paths, regardless of the names of placeholders. */
     bool isEquivalentTo(const PathPattern &other) const;
 
     /**
-     * \returns whether this pattern goes before \a other where both match: it has more segments,
-     * or a literal at the first place where just one of them has a placeholder.
+     * \returns whether this pattern takes precedence over \a other where both match: it has more
+     * segments, or a literal at the first position where only one of them has a placeholder.
      */
     bool isMoreSpecificThan(const PathPattern &other) const;
 
--- a/src/libbulrush/version/plan.cpp
+++ b/src/libbulrush/version/plan.cpp
@@ -16,7 +16,7 @@
 }
 
 /**
- * Walks the slices once and applies merges and splits, both sorted by range.
+ * Applies merges and splits, both sorted by range, in one pass over the slices.
  */
 std::vector<SliceOwner> withLayout(std::span<const SliceOwner> slices, const Plan &plan)
 {
--- a/src/libbulrush/version/plan.h
+++ b/src/libbulrush/version/plan.h
@@ -7,22 +7,22 @@
 
 namespace bulrush {
 
-/** Why a slice is to change its owner. */
+/** Why a slice changes its owner. */
 enum class MoveReason {
-    /** The owner is lost, or no longer known. */
+    /** The owner is lost or unknown. */
     OwnerLost,
     /** The owner is about to leave. */
     OwnerLeaving,
-    /** The owner is busier than the target allows. */
+    /** The owner's load is above the target. */
     Overload,
-    /** The new owner has too little to do. */
+    /** The new owner has too little load. */
     Underload,
-    /** The slice is cold and can then merge with its neighbour. */
+    /** The slice is cold; with the new owner it can merge with its neighbour. */
     Consolidation,
 };
 
 /**
- * A slice and what it is cut into. The parts cover \a range in order, without gaps.
+ * A slice and the parts that it is split into. The parts cover \a range in order, without gaps.
  */
 struct SliceParts
 {
@@ -33,7 +33,7 @@
 };
 
 /**
- * Cuts one slice into parts that keep its owner.
+ * Splits one slice into parts that keep its owner.
  */
 struct SplitSlice
 {
@@ -44,7 +44,7 @@
 };
 
 /**
- * Joins all slices inside \a range, which have one owner and no gaps between them.
+ * Merges all slices inside \a range, which have one owner and no gaps between them.
  */
 struct MergeSlices
 {
@@ -55,7 +55,7 @@
 };
 
 /**
- * Gives one slice to another server.
+ * Moves one slice to another server.
  */
 struct MoveSlice
 {
@@ -69,9 +69,9 @@
 };
 
 /**
- * What is to change in the slices of a service. Merges and splits refer to the slices as they are
- * and never touch the same one; moves refer to the slices as merges and splits leave them, most
- * urgent first, each slice at most once.
+ * The changes to the slices of a service. Merges and splits refer to the current slices and never
+ * affect the same one; moves refer to the slices after merges and splits, most urgent first, each
+ * slice at most once.
  */
 struct Plan
 {
@@ -85,9 +85,9 @@
 };
 
 /**
- * \returns \a slices after the whole of \a plan. Parts of a split keep the fence, a merged slice
- * gets the highest fence of its parts, and a moved one keeps its old fence until the caller draws
- * a new one. Takes time linear in slices, and n log n in moves.
+ * \returns \a slices after the complete \a plan. Parts of a split keep the fencing token, a merged
+ * slice gets the highest one of its parts, and a moved slice keeps its old one until the caller
+ * assigns a new one. Takes time linear in slices, and n log n in moves.
  *
  * \pre \a slices are those of one service, sorted by range, and \a plan was made for them.
  * Thread safe.
@@ -96,12 +96,12 @@
 
 /**
  * \returns the slices of \a service in \a assignment.
- * Thread safe; the span is valid as long as the assignment is left alone.
+ * Thread safe; the span is valid as long as the assignment is not changed.
  */
 std::span<const SliceOwner> slicesOf(const Assignment &assignment, const ServiceName &service);
 
 /**
- * \returns the share of the whole line that \a range covers, from 0 to 1.
+ * \returns the share of the complete key space that \a range covers, from 0 to 1.
  */
 double shareOfLine(SliceRange range);
 
--- a/src/libbulrush/version/planner.cpp
+++ b/src/libbulrush/version/planner.cpp
@@ -15,10 +15,10 @@
 
 namespace {
 
-/** Idle keys count for this part of the load, so that idle slices spread over servers too. */
+/** Idle keys count as this part of the load, so that idle slices are spread over servers too. */
 constexpr double idleShare = 0.01;
 
-/** A full budget and what refills in a window come to the whole of what may move in a window. */
+/** The budget holds this part of a window's moves; it and the refill add up to the allowance. */
 constexpr double burstShare = 0.5;
 
 template<typename Slice>
@@ -49,8 +49,8 @@
 }
 
 /**
- * \returns loads made of the servers' own reports, for a service that no daemon has counted yet;
- * none unless every owner has reported.
+ * \returns loads derived from the servers' own reports, for a service that no daemon has measured
+ * yet; empty unless every owner has reported.
  */
 std::vector<SliceLoad> reportedLoads(const PlanInput &input)
 {
@@ -75,7 +75,7 @@
 }
 
 /**
- * Slices are as wide as all known servers ask for, so that the loss of some doesn't merge them.
+ * The slice width is based on all known servers, so that the loss of some does not merge slices.
  */
 LayoutBounds layoutBounds(const PlannerOptions &options, std::size_t servers,
                           std::size_t usableServers, double totalLoad, double share)
@@ -152,7 +152,8 @@
     std::vector<MovableSlice> slices = movableSlices(layout.slices, sliceLoads, total, share);
     const std::size_t mostSlices = serverCount * m_options.maximumSlicesPerServer;
     LayoutBounds partBounds = bounds;
-    partBounds.sliceShare /= share; // Movable slices have their share of the service's part.
+    // The share of movable slices is relative to the service's part of the key space.
+    partBounds.sliceShare /= share;
     const auto moves = chooseMoves(slices, servers, partBounds, slices.size() > mostSlices);
     for (const SliceMove &move : moves)
         m_lastMoves.insert_or_assign(move.range.begin, now);
@@ -196,7 +197,7 @@
 }
 
 /**
- * \returns for each server whether it is too busy, but not for long enough to act on it.
+ * \returns for each server whether it is too busy, but not yet in enough consecutive rounds to act.
  */
 std::vector<bool> Planner::unconfirmedServers(const ServerLoads &servers)
 {
@@ -245,7 +246,7 @@
         if (state.service == service)
             capacityByName.emplace(state.server.value(), state.capacity);
     }
-    // The server that is the least full for its capacity comes first, then the one named first.
+    // The server with the least slices for its capacity comes first, ties are resolved by name.
     using Turn = std::pair<double, std::size_t>;
     std::priority_queue<Turn, std::vector<Turn>, std::greater<>> turns;
     for (std::size_t i = 0; i < known.count(); ++i) {
--- a/src/libbulrush/version/preference.h
+++ b/src/libbulrush/version/preference.h
@@ -2,10 +2,10 @@
 
 namespace bulrush {
 
-/** Which of the two measures a service gives way on last, where they trade. */
+/** Which of two goals a service gives priority to where they conflict. */
 enum class Preference {
-    Imbalance,    ///< spread the load evenly, also if keys move more often
-    Availability, ///< move keys as seldom as can be, so that each is dark for less time
+    Imbalance,    ///< spread the load evenly, even if keys move more often
+    Availability, ///< move keys as rarely as possible, so that each is unavailable for less time
 };
 
 } // namespace bulrush
--- a/src/libbulrush/version/serverloads.cpp
+++ b/src/libbulrush/version/serverloads.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/** Servers looked at for one move, so that planning stays linear in slices. */
+/** Servers examined for one move, so that planning stays linear in slices. */
 constexpr std::size_t maximumTries = 16;
 
 } // namespace
--- a/src/libbulrush/version/serverloads.h
+++ b/src/libbulrush/version/serverloads.h
@@ -15,8 +15,8 @@
 namespace bulrush {
 
 /**
- * The servers of a service and their load while a plan is made. Servers go by their index, in the
- * order of names; those that are lost or leaving take nothing.
+ * The servers of a service and their load while a plan is made. Servers are identified by an index,
+ * in the order of their names; lost and leaving servers receive no load.
  *
  * Not thread safe.
  */
@@ -24,24 +24,24 @@
 {
 public:
     /**
-     * \pre \a servers outlive this.
+     * \pre \a servers outlive this object.
      */
     ServerLoads(const ServiceName &service, std::span<const ServerState> servers, double coldStep);
 
     /**
-     * \returns the index of a server; one that isn't known yet is taken for lost.
-     * \pre The name outlives this.
+     * \returns the index of a server; an unknown server is added as lost.
+     * \pre The name outlives this object.
      */
     std::uint32_t indexOf(const ServerName &server);
 
     /** Sets the load that each server has before the plan. */
     void setLoads(std::span<const double> loads);
 
-    /** Counts a move of \a load. */
+    /** Records a move of \a load. */
     void move(std::size_t from, std::size_t to, double load);
 
     std::size_t count() const;
-    /** \returns how many are neither lost nor leaving. */
+    /** \returns the number of servers that are neither lost nor leaving. */
     std::size_t usableCount() const;
     const ServerName &name(std::size_t index) const;
     bool isLost(std::size_t index) const;
@@ -49,23 +49,23 @@
     /** \returns whether it is neither lost nor leaving. */
     bool isUsable(std::size_t index) const;
     double load(std::size_t index) const;
-    /** \returns the load that it would have if all had the same for their capacity. */
+    /** \returns the load that the server would have if load were distributed by capacity. */
     double fairShare(std::size_t index) const;
     /** \returns the mean of the fair shares. */
     double averageShare() const;
-    /** \returns load as a ratio to the fair share, 0 for servers that take nothing. */
+    /** \returns the ratio of load to fair share, 0 for servers that receive no load. */
     double ratio(std::size_t index) const;
 
     /**
-     * \returns the lightest server that stays within \a limitRatio with \a load more, and within
-     * its step if it is cold, or nothing.
+     * \returns the least loaded server that stays within \a limitRatio with \a load added, and
+     * within its step if it is cold, or nothing.
      */
     std::optional<std::size_t> receiver(double load, double limitRatio) const;
 
-    /** \returns the lightest server, one that isn't cold if there is any, or nothing. */
+    /** \returns the least loaded server, preferably one that is not cold, or nothing. */
     std::optional<std::size_t> lightest() const;
 
-    /** \returns how much more load a server may take up to \a limitRatio; never below 0. */
+    /** \returns how much load a server can receive up to \a limitRatio; never below 0. */
     double room(std::size_t index, double limitRatio) const;
 
 private:
--- a/src/libbulrush/version/slicelayout.cpp
+++ b/src/libbulrush/version/slicelayout.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 /**
- * \returns the keys that earn a slice of their own, sorted by key.
+ * \returns the keys that get a slice of their own, sorted by key.
  */
 std::vector<KeyHash> keysToIsolate(std::span<const KeyLoad> hotKeys, const LayoutBounds &bounds)
 {
@@ -36,7 +36,7 @@
 }
 
 /**
- * \returns where the parts of \a range begin besides its own begin, if it is too wide.
+ * \returns the first keys of the parts of \a range except the first part, if it is too wide.
  */
 std::vector<KeyHash> evenCuts(SliceRange range, double sliceShare)
 {
@@ -78,7 +78,7 @@
 }
 
 /**
- * Lays slices out one after another, and joins those that may merge.
+ * Builds the list of slices in order and joins those that may merge.
  */
 class LayoutBuilder
 {
@@ -104,7 +104,7 @@
         m_count = 1;
     }
 
-    /** Adds a slice that stays as it is. */
+    /** Adds a slice that is not merged. */
     void addFixed(const PlannedSlice &slice)
     {
         finishRun();
@@ -135,7 +135,7 @@
 
     double m_limit;
     Layout &m_layout;
-    /** Share of the line and number of slices in the run that may still merge. */
+    /** Share of the key space and number of slices in the run that may still merge. */
     double m_share = 0;
     std::size_t m_count = 0;
 };
--- a/src/libbulrush/version/slicelayout.h
+++ b/src/libbulrush/version/slicelayout.h
@@ -10,11 +10,11 @@
 
 namespace bulrush {
 
-/** Shares are sums of rounded numbers; ranges that differ by less than this are alike. */
+/** Tolerance for comparing shares, which are sums of rounded numbers. */
 constexpr double shareTolerance = 1e-6;
 
 /**
- * A slice whose owner goes by a number, for as long as a plan is made.
+ * A slice whose owner is given by an index, valid while one plan is made.
  */
 struct PlannedSlice
 {
@@ -23,22 +23,22 @@
 };
 
 /**
- * What the slices of a service should look like.
+ * Requirements for the slices of a service.
  */
 struct LayoutBounds
 {
-    /** Share of the line of an ordinary slice. Merged slices never exceed it. */
+    /** Share of the key space of an ordinary slice. Merged slices never exceed it. */
     double sliceShare = 1.0;
-    /** A key with this load or more gets a slice of its own, in requests a second. */
+    /** A key with at least this load gets a slice of its own, in requests per second. */
     double hotLoad = 0;
     /** A slice of one key below this load may merge with its neighbours. */
     double coolLoad = 0;
-    /** The most keys that have a slice of their own. */
+    /** Maximum number of keys that have a slice of their own. */
     std::size_t maximumHotKeys = 0;
 };
 
 /**
- * Merges and splits, and the slices that they lead to.
+ * Merges and splits, and the resulting slices.
  */
 struct Layout
 {
@@ -48,7 +48,7 @@
 };
 
 /**
- * \returns whether \a range holds a single hash.
+ * \returns whether \a range contains a single hash.
  */
 constexpr bool isSingleKey(SliceRange range)
 {
@@ -56,11 +56,11 @@
 }
 
 /**
- * Plans merges and splits; no owner changes. Hot keys get slices of their own, slices twice as
- * wide as they should be are cut, and cold neighbours of one owner merge.
+ * Plans merges and splits; no owner changes. Hot keys get slices of their own, slices that are
+ * twice as wide as they should be are split, and cold neighbours of one owner merge.
  *
  * \pre \a slices are sorted by range; \a loads has the load of each; \a hotKeys are sorted by key.
- * Takes linear time in slices. Thread safe.
+ * Takes time linear in slices. Thread safe.
  */
 Layout planLayout(std::span<const PlannedSlice> slices, std::span<const double> loads,
                   std::span<const KeyLoad> hotKeys, const LayoutBounds &bounds);
--- a/src/libbulrush/version/sliceload.cpp
+++ b/src/libbulrush/version/sliceload.cpp
@@ -14,7 +14,7 @@
 }
 
 /**
- * \returns the load of each range that none of the hot keys accounts for.
+ * \returns the load of each range without the load of its hot keys.
  */
 std::vector<double> unexplainedLoads(std::span<const SliceLoad> loads,
                                      std::span<const KeyLoad> hotKeys)
--- a/src/libbulrush/version/sliceload.h
+++ b/src/libbulrush/version/sliceload.h
@@ -8,7 +8,7 @@
 namespace bulrush {
 
 /**
- * Load of a part of the line as the daemons counted it, in requests a second.
+ * Load of a part of the key space as measured by the daemons, in requests per second.
  */
 struct SliceLoad
 {
@@ -19,7 +19,7 @@
 };
 
 /**
- * Load of a single hot key, in requests a second. It is part of its slice's load.
+ * Load of a single hot key, in requests per second. It is part of its slice's load.
  */
 struct KeyLoad
 {
@@ -30,11 +30,11 @@
 };
 
 /**
- * \returns the load of each of \a slices, in their order. Loads may have been counted on other
- * ranges than the slices have now: what hot keys don't explain is spread evenly over its range.
+ * \returns the load of each of \a slices, in their order. The ranges of \a loads may differ from
+ * the slices: the load that is not due to hot keys is spread evenly over its range.
  * Takes linear time.
  *
- * \pre All three are sorted along the line; ranges don't overlap. Thread safe.
+ * \pre All three are sorted by key; ranges do not overlap. Thread safe.
  */
 std::vector<double> loadOfSlices(std::span<const SliceRange> slices,
                                  std::span<const SliceLoad> loads,
--- a/src/libbulrush/version/slicemap.h
+++ b/src/libbulrush/version/slicemap.h
@@ -10,7 +10,7 @@
 namespace bulrush {
 
 /**
- * Where a request for a key goes. The name is valid as long as the map is.
+ * The owner of a key's slice. The name is valid as long as the map is.
  */
 struct SliceRoute
 {
@@ -20,14 +20,14 @@
 };
 
 /**
- * An assignment in the form that routers look keys up in: sorted arrays, never changed once built.
+ * An assignment in a form for key look-ups by routers: sorted arrays that do not change once built.
  *
- * Any number of threads may read it at a time.
+ * Any number of threads may read it concurrently.
  */
 class SliceMap
 {
 public:
-    /** Bytes that each slice takes; names are kept once for each service and server. */
+    /** Bytes per slice; names are stored once for each service and server. */
     static constexpr std::size_t bytesPerSlice =
         2 * sizeof(KeyHash) + sizeof(std::uint32_t) + sizeof(Fence);
 
@@ -37,14 +37,14 @@
     explicit SliceMap(const Assignment &assignment);
 
     /**
-     * \returns the owner of \a hash, or nothing if the service is unknown or no slice holds it.
+     * \returns the owner of \a hash, or nothing if the service is unknown or no slice contains it.
      * Takes time logarithmic in the slices of the service.
      */
     std::optional<SliceRoute> find(const ServiceName &service, KeyHash hash) const;
 
     const Fence &version() const;
     std::size_t sliceCount() const;
-    /** \returns the bytes of the arrays, names not counted. */
+    /** \returns the size of the arrays in bytes, without names. */
     std::size_t memoryBytes() const;
 
 private:
@@ -58,7 +58,7 @@
     Fence m_version;
     std::vector<ServiceSlices> m_services;
     std::vector<ServerName> m_servers;
-    // One entry a slice in each of these.
+    // Parallel arrays with one entry per slice.
     std::vector<KeyHash> m_begins;
     std::vector<KeyHash> m_ends;
     std::vector<std::uint32_t> m_owners;
--- a/src/libbulrush/version/slicemeter.cpp
+++ b/src/libbulrush/version/slicemeter.cpp
@@ -73,7 +73,7 @@
     if (loads.size() <= maximumEntries)
         return {loads.begin(), loads.end()};
 
-    // Each busy slice leaves at most one run of others before it, and one run comes last.
+    // Each busy slice is preceded by at most one run of joined slices, and one run comes last.
     const std::size_t busyCount = (maximumEntries - 1) / 2;
     std::vector<std::size_t> order(loads.size());
     for (std::size_t i = 0; i < order.size(); ++i)
--- a/src/libbulrush/version/slicepiece.h
+++ b/src/libbulrush/version/slicepiece.h
@@ -8,7 +8,7 @@
 namespace bulrush {
 
 /**
- * A part of a service's line of keys.
+ * A part of a service's key space.
  */
 struct SlicePiece
 {
