--- a/src/libbulrush/process/attendancetable.cpp
+++ b/src/libbulrush/process/attendancetable.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/** Daemons by how many servers they attend, the least busy one first. */
+/** Daemons by the number of servers that they manage, least busy first. */
 class LoadRanking
 {
 public:
--- a/src/libbulrush/process/attendancetable.h
+++ b/src/libbulrush/process/attendancetable.h
@@ -9,25 +9,26 @@
 namespace bulrush {
 
 /**
- * Chooses which daemon of a failure domain attends each backend server: evenly, and changing as
- * few as it can. When the change takes effect is for Handover to say.
+ * Assigns the server manager of each backend server in a failure domain to a daemon: evenly, with
+ * as few changes as possible. Handover decides when a change takes effect.
  *
  * Not thread safe.
  */
 class AttendanceTable
 {
 public:
-    /** Starts from what is in force; sorted by server. */
+    /** Starts with the assignments in force, sorted by server. */
     explicit AttendanceTable(std::vector<Attendance> attendances = {});
 
     /**
-     * Fits the table to the servers that need an attendant and the daemons that may be one; those
-     * that leave or are lost are not named. A server keeps its daemon unless that is gone or
-     * attends two or more above the least busy one. With no daemon the table stays as it is.
+     * Adapts the table to the servers that need a server manager and the daemons that can be one;
+     * \a daemons excludes those that are leaving or lost. A server keeps its daemon unless the
+     * daemon is not in \a daemons or manages at least two servers more than the least busy one.
+     * Without any daemon, the table is not changed.
      */
     void fit(const std::set<ServerName> &servers, const std::set<Incarnation> &daemons);
 
-    /** \returns the attendances, sorted by server. */
+    /** \returns the assignments of server managers, sorted by server. */
     std::span<const Attendance> attendances() const;
 
 private:
--- a/src/libbulrush/process/bucketdigest.h
+++ b/src/libbulrush/process/bucketdigest.h
@@ -6,12 +6,12 @@
 
 namespace bulrush {
 
-/** Into how many parts a set is divided when two copies of it are compared. */
+/** Number of buckets of a set when two copies of it are compared. */
 constexpr std::size_t digestBuckets = 32;
 
 /**
- * A fingerprint of a set, in parts: two copies that differ see in which parts, without listing
- * their elements. Each change costs the same however large the set is.
+ * A digest of a set, divided into buckets: comparing the digests of two copies shows which buckets
+ * differ, without listing the elements. The cost of a change does not depend on the set's size.
  */
 class BucketDigest
 {
@@ -19,19 +19,19 @@
     using Buckets = std::array<std::uint64_t, digestBuckets>;
 
     /**
-     * \returns the part that an element with \a hashOfName belongs to.
+     * \returns the bucket of an element with \a hashOfName.
      */
     static constexpr std::size_t bucketOf(std::uint64_t hashOfName);
 
     /**
-     * Adds an element that is not in the set, or removes one that is.
+     * Adds an element that is not in the set, or removes one that is in it.
      */
     constexpr void toggle(std::size_t bucket, std::uint64_t hashOfElement);
 
     constexpr const Buckets &buckets() const;
 
     /**
-     * \returns one number for the whole set.
+     * \returns a digest of the complete set.
      */
     constexpr std::uint64_t combined() const;
 
--- a/src/libbulrush/process/burnrate.cpp
+++ b/src/libbulrush/process/burnrate.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr Duration latencyPartWidth = std::chrono::minutes{10};
-/** Least share of bad requests that a target is taken to allow, so that rates stay finite. */
+/** Lower bound of the share of bad requests that a target allows; keeps rates finite. */
 constexpr double leastAllowance = 1e-9;
 
 enum WindowIndex { FiveMinutes, OneHour, SixHours, ThreeDays };
@@ -68,7 +68,7 @@
     return row;
 }
 
-/** \returns the last snapshot of each host, sorted by host. */
+/** \returns the latest snapshot of each host, sorted by host. */
 std::vector<const BurnSnapshot *> lastOfEachHost(std::span<const BurnSnapshot> snapshots)
 {
     std::map<HostName, const BurnSnapshot *> last;
--- a/src/libbulrush/process/burnrate.h
+++ b/src/libbulrush/process/burnrate.h
@@ -15,7 +15,7 @@
 
 namespace bulrush {
 
-/** A window that burn is reckoned over, and the width of its slots. */
+/** A window over which the burn rate is computed, and the width of its slots. */
 struct BurnWindow
 {
     Duration window;
@@ -30,25 +30,25 @@
     {std::chrono::hours{72}, std::chrono::hours{1}},
 }};
 
-/** Both the 5 minutes' and the hour's rate at this or above: act now. */
+/** If the 5 minute rate and the 1 hour rate both reach this value, immediate action is needed. */
 constexpr double fastBurnRate = 14.4;
-/** Both the 6 hours' and the 3 days' rate above this: the budget will not last. */
+/** If the 6 hour rate and the 3 day rate both exceed this value, the budget will not last. */
 constexpr double slowBurnRate = 1.0;
 
-/** How a request ended, as far as its service level goes. */
+/** Outcome of a request with respect to the service level. */
 enum class ServiceOutcome {
-    Answered,    /**< The caller got its answer. */
-    NotRun,      /**< It was refused, and not run. */
-    Unknown,     /**< It may have run. */
-    CallerError, /**< The caller's own mistake; not counted. */
+    Answered,    /**< The caller received its answer. */
+    NotRun,      /**< The request was refused and did not run. */
+    Unknown,     /**< The request may have run. */
+    CallerError, /**< The request was invalid; not counted. */
 };
 
 /**
- * What a contract promises for an operation.
+ * The service-level target of an operation in a contract.
  */
 struct ServiceTarget
 {
-    /** Share of requests that are answered in time, above 0 and below 1. */
+    /** Share of requests to be answered in time, above 0 and below 1. */
     double share = 0.999;
     Duration latency = std::chrono::seconds{1};
 
@@ -56,7 +56,7 @@
 };
 
 /**
- * One daemon's counts of one operation. Counts of several daemons add up.
+ * One daemon's counts for one operation. Counts of several daemons can be added.
  */
 struct BurnSeries
 {
@@ -65,7 +65,7 @@
     ServiceTarget target;
     /** In the order of burnWindows. */
     std::array<GoodBad, burnWindows.size()> windows{};
-    /** Latencies of answers over about the last hour, by LatencyHistogram::counts(). */
+    /** Latencies of answers in about the last hour, as returned by LatencyHistogram::counts(). */
     std::vector<std::uint64_t> latencies;
 
     bool operator==(const BurnSeries &) const = default;
@@ -78,7 +78,7 @@
 {
     HostName host;
     Incarnation incarnation;
-    /** How long this daemon has been counting; it keeps nothing from before its start. */
+    /** Time since this daemon started counting; it has no counts from before its start. */
     Duration observedFor{};
     /** Sorted by organisation, then by operation. */
     std::vector<BurnSeries> series;
@@ -89,7 +89,7 @@
 /**
  * Counts outcomes and latencies by organisation and operation.
  *
- * Not thread safe: each thread of traffic has its own, and their snapshots are merged.
+ * Not thread safe: each traffic thread has its own instance, and their snapshots are merged.
  */
 class BurnRecorder
 {
@@ -97,19 +97,19 @@
     explicit BurnRecorder(Instant startedAt);
 
     /**
-     * Sets what is promised; what was counted before stays as it was judged.
+     * Sets the target of an operation; requests counted before are not evaluated again.
      */
     void setTarget(const OrganisationName &organisation, const OperationName &operation,
                    const ServiceTarget &target);
 
     /**
-     * Forgets an operation that no contract has any more.
+     * Removes an operation that is no longer in any contract.
      */
     void removeTarget(const OrganisationName &organisation, const OperationName &operation);
 
     /**
-     * Counts a request. One that is answered late is as bad as one that is refused. An operation
-     * without a target is only counted in ignored().
+     * Counts a request. A late answer counts as bad, like a refusal. A request for an operation
+     * without a target is counted only in ignored().
      */
     void record(Instant now, const OrganisationName &organisation, const OperationName &operation,
                 ServiceOutcome outcome, Duration latency);
@@ -130,7 +130,7 @@
         auto operator<=>(const Key &) const = default;
     };
 
-    /** Latencies of this part of an hour and of the ones before it, newest at m_part. */
+    /** Latencies of the current 10 minute part and the five before it, used as a ring. */
     static constexpr std::size_t latencyParts = 6;
 
     struct Series
@@ -151,29 +151,28 @@
 };
 
 /**
- * Burn of one operation over one window.
+ * Burn rate of one operation over one window.
  */
 struct WindowBurn
 {
     GoodBad counted;
-    /** Share of bad requests over the share that the target allows; 1 uses the budget up exactly.
-     */
+    /** Ratio of the share of bad requests to the allowed share; 1 uses the budget exactly. */
     double rate = 0;
 };
 
 /**
- * Burn of one operation at all daemons that reported.
+ * Burn rate of one operation over all daemons that reported.
  */
 struct BurnRow
 {
     OrganisationName organisation;
     OperationName operation;
-    /** The strictest that any daemon reported. */
+    /** The strictest target that any daemon reported. */
     ServiceTarget target;
-    /** Daemons judged by different targets: a change of the contract is in the window. */
+    /** Daemons used different targets, since the contract changed within the window. */
     bool hasMixedTargets = false;
     std::array<WindowBurn, burnWindows.size()> windows{};
-    /** Share of the longest window's budget that is left; below 0 when overdrawn. */
+    /** Share of the longest window's budget that is left; below 0 if exceeded. */
     double budgetLeft = 1;
     bool isBurningFast = false;
     bool isBurningSlowly = false;
@@ -182,29 +181,29 @@
 };
 
 /**
- * Burn of everything, and what it does not cover.
+ * Burn rates of all operations, and the limits of their coverage.
  */
 struct BurnReport
 {
     /** Sorted by organisation, then by operation. */
     std::vector<BurnRow> rows;
     std::vector<HostName> reported;
-    /** Expected daemons that did not report: the counts lack their requests. */
+    /** Expected daemons that did not report; their requests are not in the counts. */
     std::vector<HostName> missing;
-    /** The shortest time that any reporting daemon has been counting for. */
+    /** The shortest time for which any reporting daemon has been counting. */
     Duration shortestObserved{};
-    /** How many daemons have counted for less than the longest window. */
+    /** Number of daemons that have been counting for less than the longest window. */
     std::size_t partlyObserved = 0;
 };
 
 /**
- * Adds up what several threads of one daemon counted.
+ * Adds up the counts of several threads of one daemon.
  * \pre \a snapshots is not empty, and all are of the same incarnation.
  */
 BurnSnapshot mergedThreads(std::span<const BurnSnapshot> snapshots);
 
 /**
- * Adds up what daemons reported. A host that reported twice counts once, by its last snapshot.
+ * Adds up the counts reported by daemons. If a host reported twice, its last snapshot is used.
  * \param expected the hosts that should have reported.
  */
 BurnReport burnReport(std::span<const BurnSnapshot> snapshots, std::span<const HostName> expected);
--- a/src/libbulrush/process/claimbatcher.cpp
+++ b/src/libbulrush/process/claimbatcher.cpp
@@ -46,7 +46,7 @@
     ClaimBatchActions actions;
     const Writes writes = takeBatch(id);
     for (std::size_t i = 0; i < writes.size(); ++i) {
-        // An answer that doesn't cover a write says nothing about it.
+        // If the answer does not cover a write, the result of that write is unknown.
         if (i < versions.size())
             actions.emplace_back(ClaimWriteEnded{writes[i].id, ClaimWriteCommitted{versions[i]}});
         else
@@ -106,7 +106,7 @@
                                [&](const auto &batch) { return hasKey(batch.second, key); });
 }
 
-/** Two writes of one key can't share a transaction, nor be under way at once. */
+/** Writes to one key can neither share a transaction nor be in flight concurrently. */
 ClaimBatcher::Writes ClaimBatcher::nextWrites()
 {
     Writes batch;
@@ -150,7 +150,7 @@
     return actions;
 }
 
-/** A conflict that names none of the rows can only be narrowed down by halves. */
+/** If a conflict names none of the rows, it is isolated by bisecting the batch. */
 void ClaimBatcher::resend(Writes writes, bool hasProgressed, ClaimBatchActions &actions)
 {
     if (writes.empty())
--- a/src/libbulrush/process/claimbatcher.h
+++ b/src/libbulrush/process/claimbatcher.h
@@ -12,9 +12,9 @@
 
 namespace bulrush {
 
-/** Names one claim's write within a batcher. */
+/** Identifies one claim's write within a batcher. */
 using ClaimWriteId = std::uint64_t;
-/** Names one transaction of a batcher; its request id at the platform is the host's to make. */
+/** Identifies one transaction of a batcher; the caller makes the platform's request id from it. */
 using ClaimBatchId = std::uint64_t;
 
 /** A claim's write with the key of its row. */
@@ -37,7 +37,7 @@
     bool operator==(const SendClaimBatch &) const = default;
 };
 
-/** Hand this event to the claim that asked for the write. */
+/** Pass this event to the claim that requested the write. */
 struct ClaimWriteEnded
 {
     ClaimWriteId id;
@@ -47,28 +47,29 @@
 using ClaimBatchAction = std::variant<SendClaimBatch, ClaimWriteEnded>;
 using ClaimBatchActions = std::vector<ClaimBatchAction>;
 
-/** A row that kept a transaction from taking effect. */
+/** A row that prevented a transaction from taking effect. */
 struct ClaimConflict
 {
     std::string key;
     VersionedClaim current;
 };
 
-/** Bounds of the batches. */
+/** Limits of the batches. */
 struct ClaimBatchLimits
 {
-    /** How long the first write waits for others. */
+    /** Maximum time for which the first write waits for others. */
     Duration window = std::chrono::milliseconds{2};
     std::size_t batchLimit = 50;
     std::size_t openBatchLimit = 8;
-    /** Writes that wait; what exceeds them is answered as not sent. */
+    /** Maximum number of waiting writes; writes beyond it are answered as not sent. */
     std::size_t waitingLimit = 1000;
 };
 
 /**
- * Gathers the claims of a few milliseconds into one transaction of the platform, which bears
- * several hundred writes a second. A transaction fails whole by one conflict: the writes in
- * conflict end so, and the others, which had no effect, go out again at once without them.
+ * Combines the claims of a few milliseconds into one transaction of the platform, which handles
+ * several hundred writes a second. A transaction fails completely on a single conflict: the writes
+ * in conflict are answered as such, and the others, which had no effect, are resent at once without
+ * them.
  *
  * Not thread safe.
  */
@@ -77,13 +78,13 @@
 public:
     explicit ClaimBatcher(ClaimBatchLimits limits = {});
 
-    /** Takes in a write. \pre its id is new. */
+    /** Adds a write. \pre The id is new. */
     ClaimBatchActions add(KeyedClaimWrite write, Instant now);
 
-    /** Sends what has waited for its window. To be called at nextDue(). */
+    /** Sends the writes whose window has passed. To be called at nextDue(). */
     ClaimBatchActions advance(Instant now);
 
-    /** \a versions are in the order of the batch's writes. */
+    /** The batch took effect. \a versions are in the order of the batch's writes. */
     ClaimBatchActions committed(ClaimBatchId id, std::span<const std::uint64_t> versions,
                                 Instant now);
     ClaimBatchActions conflicted(ClaimBatchId id, std::span<const ClaimConflict> conflicts,
--- a/src/libbulrush/process/counters.h
+++ b/src/libbulrush/process/counters.h
@@ -8,7 +8,7 @@
 
 namespace bulrush {
 
-/** What a daemon counts. The names are those of counterName(). */
+/** Counters of a daemon. Their names are returned by counterName(). */
 enum class Counter {
     RequestsAccepted,
     RequestsRelayed,
@@ -38,17 +38,17 @@
     PeerCalls,
     PeerCallErrors,
     ContractsAdopted,
-    Count, ///< how many there are
+    Count, ///< the number of counters
 };
 
 /**
- * \returns the name that \a counter has in /metrics and in status views.
+ * \returns the name of \a counter in /metrics and in status views.
  */
 std::string_view counterName(Counter counter);
 
 /**
- * The counts of one process. Thread safe: each count is exact, a view of several is not one
- * instant.
+ * The counters of one process. Thread safe: each counter is exact, but values of several counters
+ * are not read at the same instant.
  */
 class Counters
 {
--- a/src/libbulrush/process/memberrecord.h
+++ b/src/libbulrush/process/memberrecord.h
@@ -8,40 +8,41 @@
 namespace bulrush {
 
 /**
- * What is believed of a daemon. Ordered: of two beliefs about the same run and the same refutation
- * count, the higher one wins.
+ * The state of a daemon as seen by others. The order matters: of two states for the same
+ * incarnation and counter, the higher one wins.
  */
 enum class MemberState { Alive, Leaving, Suspected, Gone };
 
 /**
- * A daemon, as it describes itself and as others judge it.
+ * A daemon as described by itself, with its state as seen by others.
  */
 struct MemberRecord
 {
     HostName host;
     DomainName domain;
-    /** IP address and port that other daemons reach it at. */
+    /** IP address and port for other daemons' messages. */
     std::string address;
     Incarnation incarnation;
-    /** Orders the runs of daemons on one host: a later run has a higher one. */
+    /** Orders the incarnations of daemons on one host: a later one has a higher generation. */
     std::uint64_t generation = 0;
-    /** Raised only by the member itself, to refute what others believe of it. */
+    /** Incremented only by the member itself, to refute a state recorded by others. */
     std::uint64_t counter = 0;
     MemberState state = MemberState::Alive;
-    /** IP address and port that other daemons relay requests to; theirs for as long as they run. */
+    /** IP address and port for requests relayed by other daemons; constant while it runs. */
     std::string relayAddress = {};
 
     bool operator==(const MemberRecord &) const = default;
 };
 
 /**
- * \returns whether \a candidate replaces \a held in a table. Both are of the same host. The order
- * is total but for equals, so that tables end up the same in whatever order records arrive.
+ * \returns whether \a candidate replaces \a held in a table. Both are of the same host. This is a
+ * total order except for equal records, so that tables converge regardless of the order in which
+ * records arrive.
  */
 bool supersedes(const MemberRecord &candidate, const MemberRecord &held);
 
 /**
- * \returns whether new work may be planned on the member: alive, and not leaving.
+ * \returns whether new work may be assigned to the member: alive, and not leaving.
  */
 constexpr bool isAvailable(MemberState state)
 {
@@ -49,7 +50,7 @@
 }
 
 /**
- * \returns whether the member is believed to answer.
+ * \returns whether the member is assumed to respond.
  */
 constexpr bool isPresent(MemberState state)
 {
--- a/src/libbulrush/process/membership.cpp
+++ b/src/libbulrush/process/membership.cpp
@@ -13,16 +13,16 @@
 
 namespace {
 
-/** After how many stand-in delays every daemon reads the platform, seldom. */
+/** Number of backup reader delays after which every daemon reads the platform at a low rate. */
 constexpr int lastResortDelays = 4;
-/** How many daemons of a domain may read in place of its reader. */
+/** Number of daemons of a domain that may read instead of its reader. */
 constexpr std::size_t standIns = 2;
-/** How often an item is asked for before a later comparison has to bring it up again. */
+/** Number of attempts to fetch an item; after them, a later digest comparison starts again. */
 constexpr unsigned fetchAttempts = 5;
 
 /**
- * \returns whether \a record differs from \a held by what others believe alone. What a member
- * says of itself has a higher counter.
+ * \returns whether \a record and \a held may differ only by the state set by others. A record that
+ * the member has updated itself has a higher counter.
  */
 bool isOthersJudgement(const MemberRecord &record, const MemberRecord &held)
 {
@@ -205,8 +205,8 @@
 }
 
 /**
- * Notes that the process runs. After a pause, what ran out meanwhile says nothing about others:
- * pings are forgotten, and the suspected get their whole span again.
+ * Starts a call. After a pause of this process, time-outs say nothing about other members: pending
+ * pings are dropped, and the suspicion timeout of suspected members starts again.
  */
 Membership::Turn Membership::begin(Instant now)
 {
@@ -393,8 +393,8 @@
 }
 
 /**
- * Tries one that is gone, and one that is only known by its address, so that a cut heals whichever
- * side comes back.
+ * Pings one gone member and one address without a member, so that a network partition heals
+ * regardless of which side becomes reachable first.
  */
 void Membership::reconnect(Turn &turn)
 {
@@ -439,7 +439,7 @@
 }
 
 /**
- * \returns how often this daemon reads the platform, or nothing if others do.
+ * \returns the interval at which this daemon reads the platform, or nothing if others read it.
  */
 std::optional<Duration> Membership::readInterval(Instant now) const
 {
@@ -456,7 +456,7 @@
 }
 
 /**
- * \returns how many of the domain come before this daemon as readers of the platform.
+ * \returns the number of members of the domain that precede this daemon as readers of the platform.
  */
 std::size_t Membership::readerRank() const
 {
@@ -487,8 +487,9 @@
 }
 
 /**
- * Takes a record in. That a member is gone, on the word of others, only makes one that is present
- * here suspected: whoever was cut off from it says so too, and it gets the time to refute it.
+ * Applies a record. If only other daemons report that a member is gone, a member that is present
+ * here becomes suspected, not gone: the others may have lost their connection to it, and it gets
+ * time to refute the report.
  */
 void Membership::mergeMember(Turn &turn, const MemberRecord &record)
 {
@@ -518,8 +519,8 @@
         raiseCounter(turn, claim.counter);
         return;
     }
-    // A process that just started is the later run, whatever the host's clock made of its
-    // generation. An older one that meets a later run was paused and replaced.
+    // A process that has just started is the latest incarnation, even if the host's clock produced
+    // a lower generation. An older process that meets a later one was paused and replaced.
     if (turn.now - m_startedAt < m_settings.freshSpan) {
         m_self.generation = claim.generation + 1;
         announceSelf(turn);
@@ -551,7 +552,7 @@
 }
 
 /**
- * Believes \a state of \a host, unless something at least as bad is believed already.
+ * Sets the state of \a host, unless the recorded state is the same or worse.
  */
 void Membership::judge(Turn &turn, const HostName &host, MemberState state)
 {
@@ -593,7 +594,7 @@
             continue;
         const auto [place, isFirst] = m_fetches.try_emplace(header.key);
         PendingFetch &pending = place->second;
-        // Whoever told of it last is asked next, should the answer not come.
+        // If no answer arrives, the member that announced the item last is asked next.
         pending.from = from;
         if (!isFirst && header.version <= pending.header.version)
             continue;
@@ -648,8 +649,8 @@
 }
 
 /**
- * \returns how many rounds a change is passed on for: enough that few miss it, whom the comparison
- * after their next ping finds.
+ * \returns the number of rounds in which a change is sent: enough that few members miss it, which
+ * then find it by the digest comparison after their next ping.
  */
 unsigned Membership::newsRepeats() const
 {
@@ -672,8 +673,8 @@
 }
 
 /**
- * Tells a member what is believed of it, if that is not what it says, so that it can refute it or
- * learn that it was replaced.
+ * Adds the recorded state of a member if it differs from what the member sent, so that the member
+ * can refute it or detect that it was replaced.
  */
 void Membership::addCorrection(News &news, const MemberRecord &of) const
 {
@@ -717,7 +718,7 @@
 }
 
 /**
- * \returns up to \a count different members that are present, other than this one and \a except.
+ * \returns up to \a count distinct present members, excluding this one and \a except.
  */
 std::vector<MemberRecord> Membership::chooseMembers(std::size_t count, const HostName &except)
 {
--- a/src/libbulrush/process/membership.h
+++ b/src/libbulrush/process/membership.h
@@ -18,61 +18,64 @@
 namespace bulrush {
 
 /**
- * The spans and limits of membership. The defaults are what docs/design/membership.md measures.
+ * Durations and limits of membership. docs/design/membership.md has measurements of the defaults.
  */
 struct MembershipSettings
 {
-    /** From one ping of a random member to the next. */
+    /** Interval between pings, each to a random member. */
     Duration pingPeriod = std::chrono::seconds{1};
-    /** How long a ping waits before others are asked to try, and then once more. */
+    /** Timeout of a direct ping, and then of the indirect pings through other members. */
     Duration ackTimeout = std::chrono::milliseconds{500};
-    /** How long the answer to a fetch may take. */
+    /** Timeout of the answer to a fetch. */
     Duration fetchTimeout = std::chrono::milliseconds{250};
-    /** How long a suspected member has to refute before it counts as gone. */
+    /** Time for a suspected member to refute the suspicion before it is recorded as gone. */
     Duration suspicionTimeout = std::chrono::seconds{4};
-    /** From one round of passing news on to the next. */
+    /** Interval between gossip rounds. */
     Duration newsPeriod = std::chrono::milliseconds{250};
-    /** Shortest span between two rounds when there is a new version to pass on. */
+    /** Minimum time between two gossip rounds when there is a new version to send. */
     Duration itemNewsGap = std::chrono::milliseconds{20};
-    /** From one attempt at reaching a member that is gone, or a seed, to the next. */
+    /** Interval between attempts to reach a gone member or a seed. */
     Duration reconnectPeriod = std::chrono::seconds{5};
-    /** How long a host that is gone is remembered. */
+    /** Time for which the record of a gone host is kept. */
     Duration goneRetention = std::chrono::hours{1};
-    /** How long after its start a process counts as the later run at its host. */
+    /** Time after its start during which a process counts as the latest incarnation on its host. */
     Duration freshSpan = std::chrono::seconds{30};
-    /** A gap between two calls beyond which this process was paused. */
+    /** A gap between two calls above this value means that this process was paused. */
     Duration pauseThreshold = std::chrono::seconds{2};
-    /** From one reading of the platform by a domain's reader to the next. */
+    /** Interval between reads of the platform by a domain's reader. */
     Duration readPeriod = std::chrono::seconds{1};
-    /** The reader's first stand-in reads when unsure for this long, the second for twice it. */
+    /**
+     * Time without confirmed data after which the first backup reader reads; the second one waits
+     * for twice this time.
+     */
     Duration standInDelay = std::chrono::seconds{15};
-    /** How long a stand-in goes on reading after it succeeded. */
+    /** Time for which a backup reader continues to read after it succeeded. */
     Duration standInSpan = std::chrono::minutes{5};
-    /** From one reading to the next by a daemon that is unsure for four stand-in delays. */
+    /** Interval between reads by a daemon without confirmed data for four backup reader delays. */
     Duration lastResortPeriod = std::chrono::seconds{30};
-    /** How many members a round of news goes to. */
+    /** Number of members that receive a gossip round. */
     unsigned fanOut = 3;
-    /** How many members are asked to try when a ping is not answered. */
+    /** Number of members that are asked for an indirect ping if a ping is not answered. */
     unsigned indirectPings = 3;
-    /** How many changes a message of news carries. */
+    /** Maximum number of changes in a gossip message. */
     std::size_t newsLimit = 6;
-    /** How many members, and how many items, an answer to an exchange carries. */
+    /** Maximum number of members, and of items, in an answer to an exchange. */
     std::size_t deltaLimit = 32;
     /**
-     * How many bytes of bodies answers to fetches carry within a fetchWindow; one body always goes.
-     * Whoever gets less asks again, and others, so that many daemons that start at once don't
-     * load the few that they know.
+     * Maximum size in bytes of the bodies in answers to fetches within a fetchWindow; one body is
+     * always sent. A daemon that receives less retries, also with other members, so that many
+     * daemons that start at once do not overload the few members that they have found.
      */
     std::size_t fetchByteLimit = 131072;
     Duration fetchWindow = std::chrono::seconds{1};
-    /** Addresses to try when nobody is known. */
+    /** Addresses to contact when no other member is in the table. */
     std::vector<std::string> seeds;
     /** Seed of the random choice of members. */
     std::uint64_t randomSeed = 1;
 };
 
 /**
- * A host in the platform's list, which lags behind.
+ * A host in the platform's list, which may be out of date.
  */
 struct ListedHost
 {
@@ -81,23 +84,23 @@
     bool isLeaving = false;
 };
 
-/** Read all contracts from the platform, and report by Membership::onPlatformListing. */
+/** Read all contracts from the platform, and pass them to Membership::onPlatformListing. */
 struct ReadPlatform
 { };
 
-/** A version is now held and goes into force at this daemon. */
+/** A new version was stored and takes effect at this daemon. */
 struct ApplyItem
 {
     VersionedItem item;
 };
 
-/** A member is new, or its state, run or address has changed. */
+/** A member is new, or its state, incarnation or address has changed. */
 struct MemberChanged
 {
     MemberRecord member;
 };
 
-/** A later run of a daemon is at this host: this process is a left-over and must end. */
+/** A later incarnation runs on this host: this process is obsolete and has to stop. */
 struct Superseded
 {
     MemberRecord successor;
@@ -108,13 +111,14 @@
 using MembershipActions = std::vector<MembershipAction>;
 
 /**
- * One daemon's view of the others, and its part in spreading members, contracts and assignments.
+ * One daemon's table of the other daemons, and its part in the gossip protocol that distributes
+ * members, contracts and assignments.
  *
- * Each daemon pings one random member a period, whatever their number. Changes ride on pings and
- * on rounds of news to a few random members; what was missed is found by comparing digests after
- * a ping and fetched in bounded pieces.
+ * Each daemon pings one random member per period, regardless of their number. Changes are sent with
+ * pings and in gossip rounds to a few random members; missed changes are found by comparing digests
+ * after a ping and are fetched in messages of bounded size.
  *
- * Not thread safe; every call takes the instant it happens at, never earlier than the call before.
+ * Not thread safe; every call takes the current instant, never earlier than in the previous call.
  */
 class Membership
 {
@@ -127,66 +131,66 @@
                Instant startedAt);
 
     /**
-     * Does what is due. To be called at nextDue(), or late.
+     * Performs the work that is due. To be called at nextDue(), or later.
      */
     MembershipActions onTick(Instant now);
 
     /**
-     * Takes a message of another daemon in.
+     * Handles a message of another daemon.
      */
     MembershipActions onMessage(Instant now, const PeerMessage &message);
 
     /**
-     * Takes the platform's list of entry hosts in: it names whom to try, and who is to leave. It
-     * never makes a member gone, because it lags.
+     * Applies the platform's list of entry hosts: it gives addresses to contact, and hosts that are
+     * to leave. It never marks a member as gone, because the list may be out of date.
      */
     MembershipActions onHostList(Instant now, std::span<const ListedHost> hosts);
 
     /**
-     * Takes a reading of the platform's contracts in.
+     * Applies the result of a platform read.
      */
     MembershipActions onPlatformListing(Instant now, const PlatformListing &listing);
 
     /**
-     * Notes that the reading asked for failed.
+     * Records that the requested platform read failed.
      */
     void onPlatformFailure(Instant now);
 
     /**
-     * Spreads an item that this daemon made or accepted itself, such as a new assignment.
+     * Distributes an item that this daemon created or accepted itself, such as a new assignment.
      */
     MembershipActions publish(Instant now, const VersionedItem &item);
 
     /**
-     * Tells the others that this daemon is about to leave.
+     * Announces to other daemons that this daemon is going to leave.
      */
     MembershipActions leave(Instant now);
 
     /**
-     * Says goodbye: the others take this daemon as gone at once. Nothing is sent afterwards.
+     * Announces that this daemon stops: others mark it as gone at once. Nothing is sent afterwards.
      */
     MembershipActions stop(Instant now);
 
     /**
-     * \returns when onTick() is due next.
+     * \returns when onTick() has to be called next.
      */
     Instant nextDue() const;
 
     const MemberRecord &self() const;
 
     /**
-     * \returns all that are known, this daemon included. Valid until the next change.
+     * \returns all members in the table, including this daemon. Valid until the next change.
      */
     std::span<const MemberRecord> members() const;
 
     /**
-     * \returns the member that reads the platform for this daemon's failure domain: the first by
-     * order of host among those of the domain that are present.
+     * \returns the member that reads the platform for this daemon's failure domain: the first
+     * present member of the domain, alive ones before leaving ones, then by host name.
      */
     const MemberRecord &reader() const;
 
     /**
-     * \returns whether a later run of a daemon is known at this host, so that this one must end.
+     * \returns whether a later incarnation runs on this host, so that this process has to stop.
      */
     bool isSuperseded() const;
 
@@ -202,7 +206,7 @@
         Instant askedAt;
         Instant due;
         bool isIndirect = false;
-        /** Set when the ping was sent for another daemon. */
+        /** Set if the ping was sent on behalf of another daemon. */
         std::string requester = {};
         std::uint64_t requesterSequence = 0;
     };
@@ -215,12 +219,12 @@
         unsigned attempts = 0;
     };
 
-    /** The unit of work that a call collects its actions in. */
+    /** Time and collected actions of one call. */
     struct Turn
     {
         Instant now;
         MembershipActions actions = {};
-        /** Whether what is learned is passed on; not so for what was pulled by an exchange. */
+        /** Whether received changes are gossiped further; false for those pulled by an exchange. */
         bool isPassedOn = true;
     };
 
--- a/src/libbulrush/process/membertable.h
+++ b/src/libbulrush/process/membertable.h
@@ -9,8 +9,8 @@
 namespace bulrush {
 
 /**
- * The daemons that are known, one record for each host, merged so that the order of arrival and
- * repetition don't matter.
+ * The daemons of the fleet, one record for each host. The result of merging records does not depend
+ * on their order or on repetitions.
  *
  * Not thread safe.
  */
@@ -18,13 +18,13 @@
 {
 public:
     /**
-     * Takes \a record in if it supersedes the one held for its host.
-     * \returns whether it did.
+     * Stores \a record if it supersedes the one of its host.
+     * \returns whether it was stored.
      */
     bool merge(const MemberRecord &record);
 
     /**
-     * Forgets a host. One that is unknown is ignored.
+     * Removes a host. An unknown host is ignored.
      */
     void remove(const HostName &host);
 
@@ -39,14 +39,14 @@
     std::span<const MemberRecord> records() const;
 
     /**
-     * \returns the digest of the members that are not gone: a table that never knew a gone member,
-     * or forgot it, holds the same as one that remembers it.
+     * \returns the digest of the members that are not gone, so that a table without a gone member
+     * and one that still stores it have the same digest.
      */
     const BucketDigest &digest() const;
 
     /**
-     * \returns up to \a limit records out of the parts in which \a theirs differs from this
-     * table, starting at \a offset of them, so that repeated calls can cover a large difference.
+     * \returns up to \a limit records from the buckets in which \a theirs differs from this table,
+     * starting at index \a offset, so that repeated calls can cover a large difference.
      */
     std::vector<MemberRecord> differing(const BucketDigest::Buckets &theirs, std::size_t limit,
                                         std::size_t offset) const;
--- a/src/libbulrush/process/newsqueue.h
+++ b/src/libbulrush/process/newsqueue.h
@@ -10,29 +10,29 @@
 namespace bulrush {
 
 /**
- * Changes that are still to be passed on, each a bounded number of times, the ones passed on least
- * first.
+ * Queue of changes to send by gossip. Each is sent a bounded number of times; those that were sent
+ * least often come first.
  *
  * Not thread safe.
  */
 class NewsQueue
 {
 public:
-    /** A member or an item that has changed. What it changed to is looked up when it is sent. */
+    /** A member or an item that has changed. Its current state is looked up when it is sent. */
     using Subject = std::variant<ItemKey, HostName>;
 
     /**
-     * Queues \a subject to be passed on \a times; one that is queued starts anew.
+     * Queues \a subject to be sent \a times; for a queued subject the count starts again.
      */
     void add(const Subject &subject, unsigned times);
 
     /**
-     * \returns up to \a limit subjects, items before members, without counting them as passed on.
+     * \returns up to \a limit subjects, items before members, without counting them as sent.
      */
     std::vector<Subject> first(std::size_t limit) const;
 
     /**
-     * \returns the same as first(), and counts each as passed on once more.
+     * \returns the same as first(), and counts each subject as sent once more.
      */
     std::vector<Subject> take(std::size_t limit);
 
@@ -47,7 +47,7 @@
 
     static bool isBefore(const Entry &first, const Entry &second);
 
-    /** In the order that they are passed on in. */
+    /** In the order of sending. */
     std::vector<Entry> m_entries;
 };
 
--- a/src/libbulrush/process/peermessage.h
+++ b/src/libbulrush/process/peermessage.h
@@ -14,7 +14,7 @@
 namespace bulrush {
 
 /**
- * Changes that a daemon passes on: whole records of members, but only headers of items.
+ * Changes sent by gossip: complete records of members, but only headers of items.
  */
 struct News
 {
@@ -23,17 +23,17 @@
 };
 
 /**
- * What a daemon holds, in short.
+ * Digests of the data that a daemon holds.
  */
 struct Summary
 {
     std::uint64_t members = 0;
     std::uint64_t items = 0;
-    /** How long ago the sender's contracts were known to be current; nothing if never. */
+    /** Time since the sender's contracts were last confirmed as current; nothing if never. */
     std::optional<Duration> age;
 };
 
-/** Asks a member whether it is there. */
+/** Checks whether a member responds. */
 struct Ping
 {
     std::uint64_t sequence = 0;
@@ -49,40 +49,40 @@
     News news;
 };
 
-/** Passes news on; it is not answered. */
+/** Sends changes; it is not answered. */
 struct NewsPush
 {
     News news;
 };
 
-/** Asks a member to ping another, which the sender can't reach. */
+/** Requests that a member pings another one, which the sender cannot reach. */
 struct IndirectPing
 {
     std::uint64_t sequence = 0;
     HostName target;
 };
 
-/** Tells that the target of an indirect ping answered. */
+/** Reports that the target of an indirect ping has answered. */
 struct IndirectAck
 {
     std::uint64_t sequence = 0;
     MemberRecord target;
 };
 
-/** Asks for what the receiver holds otherwise than the sender. */
+/** Requests the data in which the receiver differs from the sender. */
 struct Exchange
 {
     BucketDigest::Buckets members{};
     BucketDigest::Buckets items{};
 };
 
-/** Answers an exchange, as far as a message's limits allow. */
+/** Answers an exchange, within the limits of a message. */
 struct Delta
 {
     News news;
 };
 
-/** Asks for the bodies of items. */
+/** Requests the bodies of items. */
 struct Fetch
 {
     std::vector<ItemKey> keys;
@@ -95,20 +95,20 @@
 };
 
 /**
- * What one daemon sends to another. Messages may be lost, repeated, late and out of order.
+ * A message between two daemons. Messages may be lost, repeated, delayed and reordered.
  */
 struct PeerMessage
 {
     using Body =
         std::variant<Ping, Ack, NewsPush, IndirectPing, IndirectAck, Exchange, Delta, Fetch, Items>;
 
-    /** The sender, as it describes itself. */
+    /** The sender's record of itself. */
     MemberRecord sender;
     Body body;
 };
 
 /**
- * A message and the address it goes to.
+ * A message and its destination address.
  */
 struct OutgoingMessage
 {
--- a/src/libbulrush/process/ratelimiter.cpp
+++ b/src/libbulrush/process/ratelimiter.cpp
@@ -8,12 +8,12 @@
 
 namespace {
 
-/** Asked for beyond what came, in whole requests. */
+/** Factor of the demand above the measured need, which is rounded up to complete requests. */
 constexpr double concurrencyHeadroom = 1.1;
 constexpr Duration shortestMeasurement = std::chrono::milliseconds{100};
-/** Time over which arrivals are averaged. */
+/** Time constant for averaging arrivals. */
 constexpr Duration averagingTime = std::chrono::seconds{4};
-/** Deviations of a Poisson count beyond which demand has changed, and is not only noisy. */
+/** Deviation, in standard deviations of a Poisson count, above which the demand has changed. */
 constexpr double changeDeviations = 4.0;
 
 double seconds(Duration span)
--- a/src/libbulrush/process/ratelimiter.h
+++ b/src/libbulrush/process/ratelimiter.h
@@ -7,28 +7,28 @@
 namespace bulrush {
 
 /**
- * One daemon's part in keeping an organisation to its rate and its concurrency over all entry
- * hosts: it admits by the shares that the steward of its failure domain gave, and by nothing once
- * they have run out. Not thread safe.
+ * One daemon's part in limiting an organisation's rate over all entry hosts: it admits requests
+ * within the share granted by the leader of its failure domain, and none after the share has
+ * expired. Not thread safe.
  */
 class RateLimiter
 {
 public:
     explicit RateLimiter(std::int64_t driftPpm = defaultDriftPpm);
 
-    /** A request has come. \returns whether the rate lets it pass. */
+    /** Counts a request. \returns whether it is within the rate. */
     bool admits(Instant now);
 
-    /** \returns what to tell the steward now; the answer's share counts from \a now. */
+    /** \returns the demand to report to the domain leader; the share counts from \a now. */
     ShareDemand demand(Instant now);
 
-    /** A share has come, for a demand told at \a askedAt. An older one than the last is ignored. */
+    /** Applies a share for a demand made at \a askedAt. A share older than the last is ignored. */
     void shareGranted(const ShareGrant &grant, Instant askedAt, Instant now);
 
-    /** \returns when a refused caller may come back. */
+    /** \returns the delay after which a refused caller may retry. */
     Duration retryAfter() const;
 
-    /** \returns the share in force at \a now. */
+    /** \returns the share in effect at \a now. */
     double share(Instant now) const;
 
 private:
@@ -45,28 +45,28 @@
 };
 
 /**
- * The same for the number of an organisation's requests at once. Not thread safe.
+ * The same for the number of an organisation's concurrent requests. Not thread safe.
  */
 class ConcurrencyLimiter
 {
 public:
     explicit ConcurrencyLimiter(std::int64_t driftPpm = defaultDriftPpm);
 
-    /** A request has come. \returns whether it may start; if so, ended() is to follow. */
+    /** Starts a request. \returns whether it may start; if so, ended() has to be called later. */
     bool start(Instant now);
 
-    /** A started request has ended. */
+    /** Records the end of a started request. */
     void ended();
 
-    /** \returns what to tell the steward now. */
+    /** \returns the demand to report to the domain leader. */
     ShareDemand demand();
 
-    /** A share has come, for a demand told at \a askedAt. */
+    /** Applies a share for a demand made at \a askedAt. */
     void shareGranted(const ShareGrant &grant, Instant askedAt);
 
     int inFlight() const;
 
-    /** \returns the share in force at \a now. */
+    /** \returns the share in effect at \a now. */
     double share(Instant now) const;
 
 private:
--- a/src/libbulrush/process/rollingcount.h
+++ b/src/libbulrush/process/rollingcount.h
@@ -8,7 +8,7 @@
 namespace bulrush {
 
 /**
- * Requests that met their contract's target, and those that did not.
+ * Numbers of requests that met their contract's target, and of those that did not.
  */
 struct GoodBad
 {
@@ -19,8 +19,8 @@
 };
 
 /**
- * Counts over a window that ends now, in slots that are reused as time goes on. What it counts is
- * out of the window by at most one slot.
+ * Counts over a window that ends now, in a ring of slots. A request stays in the count for up to
+ * one slot longer than the window.
  *
  * Not thread safe.
  */
@@ -33,12 +33,13 @@
     RollingCount(Duration window, Duration slotWidth);
 
     /**
-     * Adds \a counted at \a now, which is never earlier than before.
+     * Adds \a counted at \a now, which is never earlier than in the previous call.
      */
     void add(Instant now, GoodBad counted);
 
     /**
-     * \returns the sum over the window that ends at \a now, which is never earlier than before.
+     * \returns the sum over the window that ends at \a now, which is never earlier than in the
+     * previous call.
      */
     GoodBad sum(Instant now);
 
--- a/src/libbulrush/process/shareledger.cpp
+++ b/src/libbulrush/process/shareledger.cpp
@@ -124,7 +124,7 @@
     return {m_lastSequence, amount, length};
 }
 
-/** \returns the sum of the loans that last beyond \a until. */
+/** \returns the sum of the loans that are valid beyond \a until. */
 double ShareLedger::borrowed(Instant until) const
 {
     double sum = 0.0;
@@ -135,7 +135,7 @@
     return sum;
 }
 
-/** \returns what may be given for the length of a share from \a now. */
+/** \returns the amount that can be issued for the duration of a share from \a now. */
 double ShareLedger::available(Instant now) const
 {
     return m_own + borrowed(now + stretched(m_terms.length, m_terms.driftPpm));
@@ -151,13 +151,13 @@
     return sum;
 }
 
-/** What is borrowed is not lent on: it would outlast the loan. */
+/** Borrowed amounts are not lent: such a loan could outlast the one that covers it. */
 double ShareLedger::lendable() const
 {
     return std::max(0.0, m_own - totalWanted());
 }
 
-/** \returns what daemons leave to borrowers: what those hold, and what they are to get. */
+/** \returns the amount reserved for borrowers: what they hold, and what they are to receive. */
 double ShareLedger::keptForBorrowers(Instant now) const
 {
     double held = 0.0;
@@ -171,7 +171,7 @@
     return std::max(held, std::min(wanted, lendable()));
 }
 
-/** \returns the share of a daemon: all it wants if that can be, else no more than any other. */
+/** \returns the share of a daemon: its demand if the amount suffices, otherwise a fair part. */
 double ShareLedger::target(const Holder &holder, Instant now) const
 {
     const double amount = std::max(0.0, available(now) - keptForBorrowers(now));
@@ -183,7 +183,7 @@
     return std::min(holder.wanted, waterLevel(amount));
 }
 
-/** \returns the level at which demands, cut off there, sum up to \a amount. */
+/** \returns the level at which demands, capped at that level, sum up to \a amount. */
 double ShareLedger::waterLevel(double amount) const
 {
     std::vector<double> demands;
--- a/src/libbulrush/process/shareledger.h
+++ b/src/libbulrush/process/shareledger.h
@@ -11,95 +11,97 @@
 
 namespace bulrush {
 
-/** What a holder of a share tells its giver, at each renewal. */
+/** Sent by the holder of a share to the issuer at each renewal. */
 struct ShareDemand
 {
-    /** What it could use: arrivals a second, or requests at once. */
+    /** The share that it could use: arrivals per second, or concurrent requests. */
     double wanted = 0.0;
-    /** What it can't give back at once: requests in flight, for a limit of concurrency. */
+    /** The part that it cannot return at once: requests in flight, for a concurrency limit. */
     double inUse = 0.0;
-    /** The last grant that it acts by; earlier ones no longer count. */
+    /** The last grant that it applies; earlier ones are no longer in effect. */
     Fence acknowledged;
 };
 
-/** A part of an organisation's limit, for a time. */
+/** A part of an organisation's limit, for a limited time. */
 struct ShareGrant
 {
-    /** Epoch of the steward that gave it, and its count. */
+    /** Epoch of the leader that issued it, and a sequence number. */
     Fence sequence;
     double amount = 0.0;
-    /** The holder counts it from before it asked, on its own clock, and shortened by drift. */
+    /** Counted by the holder on its own clock, from before its request, and shortened by drift. */
     Duration length{};
 
     bool operator==(const ShareGrant &) const = default;
 };
 
-/** How shares are given. */
+/** Terms of shares. */
 struct ShareTerms
 {
-    /** Of a daemon's share: outlasts the change of a steward. */
+    /** Duration of a daemon's share; longer than a change of the domain leader takes. */
     Duration length = std::chrono::seconds{6};
-    /** Of a loan to another failure domain: a daemon's share must fit into what is left of it. */
+    /** Duration of a loan to another domain: shares are issued only within its remaining time. */
     Duration loanLength = std::chrono::seconds{14};
-    /** Shares are multiples of this; 0 for any amount. */
+    /** Shares are multiples of this; 0 allows any amount. */
     double unit = 0.0;
     std::int64_t driftPpm = defaultDriftPpm;
 };
 
 /**
- * Hands out one failure domain's part of an organisation's limit to its daemons, by demand, and
- * lends what they leave to other domains. What is out never exceeds what there is: a share counts
- * until its holder has acknowledged a later one or its time has run out on every clock.
+ * Distributes one failure domain's part of an organisation's limit to its daemons, by demand, and
+ * lends the remainder to other domains. The sum of the shares in effect never exceeds the amount
+ * available: a share counts until its holder has acknowledged a later one or until it has expired
+ * on every clock.
  *
- * A domain that is cut off goes on with its own part, and gets back what it lent when the loan has
- * run out. Not thread safe.
+ * A domain that is cut off continues with its own part, and gets back what it lent when the loan
+ * has expired. Not thread safe.
  */
 class ShareLedger
 {
 public:
     /**
-     * \a own is the domain's part of the limit, \a epoch that of the steward.
+     * \a own is the domain's part of the limit, \a epoch the epoch of the domain leader.
      */
     ShareLedger(double own, std::uint64_t epoch, ShareTerms terms);
 
     /**
-     * Makes a ledger that follows another at \a now. It does not know what its predecessor gave:
-     * until the longest of that has run out it confirms what holders say they hold, and gives
-     * nothing new.
+     * Creates the successor of another instance at \a now. It has no record of the grants of its
+     * predecessor: until the longest of these has expired, it only confirms the shares that holders
+     * report, and issues nothing new.
      */
     static ShareLedger successor(double own, std::uint64_t epoch, ShareTerms terms, Instant now);
 
     /**
-     * Ends the successor's wait early. \pre every daemon and domain that the predecessor may have
-     * given to has acknowledged a share of this ledger, or has ended.
+     * Ends the successor's confirm-only period early. \pre Every daemon and domain to which the
+     * predecessor may have issued grants has acknowledged a share of this instance, or has stopped.
      */
     void predecessorSettled();
 
-    /** Changes the domain's part, by a new version of the contract. */
+    /** Changes the domain's part, after a new version of the contract. */
     void setOwn(double own);
 
     /**
-     * A daemon asks; \a held is what it holds now, from whomever. \returns its new share.
+     * Renews the share of a daemon; \a held is its current share, by whichever leader it was
+     * issued. \returns its new share.
      */
     ShareGrant renew(const Incarnation &holder, const ShareDemand &demand, double held,
                      Instant now);
 
-    /** A daemon leaves and uses its share no more. */
+    /** Releases the share of a daemon that is leaving and no longer uses it. */
     void release(const Incarnation &holder);
 
-    /** Another domain asks for a loan. \returns what the own daemons leave. */
+    /** Lends to another domain. \returns a loan of what this domain's daemons do not need. */
     ShareGrant lend(const DomainName &borrower, const ShareDemand &demand, Instant now);
 
     /**
-     * \returns what to ask \a lender for: what the own daemons want beyond what there is. A smaller
-     * loan is acknowledged only once the own daemons act by no more than is left.
+     * \returns the demand to send to \a lender: what this domain's daemons need beyond the amount
+     * available. A smaller loan is acknowledged only once the daemons' shares fit into the rest.
      */
     ShareDemand loanDemand(const DomainName &lender, Instant now) const;
 
-    /** A loan has come, for a demand told at \a askedAt. One older than the last is ignored. */
+    /** Applies a loan for a demand made at \a askedAt. A loan older than the last is ignored. */
     void loanGranted(const DomainName &lender, const ShareGrant &grant, Instant askedAt);
 
-    /** \returns the sum that holders may be acting by at \a now. */
+    /** \returns the sum of the shares that may be in effect at \a now. */
     double outstanding(Instant now) const;
 
 private:
@@ -147,7 +149,7 @@
     std::map<DomainName, Loan> m_loans;
     Holders m_holders;
     Fence m_lastSequence;
-    /** Until then shares of a predecessor may be out. */
+    /** Until this time shares issued by a predecessor may be in effect. */
     Instant m_confirmsOnlyUntil;
 };
 
--- a/src/libbulrush/process/sharemessages.h
+++ b/src/libbulrush/process/sharemessages.h
@@ -7,25 +7,25 @@
 
 namespace bulrush {
 
-/** What a daemon tells of one limit of an organisation when it asks for a share of it. */
+/** A daemon's demand for a share of one limit of an organisation. */
 struct LimitDemand
 {
     ShareDemand demand;
-    /** The share that it acts by now, whichever steward gave it. */
+    /** The share that it applies now, by whichever leader it was issued. */
     double held = 0.0;
 };
 
-/** What a daemon tells of one organisation. */
+/** A daemon's demands for one organisation. */
 struct OrganisationDemand
 {
     OrganisationName organisation;
-    /** In requests a second. */
+    /** In requests per second. */
     LimitDemand rate;
-    /** In requests at once. */
+    /** In concurrent requests. */
     LimitDemand concurrency;
 };
 
-/** A daemon asks the steward of its failure domain for shares of all organisations' limits. */
+/** A daemon's request to its domain leader for shares of all organisations' limits. */
 struct ShareRequest
 {
     Incarnation incarnation;
@@ -40,10 +40,10 @@
     ShareGrant concurrency;
 };
 
-/** A steward's answer; it leaves out organisations whose contract it doesn't know yet. */
+/** A leader's answer; it omits organisations whose contract the leader does not have yet. */
 struct ShareReply
 {
-    /** False while the steward can only confirm what daemons hold from its predecessor. */
+    /** False while the leader can only confirm what daemons hold from its predecessor. */
     bool isSettled = false;
     std::vector<OrganisationGrant> organisations;
 };
--- a/src/libbulrush/process/tokenbucket.cpp
+++ b/src/libbulrush/process/tokenbucket.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/** Sums of small fractions fall a little short of whole tokens. */
+/** Tolerance for rounding: sums of small fractions fall slightly short of a complete token. */
 constexpr double oneToken = 1.0 - 1e-9;
 
 double seconds(Duration span)
--- a/src/libbulrush/process/tokenbucket.h
+++ b/src/libbulrush/process/tokenbucket.h
@@ -5,26 +5,26 @@
 namespace bulrush {
 
 /**
- * Lets \e rate requests a second pass, and a burst of what was unused a moment ago: what the rate
- * gives in \e burstSpan, and at a low rate more, since chance alone then makes greater waves.
+ * Admits \e rate requests per second, and bursts of unused tokens: up to what the rate yields in
+ * \e burstSpan, and more at a low rate, where random arrivals vary more relative to their mean.
  * Not thread safe.
  */
 class TokenBucket
 {
 public:
-    /** Tokens that may be saved up at any rate, but for no longer than a second. */
+    /** Tokens that can be saved at any rate, but of no more than one second. */
     static constexpr double smallBurst = 32.0;
 
-    /** Starts empty. \a burstSpan is the time whose tokens may be saved up. */
+    /** Starts empty. \a burstSpan is the time for which tokens can be saved. */
     explicit TokenBucket(Duration burstSpan = std::chrono::milliseconds{100});
 
-    /** Changes the rate from \a now. Tokens beyond the new burst are lost. */
+    /** Changes the rate from \a now on. Tokens beyond the new burst are dropped. */
     void setRate(double perSecond, Instant now);
 
-    /** Takes a token. \returns whether there was one. */
+    /** Takes a token. \returns whether one was available. */
     bool take(Instant now);
 
-    /** \returns the time until a token is there, or one second without a rate. */
+    /** \returns the time until a token is available, or one second if the rate is zero. */
     Duration timeToToken() const;
 
     double rate() const;
--- a/src/libbulrush/process/versioneditem.h
+++ b/src/libbulrush/process/versioneditem.h
@@ -9,11 +9,11 @@
 
 namespace bulrush {
 
-/** What a spread item is about. */
+/** Kinds of items that are distributed by gossip. */
 enum class ItemKind { Contract, Assignment };
 
 /**
- * Names an item: the contract of an organisation, or the assignment of a failure domain.
+ * Identifies an item: the contract of an organisation, or the assignment of a failure domain.
  */
 struct ItemKey
 {
@@ -24,21 +24,21 @@
 };
 
 /**
- * Tells which version of an item there is, without its body.
+ * Identifies one version of an item, without its body.
  */
 struct ItemHeader
 {
     ItemKey key;
     /** Of a contract: epoch 0 and its row's version. Of an assignment: its own version. */
     Fence version;
-    /** XXH3 of the body, so that two bodies under one version are noticed. */
+    /** XXH3 of the body, so that different bodies of one version are detected. */
     std::uint64_t bodyHash = 0;
 
     bool operator==(const ItemHeader &) const = default;
 };
 
 /**
- * One version of an item. Its body is never changed, hence shared.
+ * One version of an item. Its body is immutable and therefore shared.
  */
 struct VersionedItem
 {
@@ -47,7 +47,7 @@
 };
 
 /**
- * \returns an item with its body's hash filled in.
+ * \returns an item with the hash of \a body.
  */
 VersionedItem makeItem(ItemKey key, Fence version, std::string body);
 
--- a/src/libbulrush/process/versionstore.cpp
+++ b/src/libbulrush/process/versionstore.cpp
@@ -133,8 +133,8 @@
 
 bool VersionStore::lacksHeldContract(const PlatformListing &listing) const
 {
-    // Contracts are withdrawn by a version that says so, never deleted, so that a missing row
-    // means an old copy.
+    // Contracts are withdrawn by a version that states this, never deleted, so that a missing row
+    // indicates an old copy.
     std::map<ItemKey, Fence> listed;
     for (const VersionedItem &item : listing.items)
         listed.emplace(item.header.key, item.header.version);
--- a/src/libbulrush/process/versionstore.h
+++ b/src/libbulrush/process/versionstore.h
@@ -12,37 +12,37 @@
 namespace bulrush {
 
 /**
- * What became of an item that was offered to a store.
+ * Result of offering an item to a store.
  */
 enum class OfferOutcome {
-    Applied,     /**< It was newer, or the first of its key, and is now held. */
-    Known,       /**< It is held already. */
-    Outdated,    /**< A newer one is held and stays. */
-    Conflicting, /**< The same version with another body is held and stays. */
+    Applied,     /**< It was newer, or the first of its key, and is now stored. */
+    Known,       /**< It is already stored. */
+    Outdated,    /**< A newer version is stored and remains. */
+    Conflicting, /**< The same version with another body is stored and remains. */
 };
 
 /**
- * A reading of all contracts from the platform.
+ * The result of reading all contracts from the platform.
  */
 struct PlatformListing
 {
-    /** When the reading was asked for, not when it was answered. */
+    /** When the read was requested, not when it was answered. */
     Instant askedAt;
     std::vector<VersionedItem> items;
 };
 
 /**
- * What a store took from a reading of the platform.
+ * Result of applying a platform read to a store.
  */
 struct ListingOutcome
 {
     std::vector<ItemHeader> applied;
-    /** The platform answered out of an old copy: it lacks something that it had accepted. */
+    /** The platform answered from an old copy: a version that it had accepted is missing. */
     bool isOutdated = false;
 };
 
 /**
- * How often a store met something that it did not take.
+ * Numbers of offers that a store did not apply.
  */
 struct VersionStoreCounters
 {
@@ -52,11 +52,11 @@
 };
 
 /**
- * The contracts and assignments that are in force at one daemon. A version is never followed by an
- * older one, whoever offers it.
+ * The contracts and assignments in force at one daemon. A version is never replaced by an older
+ * one, regardless of the sender.
  *
- * The store knows since when it can't be sure to be current: a new store is sure of nothing until
- * the platform was read, or a peer that is sure holds the same.
+ * The store keeps the time at which it was last confirmed to be current: a new store is unconfirmed
+ * until the platform was read, or until a confirmed peer holds the same items.
  *
  * Not thread safe.
  */
@@ -64,35 +64,36 @@
 {
 public:
     /**
-     * \pre \a startedAt is the start of the process: nothing before it can count as current.
+     * \pre \a startedAt is the start of the process: no earlier time can count as current.
      */
     explicit VersionStore(Instant startedAt);
 
     /**
-     * Takes \a item in if it is newer than what is held of its key.
+     * Stores \a item if it is newer than the stored version of its key.
      */
     OfferOutcome offer(const VersionedItem &item);
 
     /**
-     * Takes a reading of all contracts in. The store is current as of its asking if the platform
-     * lacked nothing that is held; assignments don't count, as they are made before they are
-     * published.
+     * Applies a read of all contracts. The store is current as of the request of the read if the
+     * platform lacked nothing that is stored. Assignments are not compared, since
+     * they are created before they are published on the platform.
      */
     ListingOutcome offerListing(const PlatformListing &listing);
 
     /**
-     * Notes that a peer held the same set as this store.
-     * \param askedAt when the peer was asked; \param peerAge how old the peer's certainty was.
+     * Records that a peer held the same items as this store.
+     * \param askedAt when the request was sent to the peer
+     * \param peerAge time since the peer's items were confirmed to be current
      */
     void confirmSameAsPeer(Instant askedAt, Duration peerAge);
 
     /**
-     * \returns whether \a header names something newer than what is held.
+     * \returns whether \a header is newer than the stored version.
      */
     bool isNews(const ItemHeader &header) const;
 
     /**
-     * \returns the item held of \a key, or null. Valid until the next change.
+     * \returns the stored item of \a key, or null. Valid until the next change.
      */
     const VersionedItem *find(const ItemKey &key) const;
 
@@ -104,20 +105,21 @@
     const BucketDigest &digest() const;
 
     /**
-     * \returns up to \a limit headers out of the parts in which \a theirs differs from this store,
-     * starting at \a offset of them.
+     * \returns up to \a limit headers from the buckets in which \a theirs differs from this store,
+     * starting at index \a offset.
      */
     std::vector<ItemHeader> differing(const BucketDigest::Buckets &theirs, std::size_t limit,
                                       std::size_t offset) const;
 
     /**
-     * \returns as of when the contracts are known to be current, or nothing if they never were.
+     * \returns the time as of which the contracts are confirmed to be current, or nothing if they
+     * never were.
      */
     std::optional<Instant> currentAsOf() const;
 
     /**
-     * \returns for how long this daemon has been unable to be sure that it is current: since
-     * currentAsOf(), or since its start.
+     * \returns the time since the items were last confirmed to be current: since currentAsOf(), or
+     * since the start of the process.
      */
     Duration unsureFor(Instant now) const;
 
