--- a/src/libbulrush/connection/attendant.cpp
+++ b/src/libbulrush/connection/attendant.cpp
@@ -7,14 +7,14 @@
 
 namespace {
 
-constexpr Duration shortestRetryAfter = std::chrono::seconds{1};
+constexpr Duration minRetryAfter = std::chrono::seconds{1};
 
 /** The expected wait is a mean: work is queued only if there is time for this multiple of it. */
-constexpr int waitCaution = 2;
+constexpr int expectedWaitFactor = 2;
 
-bool eraseWork(std::deque<AttendedWork> &queue, WorkId id)
+bool eraseWork(std::deque<ManagedWork> &queue, WorkId id)
 {
-    return std::erase_if(queue, [id](const AttendedWork &work) { return work.id == id; }) > 0;
+    return std::erase_if(queue, [id](const ManagedWork &work) { return work.id == id; }) > 0;
 }
 
 } // namespace
@@ -25,10 +25,10 @@
     , m_slotLimit(limits.slots)
 { }
 
-AttendantActions Attendant::submit(const AttendedWork &work, Instant now)
+AttendantActions Attendant::submit(const ManagedWork &work, Instant now)
 {
     AttendantActions actions;
-    forgetLost(now);
+    removeExpiredLostWork(now);
     if (const auto reason = stateRefusal()) {
         refuse(work, *reason, actions);
         return actions;
@@ -46,7 +46,7 @@
     return actions;
 }
 
-AttendantActions Attendant::submitStreamed(const AttendedWork &work, Instant now)
+AttendantActions Attendant::submitStreamed(const ManagedWork &work, Instant now)
 {
     AttendantActions actions;
     if (m_streaming >= m_limits.streamedBodyLimit)
@@ -67,8 +67,8 @@
     found->second.sentAt = now;
     --m_streaming;
     ++m_running;
-    if (!m_silentSince)
-        m_silentSince = now;
+    if (!m_unansweredSince)
+        m_unansweredSince = now;
 }
 
 AttendantActions Attendant::workEnded(WorkId id, WorkEnd end, Instant now)
@@ -84,7 +84,7 @@
     const Flight flight = found->second;
     m_flights.erase(found);
     --(flight.isBodySent ? m_running : m_streaming);
-    noteEnd(flight, end, now);
+    recordResult(flight, end, now);
     if (std::exchange(m_hasRecovered, false))
         actions.emplace_back(ReportRecovered{});
     if (const auto reason = stateRefusal())
@@ -110,7 +110,7 @@
     if (m_state != ServerState::Suspected)
         return actions;
     m_state = ServerState::Probation;
-    m_silentSince.reset();
+    m_unansweredSince.reset();
     actions.emplace_back(ReportRecovered{});
     dispatchQueued(now, actions);
     return actions;
@@ -119,8 +119,8 @@
 AttendantActions Attendant::advance(Instant now)
 {
     AttendantActions actions;
-    forgetLost(now);
-    const bool isSilent = m_silentSince && *m_silentSince + silenceLimit() <= now;
+    removeExpiredLostWork(now);
+    const bool isSilent = m_unansweredSince && *m_unansweredSince + silenceTimeout() <= now;
     if (isSilent && stateRefusal() == std::nullopt) {
         m_state = ServerState::Suspected;
         actions.emplace_back(ReportSuspected{});
@@ -138,14 +138,14 @@
     const auto consider = [&due](Instant instant) {
         due = std::min(due.value_or(instant), instant);
     };
-    if (m_silentSince && !stateRefusal())
-        consider(*m_silentSince + silenceLimit());
+    if (m_unansweredSince && !stateRefusal())
+        consider(*m_unansweredSince + silenceTimeout());
     for (const auto &[id, flight] : m_flights) {
         if (flight.isLost)
             consider(flight.deadline);
     }
     for (const Queue *queue : {&m_priorityQueue, &m_ordinaryQueue}) {
-        for (const AttendedWork &work : *queue)
+        for (const ManagedWork &work : *queue)
             consider(work.policy.deadline - m_serviceTime.mean() + Duration{1});
     }
     return due;
@@ -187,7 +187,7 @@
 
 bool Attendant::isInTime(Instant deadline, std::size_t ahead, Instant now) const
 {
-    return now + waitCaution * waitBehind(ahead) + m_serviceTime.cautious() <= deadline;
+    return now + expectedWaitFactor * waitBehind(ahead) + m_serviceTime.cautious() <= deadline;
 }
 
 bool Attendant::isTooLate(Instant deadline, Instant now) const
@@ -197,7 +197,7 @@
 
 Duration Attendant::retryAfter() const
 {
-    return std::max(shortestRetryAfter, waitBehind(queuedCount()));
+    return std::max(minRetryAfter, waitBehind(queuedCount()));
 }
 
 std::optional<FailurePoint> Attendant::stateRefusal() const
@@ -209,7 +209,7 @@
     return std::nullopt;
 }
 
-std::optional<FailurePoint> Attendant::admissionRefusal(const AttendedWork &work, Instant now) const
+std::optional<FailurePoint> Attendant::admissionRefusal(const ManagedWork &work, Instant now) const
 {
     const bool isPriority = work.policy.requestClass == RequestClass::Priority;
     if (isTooLate(work.policy.deadline, now))
@@ -226,7 +226,7 @@
     return std::nullopt;
 }
 
-void Attendant::enqueue(const AttendedWork &work, AttendantActions &actions)
+void Attendant::enqueue(const ManagedWork &work, AttendantActions &actions)
 {
     if (queuedCount() >= static_cast<std::size_t>(m_limits.queueLimit)) {
         refuse(m_ordinaryQueue.back(), FailurePoint::Overloaded, actions);
@@ -236,12 +236,12 @@
     (isPriority ? m_priorityQueue : m_ordinaryQueue).push_back(work);
 }
 
-void Attendant::dispatch(const AttendedWork &work, Instant now, AttendantActions &actions)
+void Attendant::dispatch(const ManagedWork &work, Instant now, AttendantActions &actions)
 {
     m_flights.emplace(work.id, Flight{now, work.policy.deadline, !work.hasStreamedBody, false});
     ++(work.hasStreamedBody ? m_streaming : m_running);
-    if (!work.hasStreamedBody && !m_silentSince)
-        m_silentSince = now;
+    if (!work.hasStreamedBody && !m_unansweredSince)
+        m_unansweredSince = now;
     actions.emplace_back(DispatchWork{work.id});
 }
 
@@ -249,20 +249,20 @@
 {
     while (m_running < slotLimit() && queuedCount() > 0 && !stateRefusal()) {
         Queue &queue = m_priorityQueue.empty() ? m_ordinaryQueue : m_priorityQueue;
-        const AttendedWork work = queue.front();
+        const ManagedWork work = queue.front();
         queue.pop_front();
         // While other work is queued, no slot is used for work that will probably be late.
-        const bool isTooLateToTry = queuedCount() > 0
+        const bool isProbablyLate = queuedCount() > 0
             ? now + m_serviceTime.cautious() > work.policy.deadline
             : isTooLate(work.policy.deadline, now);
-        if (isTooLateToTry)
+        if (isProbablyLate)
             refuse(work, FailurePoint::DeadlineBeforeDispatch, actions);
         else
             dispatch(work, now, actions);
     }
 }
 
-void Attendant::refuse(const AttendedWork &work, FailurePoint reason,
+void Attendant::refuse(const ManagedWork &work, FailurePoint reason,
                        AttendantActions &actions) const
 {
     actions.emplace_back(RefuseWork{work.id, reason, retryAfter()});
@@ -271,7 +271,7 @@
 void Attendant::refuseQueued(FailurePoint reason, AttendantActions &actions)
 {
     for (Queue *queue : {&m_priorityQueue, &m_ordinaryQueue}) {
-        for (const AttendedWork &work : *queue)
+        for (const ManagedWork &work : *queue)
             refuse(work, reason, actions);
         queue->clear();
     }
@@ -281,7 +281,7 @@
 void Attendant::refuseDisplaced(Instant now, AttendantActions &actions)
 {
     while (!m_ordinaryQueue.empty()) {
-        const AttendedWork &last = m_ordinaryQueue.back();
+        const ManagedWork &last = m_ordinaryQueue.back();
         if (isInTime(last.policy.deadline, queuedCount() - 1, now))
             return;
         refuse(last, FailurePoint::Overloaded, actions);
@@ -292,7 +292,7 @@
 /** Refuses only work that would be late even if sent now, since estimates may be too high. */
 void Attendant::refuseExpired(Queue &queue, Instant now, AttendantActions &actions) const
 {
-    std::erase_if(queue, [&](const AttendedWork &work) {
+    std::erase_if(queue, [&](const ManagedWork &work) {
         const bool isExpired = isTooLate(work.policy.deadline, now);
         if (isExpired)
             refuse(work, FailurePoint::DeadlineBeforeDispatch, actions);
@@ -300,7 +300,7 @@
     });
 }
 
-void Attendant::forgetLost(Instant now)
+void Attendant::removeExpiredLostWork(Instant now)
 {
     std::erase_if(m_flights, [&](const auto &entry) {
         const Flight &flight = entry.second;
@@ -311,11 +311,11 @@
     });
 }
 
-void Attendant::noteEnd(const Flight &flight, WorkEnd end, Instant now)
+void Attendant::recordResult(const Flight &flight, WorkEnd end, Instant now)
 {
     switch (end) {
     case WorkEnd::Answered:
-        noteAnswer(flight, now);
+        recordAnswer(flight, now);
         break;
     case WorkEnd::Shed:
         setSlotLimit(std::max(1, m_running));
@@ -334,30 +334,30 @@
     // Lost work leaves its answer outstanding; any other result restarts the measurement of
     // silence.
     if (end != WorkEnd::Lost)
-        m_silentSince = m_running > 0 ? std::optional{now} : std::nullopt;
+        m_unansweredSince = m_running > 0 ? std::optional{now} : std::nullopt;
 }
 
-void Attendant::noteAnswer(const Flight &flight, Instant now)
+void Attendant::recordAnswer(const Flight &flight, Instant now)
 {
     if (flight.isBodySent)
         m_serviceTime.record(now - flight.sentAt);
     m_hasRecovered = m_state == ServerState::Suspected;
     if (m_state == ServerState::Suspected || m_state == ServerState::Probation)
         m_state = ServerState::Serving;
-    if (m_slotLimit >= m_limits.slots || ++m_answersSinceChange < m_slotLimit)
+    if (m_slotLimit >= m_limits.slots || ++m_answersSinceLimitChange < m_slotLimit)
         return;
     setSlotLimit(m_slotLimit + 1);
 }
 
-Duration Attendant::silenceLimit() const
+Duration Attendant::silenceTimeout() const
 {
-    return std::max(m_limits.shortestSilence, m_serviceTime.cautious() * m_limits.silenceFactor);
+    return std::max(m_limits.minSilenceTimeout, m_serviceTime.cautious() * m_limits.silenceFactor);
 }
 
 void Attendant::setSlotLimit(int limit)
 {
     m_slotLimit = std::clamp(limit, 1, m_limits.slots);
-    m_answersSinceChange = 0;
+    m_answersSinceLimitChange = 0;
 }
 
 } // namespace bulrush
--- a/src/libbulrush/connection/attendant.h
+++ b/src/libbulrush/connection/attendant.h
@@ -18,7 +18,7 @@
 using WorkId = std::uint64_t;
 
 /** Work for a backend server. */
-struct AttendedWork
+struct ManagedWork
 {
     WorkId id = 0;
     RequestPolicy policy;
@@ -36,7 +36,7 @@
     Duration firstServiceTime = std::chrono::milliseconds{20};
     /** The server is suspected after this many cautious service times without an answer. */
     int silenceFactor = 5;
-    Duration shortestSilence = std::chrono::milliseconds{250};
+    Duration minSilenceTimeout = std::chrono::milliseconds{250};
 };
 
 /** Send this work to the backend server now. */
@@ -111,7 +111,7 @@
     explicit Attendant(AttendantLimits limits);
 
     /** Submits work. \pre The id is new. */
-    AttendantActions submit(const AttendedWork &work, Instant now);
+    AttendantActions submit(const ManagedWork &work, Instant now);
 
     /** The streamed body of \a id has been sent completely: it takes a slot from now on. */
     void bodySent(WorkId id, Instant now);
@@ -157,7 +157,7 @@
         bool isLost = false;
     };
 
-    using Queue = std::deque<AttendedWork>;
+    using Queue = std::deque<ManagedWork>;
 
     int slotLimit() const;
     std::size_t queuedCount() const;
@@ -166,19 +166,19 @@
     bool isTooLate(Instant deadline, Instant now) const;
     Duration retryAfter() const;
     std::optional<FailurePoint> stateRefusal() const;
-    std::optional<FailurePoint> admissionRefusal(const AttendedWork &work, Instant now) const;
-    AttendantActions submitStreamed(const AttendedWork &work, Instant now);
-    void enqueue(const AttendedWork &work, AttendantActions &actions);
-    void dispatch(const AttendedWork &work, Instant now, AttendantActions &actions);
+    std::optional<FailurePoint> admissionRefusal(const ManagedWork &work, Instant now) const;
+    AttendantActions submitStreamed(const ManagedWork &work, Instant now);
+    void enqueue(const ManagedWork &work, AttendantActions &actions);
+    void dispatch(const ManagedWork &work, Instant now, AttendantActions &actions);
     void dispatchQueued(Instant now, AttendantActions &actions);
-    void refuse(const AttendedWork &work, FailurePoint reason, AttendantActions &actions) const;
+    void refuse(const ManagedWork &work, FailurePoint reason, AttendantActions &actions) const;
     void refuseQueued(FailurePoint reason, AttendantActions &actions);
     void refuseDisplaced(Instant now, AttendantActions &actions);
     void refuseExpired(Queue &queue, Instant now, AttendantActions &actions) const;
-    void forgetLost(Instant now);
-    void noteEnd(const Flight &flight, WorkEnd end, Instant now);
-    void noteAnswer(const Flight &flight, Instant now);
-    Duration silenceLimit() const;
+    void removeExpiredLostWork(Instant now);
+    void recordResult(const Flight &flight, WorkEnd end, Instant now);
+    void recordAnswer(const Flight &flight, Instant now);
+    Duration silenceTimeout() const;
     void setSlotLimit(int limit);
 
     AttendantLimits m_limits;
@@ -191,9 +191,9 @@
     int m_streaming = 0;
     /** Reduced below the server's slots after it shed; raised by one per round of answers. */
     int m_slotLimit;
-    int m_answersSinceChange = 0;
+    int m_answersSinceLimitChange = 0;
     /** Start of the period in which an answer is outstanding and none arrived, or nothing. */
-    std::optional<Instant> m_silentSince;
+    std::optional<Instant> m_unansweredSince;
     bool m_hasRecovered = false;
 };
 
--- a/src/libbulrush/process/attendancetable.cpp
+++ b/src/libbulrush/process/attendancetable.cpp
@@ -59,28 +59,28 @@
         return;
 
     LoadRanking ranking(daemons);
-    std::vector<Attendance> fitted;
+    std::vector<Attendance> updated;
     for (const ServerName &server : servers) {
-        const Incarnation known = attendantOf(m_attendances, server);
-        const bool isKept = daemons.contains(known);
-        fitted.push_back({server, isKept ? known : Incarnation{}});
+        const Incarnation current = attendantOf(m_attendances, server);
+        const bool isKept = daemons.contains(current);
+        updated.push_back({server, isKept ? current : Incarnation{}});
         if (isKept)
-            ranking.add(known, 1);
+            ranking.add(current, 1);
     }
-    for (Attendance &attendance : fitted) {
+    for (Attendance &attendance : updated) {
         if (!attendance.attendant.isEmpty())
             continue;
         attendance.attendant = ranking.leastBusy();
         ranking.add(attendance.attendant, 1);
     }
-    for (Attendance &attendance : fitted) {
+    for (Attendance &attendance : updated) {
         if (ranking.load(attendance.attendant) < ranking.leastLoad() + 2)
             continue;
         ranking.add(attendance.attendant, -1);
         attendance.attendant = ranking.leastBusy();
         ranking.add(attendance.attendant, 1);
     }
-    m_attendances = std::move(fitted);
+    m_attendances = std::move(updated);
 }
 
 } // namespace bulrush
--- a/src/libbulrush/process/burnrate.cpp
+++ b/src/libbulrush/process/burnrate.cpp
@@ -9,7 +9,7 @@
 
 constexpr Duration latencyPartWidth = std::chrono::minutes{10};
 /** Lower bound of the share of bad requests that a target allows; keeps rates finite. */
-constexpr double leastAllowance = 1e-9;
+constexpr double minAllowedBadShare = 1e-9;
 
 enum WindowIndex { FiveMinutes, OneHour, SixHours, ThreeDays };
 
@@ -44,7 +44,7 @@
 {
     const auto total = static_cast<double>(counted.good + counted.bad);
     const double badShare = total > 0 ? static_cast<double>(counted.bad) / total : 0;
-    return {counted, badShare / std::max(1 - targetShare, leastAllowance)};
+    return {counted, badShare / std::max(1 - targetShare, minAllowedBadShare)};
 }
 
 BurnRow rowOf(const BurnSeries &sum, bool hasMixedTargets)
@@ -69,7 +69,7 @@
 }
 
 /** \returns the latest snapshot of each host, sorted by host. */
-std::vector<const BurnSnapshot *> lastOfEachHost(std::span<const BurnSnapshot> snapshots)
+std::vector<const BurnSnapshot *> latestByHost(std::span<const BurnSnapshot> snapshots)
 {
     std::map<HostName, const BurnSnapshot *> last;
     for (const BurnSnapshot &snapshot : snapshots)
@@ -112,8 +112,8 @@
     : m_startedAt(startedAt)
 { }
 
-BurnRecorder::Series::Series(const ServiceTarget &promised)
-    : target(promised)
+BurnRecorder::Series::Series(const ServiceTarget &initialTarget)
+    : target(initialTarget)
 {
     for (const BurnWindow &window : burnWindows)
         windows.emplace_back(window.window, window.slotWidth);
@@ -209,7 +209,7 @@
 
 BurnReport burnReport(std::span<const BurnSnapshot> snapshots, std::span<const HostName> expected)
 {
-    const std::vector<const BurnSnapshot *> counted = lastOfEachHost(snapshots);
+    const std::vector<const BurnSnapshot *> counted = latestByHost(snapshots);
     BurnReport report;
     report.rows = rowsOf(counted);
     for (const BurnSnapshot *snapshot : counted) {
--- a/src/libbulrush/process/claimbatcher.cpp
+++ b/src/libbulrush/process/claimbatcher.cpp
@@ -71,38 +71,38 @@
             actions.emplace_back(
                 ClaimWriteEnded{write.id, ClaimWriteConflicted{conflict->current}});
     }
-    const bool hasProgressed = rest.size() < count;
-    resend(std::move(rest), hasProgressed, actions);
+    const bool hasConflict = rest.size() < count;
+    resend(std::move(rest), hasConflict, actions);
     sendDue(now, actions);
     return actions;
 }
 
 ClaimBatchActions ClaimBatcher::notSent(ClaimBatchId id, Instant now)
 {
-    return endAll(id, ClaimWriteNotSent{}, now);
+    return completeBatch(id, ClaimWriteNotSent{}, now);
 }
 
 ClaimBatchActions ClaimBatcher::lost(ClaimBatchId id, Instant now)
 {
-    return endAll(id, ClaimWriteLost{}, now);
+    return completeBatch(id, ClaimWriteLost{}, now);
 }
 
 std::optional<Instant> ClaimBatcher::nextDue() const
 {
-    if (m_waiting.empty() || m_open.size() >= m_limits.openBatchLimit)
+    if (m_waiting.empty() || m_inFlight.size() >= m_limits.openBatchLimit)
         return std::nullopt;
     return m_oldestAt + m_limits.window;
 }
 
 ClaimBatcher::Writes ClaimBatcher::takeBatch(ClaimBatchId id)
 {
-    auto node = m_open.extract(id);
+    auto node = m_inFlight.extract(id);
     return node.empty() ? Writes{} : std::move(node.mapped());
 }
 
-bool ClaimBatcher::isKeyOpen(const std::string &key) const
+bool ClaimBatcher::isKeyInFlight(const std::string &key) const
 {
-    return std::ranges::any_of(m_open,
+    return std::ranges::any_of(m_inFlight,
                                [&](const auto &batch) { return hasKey(batch.second, key); });
 }
 
@@ -113,7 +113,7 @@
     Writes later;
     for (KeyedClaimWrite &write : m_waiting) {
         const bool fits = batch.size() < m_limits.batchLimit && !hasKey(batch, write.key)
-            && !isKeyOpen(write.key);
+            && !isKeyInFlight(write.key);
         (fits ? batch : later).push_back(std::move(write));
     }
     m_waiting = std::move(later);
@@ -122,7 +122,7 @@
 
 void ClaimBatcher::sendDue(Instant now, ClaimBatchActions &actions)
 {
-    while (!m_waiting.empty() && m_open.size() < m_limits.openBatchLimit) {
+    while (!m_waiting.empty() && m_inFlight.size() < m_limits.openBatchLimit) {
         const bool isFull = m_waiting.size() >= m_limits.batchLimit;
         if (!isFull && now < m_oldestAt + m_limits.window)
             return;
@@ -137,11 +137,11 @@
 void ClaimBatcher::send(Writes writes, ClaimBatchActions &actions)
 {
     const ClaimBatchId id = m_nextId++;
-    m_open.emplace(id, writes);
+    m_inFlight.emplace(id, writes);
     actions.emplace_back(SendClaimBatch{id, std::move(writes)});
 }
 
-ClaimBatchActions ClaimBatcher::endAll(ClaimBatchId id, const ClaimEvent &event, Instant now)
+ClaimBatchActions ClaimBatcher::completeBatch(ClaimBatchId id, const ClaimEvent &event, Instant now)
 {
     ClaimBatchActions actions;
     for (const KeyedClaimWrite &write : takeBatch(id))
@@ -151,11 +151,11 @@
 }
 
 /** If a conflict names none of the rows, it is isolated by bisecting the batch. */
-void ClaimBatcher::resend(Writes writes, bool hasProgressed, ClaimBatchActions &actions)
+void ClaimBatcher::resend(Writes writes, bool hasConflict, ClaimBatchActions &actions)
 {
     if (writes.empty())
         return;
-    if (hasProgressed) {
+    if (hasConflict) {
         send(std::move(writes), actions);
         return;
     }
--- a/src/libbulrush/process/claimbatcher.h
+++ b/src/libbulrush/process/claimbatcher.h
@@ -67,9 +67,9 @@
 
 /**
  * Combines the claims of a few milliseconds into one transaction of the platform, which handles
- * several hundred writes a second. A transaction fails completely on a single conflict: the writes
- * in conflict are answered as such, and the others, which had no effect, are resent at once without
- * them.
+ * several hundred writes per second. A transaction fails completely on a single conflict: the
+ * writes in conflict are answered as such, and the others, which had no effect, are resent at once
+ * without them.
  *
  * Not thread safe.
  */
@@ -101,17 +101,17 @@
     using Writes = std::vector<KeyedClaimWrite>;
 
     Writes takeBatch(ClaimBatchId id);
-    bool isKeyOpen(const std::string &key) const;
+    bool isKeyInFlight(const std::string &key) const;
     Writes nextWrites();
     void sendDue(Instant now, ClaimBatchActions &actions);
     void send(Writes writes, ClaimBatchActions &actions);
-    ClaimBatchActions endAll(ClaimBatchId id, const ClaimEvent &event, Instant now);
-    void resend(Writes writes, bool hasProgressed, ClaimBatchActions &actions);
+    ClaimBatchActions completeBatch(ClaimBatchId id, const ClaimEvent &event, Instant now);
+    void resend(Writes writes, bool hasConflict, ClaimBatchActions &actions);
 
     ClaimBatchLimits m_limits;
     Writes m_waiting;
     Instant m_oldestAt;
-    std::map<ClaimBatchId, Writes> m_open;
+    std::map<ClaimBatchId, Writes> m_inFlight;
     ClaimBatchId m_nextId = 1;
 };
 
--- a/src/libbulrush/process/newsqueue.cpp
+++ b/src/libbulrush/process/gossipqueue.cpp
@@ -1,17 +1,17 @@
-#include "process/newsqueue.h"
+#include "process/gossipqueue.h"
 
 #include <algorithm>
 
 namespace bulrush {
 
-void NewsQueue::add(const Subject &subject, unsigned times)
+void GossipQueue::add(const Subject &subject, unsigned times)
 {
     std::erase_if(m_entries, [&](const Entry &entry) { return entry.subject == subject; });
     const Entry added{subject, times};
     m_entries.insert(std::ranges::upper_bound(m_entries, added, isBefore), added);
 }
 
-std::vector<NewsQueue::Subject> NewsQueue::first(std::size_t limit) const
+std::vector<GossipQueue::Subject> GossipQueue::first(std::size_t limit) const
 {
     std::vector<Subject> result;
     for (const Entry &entry : m_entries) {
@@ -22,7 +22,7 @@
     return result;
 }
 
-std::vector<NewsQueue::Subject> NewsQueue::take(std::size_t limit)
+std::vector<GossipQueue::Subject> GossipQueue::take(std::size_t limit)
 {
     std::vector<Subject> result = first(limit);
     for (std::size_t taken = 0; taken < result.size(); ++taken)
@@ -32,7 +32,7 @@
     return result;
 }
 
-bool NewsQueue::isBefore(const Entry &first, const Entry &second)
+bool GossipQueue::isBefore(const Entry &first, const Entry &second)
 {
     if (first.subject.index() != second.subject.index())
         return first.subject.index() < second.subject.index();
--- a/src/libbulrush/process/newsqueue.h
+++ b/src/libbulrush/process/gossipqueue.h
@@ -15,7 +15,7 @@
  *
  * Not thread safe.
  */
-class NewsQueue
+class GossipQueue
 {
 public:
     /** A member or an item that has changed. Its current state is looked up when it is sent. */
@@ -51,7 +51,7 @@
     std::vector<Entry> m_entries;
 };
 
-inline bool NewsQueue::isEmpty() const
+inline bool GossipQueue::isEmpty() const
 {
     return m_entries.empty();
 }
--- a/src/libbulrush/process/membership.cpp
+++ b/src/libbulrush/process/membership.cpp
@@ -14,17 +14,17 @@
 namespace {
 
 /** Number of backup reader delays after which every daemon reads the platform at a low rate. */
-constexpr int lastResortDelays = 4;
+constexpr int fallbackReadDelays = 4;
 /** Number of daemons of a domain that may read instead of its reader. */
-constexpr std::size_t standIns = 2;
+constexpr std::size_t maxBackupReaders = 2;
 /** Number of attempts to fetch an item; after them, a later digest comparison starts again. */
-constexpr unsigned fetchAttempts = 5;
+constexpr unsigned maxFetchAttempts = 5;
 
 /**
  * \returns whether \a record and \a held may differ only by the state set by others. A record that
  * the member has updated itself has a higher counter.
  */
-bool isOthersJudgement(const MemberRecord &record, const MemberRecord &held)
+bool isStateSetByOthers(const MemberRecord &record, const MemberRecord &held)
 {
     return record.incarnation == held.incarnation && record.counter == held.counter;
 }
@@ -50,11 +50,11 @@
     , m_contacts(m_settings.seeds)
     , m_startedAt(startedAt)
     , m_lastActive(startedAt)
-    , m_lastNews(startedAt - m_settings.newsPeriod)
+    , m_lastGossip(startedAt - m_settings.gossipInterval)
     , m_nextReconnect(startedAt)
     , m_nextExchange(startedAt)
     , m_nextRead(startedAt)
-    , m_standsInUntil(startedAt)
+    , m_backupReaderUntil(startedAt)
     , m_fetchWindowStart(startedAt)
 {
     const auto phaseBelow = [&](Duration span) {
@@ -62,75 +62,75 @@
             static_cast<Duration::rep>(randomBelow(static_cast<std::size_t>(span.count())))};
     };
     m_nextPing = startedAt + phaseBelow(m_settings.pingPeriod);
-    m_lastResortPhase = phaseBelow(m_settings.lastResortPeriod);
+    m_fallbackReadPhase = phaseBelow(m_settings.fallbackReadInterval);
     m_table.merge(m_self);
-    queueMemberNews(startedAt, m_self.host);
+    queueMemberGossip(startedAt, m_self.host);
 }
 
 MembershipActions Membership::onTick(Instant now)
 {
-    Turn turn = begin(now);
+    CallContext context = begin(now);
     if (m_isStopped)
         return {};
 
-    expirePings(turn);
-    expireSuspicions(turn);
-    retryFetches(turn);
-    forgetGone(now);
+    expirePings(context);
+    expireSuspicions(context);
+    retryFetches(context);
+    removeExpiredMembers(now);
     if (m_nextReconnect <= now)
-        reconnect(turn);
+        reconnect(context);
     if (m_nextPing <= now)
-        pingNext(turn);
-    if (m_nextNews <= now)
-        sendNewsRound(turn);
-    readPlatformIfDue(turn);
-    return std::move(turn.actions);
+        pingNext(context);
+    if (m_nextGossip <= now)
+        sendGossipRound(context);
+    readPlatformIfDue(context);
+    return std::move(context.actions);
 }
 
 MembershipActions Membership::onMessage(Instant now, const PeerMessage &message)
 {
-    Turn turn = begin(now);
+    CallContext context = begin(now);
     if (m_isStopped)
         return {};
 
-    mergeMember(turn, message.sender);
-    std::visit([&](const auto &body) { handle(turn, message.sender, body); }, message.body);
-    if (m_nextNews <= now && !m_isStopped)
-        sendNewsRound(turn);
-    return std::move(turn.actions);
+    mergeMember(context, message.sender);
+    std::visit([&](const auto &body) { handle(context, message.sender, body); }, message.body);
+    if (m_nextGossip <= now && !m_isStopped)
+        sendGossipRound(context);
+    return std::move(context.actions);
 }
 
 MembershipActions Membership::onHostList(Instant now, std::span<const ListedHost> hosts)
 {
-    Turn turn = begin(now);
+    CallContext context = begin(now);
     m_contacts = m_settings.seeds;
     for (const ListedHost &listed : hosts) {
         m_contacts.push_back(listed.address);
         if (!listed.isLeaving)
             continue;
         if (listed.host == m_self.host)
-            std::ranges::move(leave(now), std::back_inserter(turn.actions));
+            std::ranges::move(leave(now), std::back_inserter(context.actions));
         else
-            judge(turn, listed.host, MemberState::Leaving);
+            applyState(context, listed.host, MemberState::Leaving);
     }
-    return std::move(turn.actions);
+    return std::move(context.actions);
 }
 
 MembershipActions Membership::onPlatformListing(Instant now, const PlatformListing &listing)
 {
-    Turn turn = begin(now);
+    CallContext context = begin(now);
     m_isReading = false;
-    if (m_isStandInReading)
-        m_standsInUntil = now + m_settings.standInSpan;
-    const bool wasEverSure = m_versions.currentAsOf().has_value();
+    if (m_isBackupReading)
+        m_backupReaderUntil = now + m_settings.backupReaderDuration;
+    const bool wasConfirmed = m_versions.currentAsOf().has_value();
     for (const ItemHeader &header : m_versions.offerListing(listing).applied) {
-        turn.actions.push_back(ApplyItem{*m_versions.find(header.key)});
-        if (wasEverSure)
-            queueItemNews(now, header.key);
+        context.actions.push_back(ApplyItem{*m_versions.find(header.key)});
+        if (wasConfirmed)
+            queueItemGossip(now, header.key);
     }
-    if (m_nextNews <= now && !m_isStopped)
-        sendNewsRound(turn);
-    return std::move(turn.actions);
+    if (m_nextGossip <= now && !m_isStopped)
+        sendGossipRound(context);
+    return std::move(context.actions);
 }
 
 void Membership::onPlatformFailure(Instant now)
@@ -141,39 +141,39 @@
 
 MembershipActions Membership::publish(Instant now, const VersionedItem &item)
 {
-    Turn turn = begin(now);
+    CallContext context = begin(now);
     if (m_isStopped || m_versions.offer(item) != OfferOutcome::Applied)
         return {};
 
-    turn.actions.push_back(ApplyItem{item});
-    queueItemNews(now, item.header.key);
-    if (m_nextNews <= now)
-        sendNewsRound(turn);
-    return std::move(turn.actions);
+    context.actions.push_back(ApplyItem{item});
+    queueItemGossip(now, item.header.key);
+    if (m_nextGossip <= now)
+        sendGossipRound(context);
+    return std::move(context.actions);
 }
 
 MembershipActions Membership::leave(Instant now)
 {
-    Turn turn = begin(now);
+    CallContext context = begin(now);
     if (m_isStopped || m_self.state == MemberState::Leaving)
         return {};
 
     m_self.state = MemberState::Leaving;
-    raiseCounter(turn, m_self.counter);
-    return std::move(turn.actions);
+    raiseCounter(context, m_self.counter);
+    return std::move(context.actions);
 }
 
 MembershipActions Membership::stop(Instant now)
 {
-    Turn turn = begin(now);
+    CallContext context = begin(now);
     if (m_isStopped)
         return {};
 
     m_self.state = MemberState::Gone;
-    raiseCounter(turn, m_self.counter);
-    sendNewsRound(turn);
+    raiseCounter(context, m_self.counter);
+    sendGossipRound(context);
     m_isStopped = true;
-    return std::move(turn.actions);
+    return std::move(context.actions);
 }
 
 Instant Membership::nextDue() const
@@ -181,7 +181,7 @@
     if (m_isStopped)
         return Instant::max();
 
-    Instant due = std::min({m_nextPing, m_nextNews, m_nextReconnect});
+    Instant due = std::min({m_nextPing, m_nextGossip, m_nextReconnect});
     for (const auto &[sequence, pending] : m_pendingPings)
         due = std::min(due, pending.due);
     for (const auto &[key, pending] : m_fetches)
@@ -205,10 +205,10 @@
 }
 
 /**
- * Starts a call. After a pause of this process, time-outs say nothing about other members: pending
- * pings are dropped, and the suspicion timeout of suspected members starts again.
+ * Starts a call. After a pause of this process, timeouts that passed meanwhile are no evidence
+ * about other members: pending pings are dropped, and all suspicion timeouts start again.
  */
-Membership::Turn Membership::begin(Instant now)
+Membership::CallContext Membership::begin(Instant now)
 {
     if (now - m_lastActive > m_settings.pauseThreshold) {
         m_pendingPings.clear();
@@ -219,21 +219,22 @@
     return {.now = now};
 }
 
-void Membership::handle(Turn &turn, const MemberRecord &sender, const Ping &ping)
+void Membership::handle(CallContext &context, const MemberRecord &sender, const Ping &ping)
 {
-    mergeNews(turn, sender, ping.news);
+    applyGossip(context, sender, ping.news);
     if (m_isStopped)
         return;
 
-    Ack ack{ping.sequence, summary(turn.now), newsOf(m_news.first(m_settings.newsLimit))};
+    Ack ack{ping.sequence, summary(context.now),
+            gossipOf(m_gossipQueue.first(m_settings.gossipLimit))};
     addCorrection(ack.news, sender);
-    send(turn, sender.address, std::move(ack));
-    compareWith(turn, sender, ping.summary);
+    send(context, sender.address, std::move(ack));
+    compareWith(context, sender, ping.summary);
 }
 
-void Membership::handle(Turn &turn, const MemberRecord &sender, const Ack &ack)
+void Membership::handle(CallContext &context, const MemberRecord &sender, const Ack &ack)
 {
-    mergeNews(turn, sender, ack.news);
+    applyGossip(context, sender, ack.news);
     m_hasJoined = true;
     const auto found = m_pendingPings.find(ack.sequence);
     if (found == m_pendingPings.end())
@@ -245,56 +246,56 @@
 
     m_pendingPings.erase(found);
     if (!pending.requester.empty())
-        send(turn, pending.requester, IndirectAck{pending.requesterSequence, sender});
+        send(context, pending.requester, IndirectAck{pending.requesterSequence, sender});
     if (ack.summary.age && ack.summary.items == m_versions.digest().combined())
         m_versions.confirmSameAsPeer(pending.askedAt, *ack.summary.age);
-    compareWith(turn, sender, ack.summary);
+    compareWith(context, sender, ack.summary);
 }
 
-void Membership::handle(Turn &turn, const MemberRecord &sender, const NewsPush &push)
+void Membership::handle(CallContext &context, const MemberRecord &sender, const NewsPush &push)
 {
-    mergeNews(turn, sender, push.news);
+    applyGossip(context, sender, push.news);
 }
 
-void Membership::handle(Turn &turn, const MemberRecord &sender, const IndirectPing &ping)
+void Membership::handle(CallContext &context, const MemberRecord &sender, const IndirectPing &ping)
 {
     const MemberRecord *target = m_table.find(ping.target);
     if (!target || target->host == m_self.host)
         return;
 
     PendingPing pending{.target = target->host,
-                        .askedAt = turn.now,
-                        .due = turn.now + m_settings.ackTimeout,
+                        .askedAt = context.now,
+                        .due = context.now + m_settings.ackTimeout,
                         .requester = sender.address,
                         .requesterSequence = ping.sequence};
-    sendPing(turn, target->address, std::move(pending));
+    sendPing(context, target->address, std::move(pending));
 }
 
-void Membership::handle(Turn &turn, const MemberRecord &, const IndirectAck &ack)
+void Membership::handle(CallContext &context, const MemberRecord &, const IndirectAck &ack)
 {
-    mergeMember(turn, ack.target);
+    mergeMember(context, ack.target);
     m_pendingPings.erase(ack.sequence);
 }
 
-void Membership::handle(Turn &turn, const MemberRecord &sender, const Exchange &exchange)
+void Membership::handle(CallContext &context, const MemberRecord &sender, const Exchange &exchange)
 {
     const std::size_t offset = randomBelow(m_table.records().size());
     Delta delta;
     delta.news.members = m_table.differing(exchange.members, m_settings.deltaLimit, offset);
     delta.news.items = m_versions.differing(exchange.items, m_settings.deltaLimit, offset);
-    send(turn, sender.address, std::move(delta));
+    send(context, sender.address, std::move(delta));
 }
 
-void Membership::handle(Turn &turn, const MemberRecord &sender, const Delta &delta)
+void Membership::handle(CallContext &context, const MemberRecord &sender, const Delta &delta)
 {
-    turn.isPassedOn = false;
-    mergeNews(turn, sender, delta.news);
+    context.isForwarded = false;
+    applyGossip(context, sender, delta.news);
 }
 
-void Membership::handle(Turn &turn, const MemberRecord &sender, const Fetch &fetch)
+void Membership::handle(CallContext &context, const MemberRecord &sender, const Fetch &fetch)
 {
-    if (turn.now - m_fetchWindowStart >= m_settings.fetchWindow) {
-        m_fetchWindowStart = turn.now;
+    if (context.now - m_fetchWindowStart >= m_settings.fetchWindow) {
+        m_fetchWindowStart = context.now;
         m_fetchedBytes = 0;
     }
     Items answer;
@@ -309,20 +310,20 @@
         answer.items.push_back(*item);
     }
     if (!answer.items.empty())
-        send(turn, sender.address, std::move(answer));
+        send(context, sender.address, std::move(answer));
 }
 
-void Membership::handle(Turn &turn, const MemberRecord &, const Items &items)
+void Membership::handle(CallContext &context, const MemberRecord &, const Items &items)
 {
     for (const VersionedItem &item : items.items) {
-        if (hasIntactBody(item) && applyItem(turn, item) && m_versions.currentAsOf())
-            queueItemNews(turn.now, item.header.key);
+        if (hasIntactBody(item) && applyItem(context, item) && m_versions.currentAsOf())
+            queueItemGossip(context.now, item.header.key);
     }
 }
 
-void Membership::pingNext(Turn &turn)
+void Membership::pingNext(CallContext &context)
 {
-    m_nextPing = turn.now + m_settings.pingPeriod;
+    m_nextPing = context.now + m_settings.pingPeriod;
     if (m_pingOrder.empty()) {
         for (const MemberRecord &member : members()) {
             if (member.host != m_self.host)
@@ -335,53 +336,54 @@
         m_pingOrder.pop_back();
         if (!target || target->state == MemberState::Gone)
             continue;
-        PendingPing pending{
-            .target = target->host, .askedAt = turn.now, .due = turn.now + m_settings.ackTimeout};
-        sendPing(turn, target->address, std::move(pending));
+        PendingPing pending{.target = target->host,
+                            .askedAt = context.now,
+                            .due = context.now + m_settings.ackTimeout};
+        sendPing(context, target->address, std::move(pending));
         return;
     }
 }
 
-void Membership::expirePings(Turn &turn)
+void Membership::expirePings(CallContext &context)
 {
-    std::vector<HostName> silent;
+    std::vector<HostName> unresponsive;
     for (auto place = m_pendingPings.begin(); place != m_pendingPings.end();) {
         auto &[sequence, pending] = *place;
-        if (pending.due > turn.now) {
+        if (pending.due > context.now) {
             ++place;
             continue;
         }
         const MemberRecord *target = m_table.find(pending.target);
-        const bool isJudged =
+        const bool affectsState =
             pending.requester.empty() && target && target->state != MemberState::Gone;
-        if (!isJudged || pending.isIndirect) {
-            if (isJudged)
-                silent.push_back(pending.target);
+        if (!affectsState || pending.isIndirect) {
+            if (affectsState)
+                unresponsive.push_back(pending.target);
             place = m_pendingPings.erase(place);
             continue;
         }
         for (const MemberRecord &helper : chooseMembers(m_settings.indirectPings, pending.target))
-            send(turn, helper.address, IndirectPing{sequence, pending.target});
+            send(context, helper.address, IndirectPing{sequence, pending.target});
         pending.isIndirect = true;
-        pending.due = turn.now + m_settings.ackTimeout;
+        pending.due = context.now + m_settings.ackTimeout;
         ++place;
     }
-    for (const HostName &host : silent)
-        judge(turn, host, MemberState::Suspected);
+    for (const HostName &host : unresponsive)
+        applyState(context, host, MemberState::Suspected);
 }
 
-void Membership::expireSuspicions(Turn &turn)
+void Membership::expireSuspicions(CallContext &context)
 {
     std::vector<HostName> expired;
     for (const auto &[host, since] : m_suspectedAt) {
-        if (since + m_settings.suspicionTimeout <= turn.now)
+        if (since + m_settings.suspicionTimeout <= context.now)
             expired.push_back(host);
     }
     for (const HostName &host : expired)
-        judge(turn, host, MemberState::Gone);
+        applyState(context, host, MemberState::Gone);
 }
 
-void Membership::forgetGone(Instant now)
+void Membership::removeExpiredMembers(Instant now)
 {
     std::erase_if(m_goneAt, [&](const auto &entry) {
         const auto &[host, since] = entry;
@@ -396,17 +398,17 @@
  * Pings one gone member and one address without a member, so that a network partition heals
  * regardless of which side becomes reachable first.
  */
-void Membership::reconnect(Turn &turn)
+void Membership::reconnect(CallContext &context)
 {
     m_nextReconnect =
-        turn.now + (hasCompany() ? m_settings.reconnectPeriod : m_settings.pingPeriod);
+        context.now + (hasPresentPeer() ? m_settings.reconnectPeriod : m_settings.pingPeriod);
     const auto ping = [&](const std::string &address, const HostName &target) {
         PendingPing pending{
-            .target = target, .askedAt = turn.now, .due = turn.now + m_settings.ackTimeout};
-        sendPing(turn, address, std::move(pending));
+            .target = target, .askedAt = context.now, .due = context.now + m_settings.ackTimeout};
+        sendPing(context, address, std::move(pending));
     };
 
-    const std::vector<std::string> addresses = unansweredAddresses();
+    const std::vector<std::string> addresses = addressesWithoutMember();
     if (!addresses.empty())
         ping(addresses[randomBelow(addresses.size())], {});
     if (m_goneAt.empty())
@@ -417,25 +419,26 @@
     ping(m_table.find(chosen->first)->address, chosen->first);
 }
 
-void Membership::sendNewsRound(Turn &turn)
+void Membership::sendGossipRound(CallContext &context)
 {
-    const News news = newsOf(m_news.take(m_settings.newsLimit));
-    m_lastNews = turn.now;
-    m_nextNews = m_news.isEmpty() ? Instant::max() : turn.now + m_settings.newsPeriod;
+    const News news = gossipOf(m_gossipQueue.take(m_settings.gossipLimit));
+    m_lastGossip = context.now;
+    m_nextGossip =
+        m_gossipQueue.isEmpty() ? Instant::max() : context.now + m_settings.gossipInterval;
     for (const MemberRecord &member : chooseMembers(m_settings.fanOut, m_self.host))
-        send(turn, member.address, NewsPush{news});
+        send(context, member.address, NewsPush{news});
 }
 
-void Membership::readPlatformIfDue(Turn &turn)
+void Membership::readPlatformIfDue(CallContext &context)
 {
-    const std::optional<Duration> interval = readInterval(turn.now);
-    if (!interval || m_isReading || m_nextRead > turn.now)
+    const std::optional<Duration> interval = readInterval(context.now);
+    if (!interval || m_isReading || m_nextRead > context.now)
         return;
 
     m_isReading = true;
-    m_isStandInReading = readerRank() > 0;
-    m_nextRead = turn.now + *interval;
-    turn.actions.push_back(ReadPlatform{});
+    m_isBackupReading = readerRank() > 0;
+    m_nextRead = context.now + *interval;
+    context.actions.push_back(ReadPlatform{});
 }
 
 /**
@@ -444,14 +447,14 @@
 std::optional<Duration> Membership::readInterval(Instant now) const
 {
     const std::size_t rank = readerRank();
-    const Duration unsure = m_versions.unsureFor(now);
-    const Duration delay = m_settings.standInDelay;
-    const bool isStandIn =
-        rank <= standIns && (unsure > delay * static_cast<int>(rank) || now < m_standsInUntil);
-    if (rank == 0 || isStandIn)
+    const Duration unconfirmed = m_versions.unsureFor(now);
+    const Duration delay = m_settings.backupReaderDelay;
+    const bool isBackupReader = rank <= maxBackupReaders
+        && (unconfirmed > delay * static_cast<int>(rank) || now < m_backupReaderUntil);
+    if (rank == 0 || isBackupReader)
         return m_settings.readPeriod;
-    if (unsure > delay * lastResortDelays + m_lastResortPhase)
-        return m_settings.lastResortPeriod;
+    if (unconfirmed > delay * fallbackReadDelays + m_fallbackReadPhase)
+        return m_settings.fallbackReadInterval;
     return std::nullopt;
 }
 
@@ -467,14 +470,14 @@
     return static_cast<std::size_t>(std::ranges::count_if(members(), isBefore));
 }
 
-bool Membership::hasCompany() const
+bool Membership::hasPresentPeer() const
 {
     return std::ranges::any_of(members(), [&](const MemberRecord &member) {
         return member.host != m_self.host && isPresent(member.state);
     });
 }
 
-std::vector<std::string> Membership::unansweredAddresses() const
+std::vector<std::string> Membership::addressesWithoutMember() const
 {
     std::set<std::string_view> known;
     for (const MemberRecord &member : members())
@@ -491,24 +494,24 @@
  * here becomes suspected, not gone: the others may have lost their connection to it, and it gets
  * time to refute the report.
  */
-void Membership::mergeMember(Turn &turn, const MemberRecord &record)
+void Membership::mergeMember(CallContext &context, const MemberRecord &record)
 {
     if (record.host == m_self.host) {
-        answerClaimAboutSelf(turn, record);
+        refuteStateOfSelf(context, record);
         return;
     }
     const MemberRecord *held = m_table.find(record.host);
     if (record.state != MemberState::Gone) {
-        recordMember(turn, record);
+        recordMember(context, record);
     } else if (held) {
-        MemberRecord judged = record;
-        if (isOthersJudgement(record, *held) && isPresent(held->state))
-            judged.state = MemberState::Suspected;
-        recordMember(turn, judged);
+        MemberRecord updated = record;
+        if (isStateSetByOthers(record, *held) && isPresent(held->state))
+            updated.state = MemberState::Suspected;
+        recordMember(context, updated);
     }
 }
 
-void Membership::answerClaimAboutSelf(Turn &turn, const MemberRecord &claim)
+void Membership::refuteStateOfSelf(CallContext &context, const MemberRecord &claim)
 {
     if (m_isStopped || !supersedes(claim, m_self))
         return;
@@ -516,22 +519,22 @@
     if (claim.incarnation == m_self.incarnation) {
         if (claim.state == MemberState::Leaving)
             m_self.state = MemberState::Leaving;
-        raiseCounter(turn, claim.counter);
+        raiseCounter(context, claim.counter);
         return;
     }
     // A process that has just started is the latest incarnation, even if the host's clock produced
     // a lower generation. An older process that meets a later one was paused and replaced.
-    if (turn.now - m_startedAt < m_settings.freshSpan) {
+    if (context.now - m_startedAt < m_settings.startupPeriod) {
         m_self.generation = claim.generation + 1;
-        announceSelf(turn);
+        announceSelf(context);
         return;
     }
     m_isSuperseded = true;
     m_isStopped = true;
-    turn.actions.push_back(Superseded{claim});
+    context.actions.push_back(Superseded{claim});
 }
 
-void Membership::recordMember(Turn &turn, const MemberRecord &record)
+void Membership::recordMember(CallContext &context, const MemberRecord &record)
 {
     const MemberRecord *held = m_table.find(record.host);
     const bool isVisible = !held || held->state != record.state
@@ -542,126 +545,127 @@
     m_suspectedAt.erase(record.host);
     m_goneAt.erase(record.host);
     if (record.state == MemberState::Suspected)
-        m_suspectedAt.emplace(record.host, turn.now);
+        m_suspectedAt.emplace(record.host, context.now);
     if (record.state == MemberState::Gone)
-        m_goneAt.emplace(record.host, turn.now);
-    if (turn.isPassedOn)
-        queueMemberNews(turn.now, record.host);
+        m_goneAt.emplace(record.host, context.now);
+    if (context.isForwarded)
+        queueMemberGossip(context.now, record.host);
     if (isVisible)
-        turn.actions.push_back(MemberChanged{record});
+        context.actions.push_back(MemberChanged{record});
 }
 
 /**
  * Sets the state of \a host, unless the recorded state is the same or worse.
  */
-void Membership::judge(Turn &turn, const HostName &host, MemberState state)
+void Membership::applyState(CallContext &context, const HostName &host, MemberState state)
 {
     const MemberRecord *held = m_table.find(host);
     if (!held || held->state >= state)
         return;
 
-    MemberRecord judged = *held;
-    judged.state = state;
-    recordMember(turn, judged);
+    MemberRecord updated = *held;
+    updated.state = state;
+    recordMember(context, updated);
 }
 
-void Membership::raiseCounter(Turn &turn, std::uint64_t above)
+void Membership::raiseCounter(CallContext &context, std::uint64_t above)
 {
     m_self.counter = above + 1;
-    announceSelf(turn);
+    announceSelf(context);
 }
 
-void Membership::announceSelf(Turn &turn)
+void Membership::announceSelf(CallContext &context)
 {
     m_table.merge(m_self);
-    queueMemberNews(turn.now, m_self.host);
+    queueMemberGossip(context.now, m_self.host);
 }
 
-void Membership::mergeNews(Turn &turn, const MemberRecord &sender, const News &news)
+void Membership::applyGossip(CallContext &context, const MemberRecord &sender, const News &news)
 {
     for (const MemberRecord &member : news.members)
-        mergeMember(turn, member);
+        mergeMember(context, member);
     if (!m_isStopped)
-        fetchMissing(turn, sender.address, news.items);
+        fetchMissing(context, sender.address, news.items);
 }
 
-void Membership::fetchMissing(Turn &turn, const std::string &from,
+void Membership::fetchMissing(CallContext &context, const std::string &from,
                               std::span<const ItemHeader> headers)
 {
     Fetch fetch;
     for (const ItemHeader &header : headers) {
-        if (!m_versions.isNews(header))
+        if (!m_versions.isNewer(header))
             continue;
         const auto [place, isFirst] = m_fetches.try_emplace(header.key);
         PendingFetch &pending = place->second;
-        // If no answer arrives, the member that announced the item last is asked next.
+        // If no answer arrives, the fetch is retried with the member that announced the item last.
         pending.from = from;
         if (!isFirst && header.version <= pending.header.version)
             continue;
         pending.header = header;
-        pending.due = turn.now + m_settings.fetchTimeout;
+        pending.due = context.now + m_settings.fetchTimeout;
         pending.attempts = 1;
         fetch.keys.push_back(header.key);
     }
     if (!fetch.keys.empty())
-        send(turn, from, std::move(fetch));
+        send(context, from, std::move(fetch));
 }
 
-void Membership::retryFetches(Turn &turn)
+void Membership::retryFetches(CallContext &context)
 {
     std::erase_if(m_fetches, [&](const auto &entry) {
         const PendingFetch &pending = entry.second;
-        const bool isGivenUp = pending.due <= turn.now && pending.attempts == fetchAttempts;
-        return isGivenUp || !m_versions.isNews(pending.header);
+        const bool isExhausted = pending.due <= context.now && pending.attempts == maxFetchAttempts;
+        return isExhausted || !m_versions.isNewer(pending.header);
     });
 
     std::map<std::string, Fetch> fetchesByPeer;
     for (auto &[key, pending] : m_fetches) {
-        if (pending.due > turn.now)
+        if (pending.due > context.now)
             continue;
-        pending.due = turn.now + m_settings.fetchTimeout;
+        pending.due = context.now + m_settings.fetchTimeout;
         ++pending.attempts;
         fetchesByPeer[pending.from].keys.push_back(key);
     }
     for (auto &[peer, fetch] : fetchesByPeer)
-        send(turn, peer, std::move(fetch));
+        send(context, peer, std::move(fetch));
 }
 
-bool Membership::applyItem(Turn &turn, const VersionedItem &item)
+bool Membership::applyItem(CallContext &context, const VersionedItem &item)
 {
     if (m_versions.offer(item) != OfferOutcome::Applied)
         return false;
 
-    turn.actions.push_back(ApplyItem{item});
+    context.actions.push_back(ApplyItem{item});
     return true;
 }
 
-void Membership::queueItemNews(Instant now, const ItemKey &key)
+void Membership::queueItemGossip(Instant now, const ItemKey &key)
 {
-    m_news.add(key, newsRepeats());
-    m_nextNews = std::min(m_nextNews, std::max(now, m_lastNews + m_settings.itemNewsGap));
+    m_gossipQueue.add(key, gossipRepeats());
+    m_nextGossip =
+        std::min(m_nextGossip, std::max(now, m_lastGossip + m_settings.minItemGossipInterval));
 }
 
-void Membership::queueMemberNews(Instant now, const HostName &host)
+void Membership::queueMemberGossip(Instant now, const HostName &host)
 {
-    m_news.add(host, newsRepeats());
-    m_nextNews = std::min(m_nextNews, std::max(now, m_lastNews + m_settings.newsPeriod));
+    m_gossipQueue.add(host, gossipRepeats());
+    m_nextGossip = std::min(m_nextGossip, std::max(now, m_lastGossip + m_settings.gossipInterval));
 }
 
 /**
  * \returns the number of rounds in which a change is sent: enough that few members miss it, which
  * then find it by the digest comparison after their next ping.
  */
-unsigned Membership::newsRepeats() const
+unsigned Membership::gossipRepeats() const
 {
     const double known = static_cast<double>(members().size());
     return 2 + static_cast<unsigned>(std::ceil(std::log10(known + 1)));
 }
 
-News Membership::newsOf(std::span<const NewsQueue::Subject> subjects) const
+News Membership::gossipOf(std::span<const GossipQueue::Subject> subjects) const
 {
     News news;
-    for (const NewsQueue::Subject &subject : subjects) {
+    for (const GossipQueue::Subject &subject : subjects) {
         if (const auto *key = std::get_if<ItemKey>(&subject)) {
             if (const VersionedItem *item = m_versions.find(*key))
                 news.items.push_back(item->header);
@@ -691,30 +695,33 @@
     return result;
 }
 
-void Membership::compareWith(Turn &turn, const MemberRecord &sender, const Summary &theirs)
+void Membership::compareWith(CallContext &context, const MemberRecord &sender,
+                             const Summary &theirs)
 {
-    const Summary ours = summary(turn.now);
+    const Summary ours = summary(context.now);
     const bool isSame = ours.members == theirs.members && ours.items == theirs.items;
-    if (isSame || m_nextExchange > turn.now || m_isStopped)
+    if (isSame || m_nextExchange > context.now || m_isStopped)
         return;
 
-    m_nextExchange = turn.now + m_settings.pingPeriod;
-    send(turn, sender.address, Exchange{m_table.digest().buckets(), m_versions.digest().buckets()});
+    m_nextExchange = context.now + m_settings.pingPeriod;
+    send(context, sender.address,
+         Exchange{m_table.digest().buckets(), m_versions.digest().buckets()});
 }
 
-void Membership::send(Turn &turn, const std::string &to, PeerMessage::Body body) const
+void Membership::send(CallContext &context, const std::string &to, PeerMessage::Body body) const
 {
-    turn.actions.push_back(OutgoingMessage{to, {m_self, std::move(body)}});
+    context.actions.push_back(OutgoingMessage{to, {m_self, std::move(body)}});
 }
 
-void Membership::sendPing(Turn &turn, const std::string &to, PendingPing pending)
+void Membership::sendPing(CallContext &context, const std::string &to, PendingPing pending)
 {
-    Ping ping{m_nextSequence++, summary(turn.now), newsOf(m_news.first(m_settings.newsLimit))};
+    Ping ping{m_nextSequence++, summary(context.now),
+              gossipOf(m_gossipQueue.first(m_settings.gossipLimit))};
     const MemberRecord *target = m_table.find(pending.target);
     if (target && target->state != MemberState::Alive)
         ping.news.members.push_back(*target);
     m_pendingPings.emplace(ping.sequence, std::move(pending));
-    send(turn, to, std::move(ping));
+    send(context, to, std::move(ping));
 }
 
 /**
@@ -727,9 +734,9 @@
     const std::size_t attempts = 4 * count + 4;
     for (std::size_t attempt = 0; attempt < attempts && chosen.size() < count; ++attempt) {
         const MemberRecord &member = all[randomBelow(all.size())];
-        const bool isFit = isPresent(member.state) && member.host != m_self.host
+        const bool isEligible = isPresent(member.state) && member.host != m_self.host
             && member.host != except && std::ranges::find(chosen, member) == chosen.end();
-        if (isFit)
+        if (isEligible)
             chosen.push_back(member);
     }
     return chosen;
--- a/src/libbulrush/process/membership.h
+++ b/src/libbulrush/process/membership.h
@@ -1,8 +1,8 @@
 #pragma once
 
 #include "process/clock.h"
+#include "process/gossipqueue.h"
 #include "process/membertable.h"
-#include "process/newsqueue.h"
 #include "process/peermessage.h"
 #include "process/versionstore.h"
 
@@ -31,15 +31,15 @@
     /** Time for a suspected member to refute the suspicion before it is recorded as gone. */
     Duration suspicionTimeout = std::chrono::seconds{4};
     /** Interval between gossip rounds. */
-    Duration newsPeriod = std::chrono::milliseconds{250};
+    Duration gossipInterval = std::chrono::milliseconds{250};
     /** Minimum time between two gossip rounds when there is a new version to send. */
-    Duration itemNewsGap = std::chrono::milliseconds{20};
+    Duration minItemGossipInterval = std::chrono::milliseconds{20};
     /** Interval between attempts to reach a gone member or a seed. */
     Duration reconnectPeriod = std::chrono::seconds{5};
     /** Time for which the record of a gone host is kept. */
     Duration goneRetention = std::chrono::hours{1};
     /** Time after its start during which a process counts as the latest incarnation on its host. */
-    Duration freshSpan = std::chrono::seconds{30};
+    Duration startupPeriod = std::chrono::seconds{30};
     /** A gap between two calls above this value means that this process was paused. */
     Duration pauseThreshold = std::chrono::seconds{2};
     /** Interval between reads of the platform by a domain's reader. */
@@ -48,17 +48,17 @@
      * Time without confirmed data after which the first backup reader reads; the second one waits
      * for twice this time.
      */
-    Duration standInDelay = std::chrono::seconds{15};
+    Duration backupReaderDelay = std::chrono::seconds{15};
     /** Time for which a backup reader continues to read after it succeeded. */
-    Duration standInSpan = std::chrono::minutes{5};
+    Duration backupReaderDuration = std::chrono::minutes{5};
     /** Interval between reads by a daemon without confirmed data for four backup reader delays. */
-    Duration lastResortPeriod = std::chrono::seconds{30};
+    Duration fallbackReadInterval = std::chrono::seconds{30};
     /** Number of members that receive a gossip round. */
     unsigned fanOut = 3;
     /** Number of members that are asked for an indirect ping if a ping is not answered. */
     unsigned indirectPings = 3;
     /** Maximum number of changes in a gossip message. */
-    std::size_t newsLimit = 6;
+    std::size_t gossipLimit = 6;
     /** Maximum number of members, and of items, in an answer to an exchange. */
     std::size_t deltaLimit = 32;
     /**
@@ -220,57 +220,58 @@
     };
 
     /** Time and collected actions of one call. */
-    struct Turn
+    struct CallContext
     {
         Instant now;
         MembershipActions actions = {};
         /** Whether received changes are gossiped further; false for those pulled by an exchange. */
-        bool isPassedOn = true;
+        bool isForwarded = true;
     };
 
-    void handle(Turn &turn, const MemberRecord &sender, const Ping &ping);
-    void handle(Turn &turn, const MemberRecord &sender, const Ack &ack);
-    void handle(Turn &turn, const MemberRecord &sender, const NewsPush &push);
-    void handle(Turn &turn, const MemberRecord &sender, const IndirectPing &ping);
-    void handle(Turn &turn, const MemberRecord &sender, const IndirectAck &ack);
-    void handle(Turn &turn, const MemberRecord &sender, const Exchange &exchange);
-    void handle(Turn &turn, const MemberRecord &sender, const Delta &delta);
-    void handle(Turn &turn, const MemberRecord &sender, const Fetch &fetch);
-    void handle(Turn &turn, const MemberRecord &sender, const Items &items);
-
-    Turn begin(Instant now);
-    void pingNext(Turn &turn);
-    void expirePings(Turn &turn);
-    void expireSuspicions(Turn &turn);
-    void forgetGone(Instant now);
-    void reconnect(Turn &turn);
-    void sendNewsRound(Turn &turn);
-    void readPlatformIfDue(Turn &turn);
+    void handle(CallContext &context, const MemberRecord &sender, const Ping &ping);
+    void handle(CallContext &context, const MemberRecord &sender, const Ack &ack);
+    void handle(CallContext &context, const MemberRecord &sender, const NewsPush &push);
+    void handle(CallContext &context, const MemberRecord &sender, const IndirectPing &ping);
+    void handle(CallContext &context, const MemberRecord &sender, const IndirectAck &ack);
+    void handle(CallContext &context, const MemberRecord &sender, const Exchange &exchange);
+    void handle(CallContext &context, const MemberRecord &sender, const Delta &delta);
+    void handle(CallContext &context, const MemberRecord &sender, const Fetch &fetch);
+    void handle(CallContext &context, const MemberRecord &sender, const Items &items);
+
+    CallContext begin(Instant now);
+    void pingNext(CallContext &context);
+    void expirePings(CallContext &context);
+    void expireSuspicions(CallContext &context);
+    void removeExpiredMembers(Instant now);
+    void reconnect(CallContext &context);
+    void sendGossipRound(CallContext &context);
+    void readPlatformIfDue(CallContext &context);
     std::optional<Duration> readInterval(Instant now) const;
     std::size_t readerRank() const;
-    bool hasCompany() const;
-    std::vector<std::string> unansweredAddresses() const;
-
-    void mergeMember(Turn &turn, const MemberRecord &record);
-    void answerClaimAboutSelf(Turn &turn, const MemberRecord &claim);
-    void recordMember(Turn &turn, const MemberRecord &record);
-    void judge(Turn &turn, const HostName &host, MemberState state);
-    void raiseCounter(Turn &turn, std::uint64_t above);
-    void announceSelf(Turn &turn);
-    void mergeNews(Turn &turn, const MemberRecord &sender, const News &news);
-    void fetchMissing(Turn &turn, const std::string &from, std::span<const ItemHeader> headers);
-    void retryFetches(Turn &turn);
-    bool applyItem(Turn &turn, const VersionedItem &item);
-    void queueItemNews(Instant now, const ItemKey &key);
-    void queueMemberNews(Instant now, const HostName &host);
-    unsigned newsRepeats() const;
-
-    News newsOf(std::span<const NewsQueue::Subject> subjects) const;
+    bool hasPresentPeer() const;
+    std::vector<std::string> addressesWithoutMember() const;
+
+    void mergeMember(CallContext &context, const MemberRecord &record);
+    void refuteStateOfSelf(CallContext &context, const MemberRecord &claim);
+    void recordMember(CallContext &context, const MemberRecord &record);
+    void applyState(CallContext &context, const HostName &host, MemberState state);
+    void raiseCounter(CallContext &context, std::uint64_t above);
+    void announceSelf(CallContext &context);
+    void applyGossip(CallContext &context, const MemberRecord &sender, const News &news);
+    void fetchMissing(CallContext &context, const std::string &from,
+                      std::span<const ItemHeader> headers);
+    void retryFetches(CallContext &context);
+    bool applyItem(CallContext &context, const VersionedItem &item);
+    void queueItemGossip(Instant now, const ItemKey &key);
+    void queueMemberGossip(Instant now, const HostName &host);
+    unsigned gossipRepeats() const;
+
+    News gossipOf(std::span<const GossipQueue::Subject> subjects) const;
     void addCorrection(News &news, const MemberRecord &of) const;
     Summary summary(Instant now) const;
-    void compareWith(Turn &turn, const MemberRecord &sender, const Summary &theirs);
-    void send(Turn &turn, const std::string &to, PeerMessage::Body body) const;
-    void sendPing(Turn &turn, const std::string &to, PendingPing pending);
+    void compareWith(CallContext &context, const MemberRecord &sender, const Summary &theirs);
+    void send(CallContext &context, const std::string &to, PeerMessage::Body body) const;
+    void sendPing(CallContext &context, const std::string &to, PendingPing pending);
     std::vector<MemberRecord> chooseMembers(std::size_t count, const HostName &except);
     std::size_t randomBelow(std::size_t bound);
 
@@ -278,14 +279,14 @@
     MemberRecord m_self;
     VersionStore &m_versions;
     MemberTable m_table;
-    NewsQueue m_news;
+    GossipQueue m_gossipQueue;
     std::mt19937_64 m_random;
 
     std::vector<HostName> m_pingOrder;
     std::map<std::uint64_t, PendingPing> m_pendingPings;
     std::map<HostName, Instant> m_suspectedAt;
     std::map<HostName, Instant> m_goneAt;
-    Duration m_lastResortPhase;
+    Duration m_fallbackReadPhase;
     std::map<ItemKey, PendingFetch> m_fetches;
     std::vector<std::string> m_contacts;
     std::uint64_t m_nextSequence = 1;
@@ -293,16 +294,16 @@
     Instant m_startedAt;
     Instant m_lastActive;
     Instant m_nextPing;
-    Instant m_nextNews = Instant::max();
-    Instant m_lastNews;
+    Instant m_nextGossip = Instant::max();
+    Instant m_lastGossip;
     Instant m_nextReconnect;
     Instant m_nextExchange;
     Instant m_nextRead;
-    Instant m_standsInUntil;
+    Instant m_backupReaderUntil;
     Instant m_fetchWindowStart;
     std::size_t m_fetchedBytes = 0;
     bool m_isReading = false;
-    bool m_isStandInReading = false;
+    bool m_isBackupReading = false;
     bool m_hasJoined = false;
     bool m_isSuperseded = false;
     bool m_isStopped = false;
--- a/src/libbulrush/process/ratelimiter.cpp
+++ b/src/libbulrush/process/ratelimiter.cpp
@@ -10,11 +10,11 @@
 
 /** Factor of the demand above the measured need, which is rounded up to complete requests. */
 constexpr double concurrencyHeadroom = 1.1;
-constexpr Duration shortestMeasurement = std::chrono::milliseconds{100};
+constexpr Duration minMeasurementPeriod = std::chrono::milliseconds{100};
 /** Time constant for averaging arrivals. */
-constexpr Duration averagingTime = std::chrono::seconds{4};
+constexpr Duration averagingPeriod = std::chrono::seconds{4};
 /** Deviation, in standard deviations of a Poisson count, above which the demand has changed. */
-constexpr double changeDeviations = 4.0;
+constexpr double changeThresholdDeviations = 4.0;
 
 double seconds(Duration span)
 {
@@ -53,7 +53,7 @@
 
 Duration RateLimiter::retryAfter() const
 {
-    return m_bucket.timeToToken();
+    return m_bucket.timeUntilToken();
 }
 
 double RateLimiter::share(Instant now) const
@@ -70,14 +70,14 @@
 void RateLimiter::measure(Instant now)
 {
     const Duration span = now - m_measuredAt;
-    if (span < shortestMeasurement)
+    if (span < minMeasurementPeriod)
         return;
     const double arrivals = std::exchange(m_arrivals, 0.0);
     const double expected = m_arrivalRate * seconds(span);
-    const double noise = changeDeviations * std::sqrt(std::max(1.0, expected));
+    const double noise = changeThresholdDeviations * std::sqrt(std::max(1.0, expected));
     const bool hasChanged = std::abs(arrivals - expected) > noise;
     const double weight =
-        hasChanged ? 1.0 : 1.0 - std::exp(-seconds(span) / seconds(averagingTime));
+        hasChanged ? 1.0 : 1.0 - std::exp(-seconds(span) / seconds(averagingPeriod));
     m_arrivalRate += weight * (arrivals / seconds(span) - m_arrivalRate);
     m_measuredAt = now;
 }
@@ -90,11 +90,11 @@
 {
     const bool isValid = now < m_validUntil;
     if (!isValid || m_inFlight + 1 > m_share) {
-        ++m_refusedSinceAsked;
+        ++m_refusedSinceDemand;
         return false;
     }
     ++m_inFlight;
-    m_mostSinceAsked = std::max(m_mostSinceAsked, m_inFlight);
+    m_maxSinceDemand = std::max(m_maxSinceDemand, m_inFlight);
     return true;
 }
 
@@ -105,8 +105,8 @@
 
 ShareDemand ConcurrencyLimiter::demand()
 {
-    const int refused = std::exchange(m_refusedSinceAsked, 0);
-    const int most = std::exchange(m_mostSinceAsked, m_inFlight);
+    const int refused = std::exchange(m_refusedSinceDemand, 0);
+    const int most = std::exchange(m_maxSinceDemand, m_inFlight);
     return {std::ceil((most + refused) * concurrencyHeadroom), static_cast<double>(m_inFlight),
             m_sequence};
 }
--- a/src/libbulrush/process/ratelimiter.h
+++ b/src/libbulrush/process/ratelimiter.h
@@ -75,8 +75,8 @@
     double m_share = 0.0;
     Instant m_validUntil;
     int m_inFlight = 0;
-    int m_refusedSinceAsked = 0;
-    int m_mostSinceAsked = 0;
+    int m_refusedSinceDemand = 0;
+    int m_maxSinceDemand = 0;
 };
 
 inline int ConcurrencyLimiter::inFlight() const
--- a/src/libbulrush/process/rollingcount.h
+++ b/src/libbulrush/process/rollingcount.h
@@ -19,8 +19,8 @@
 };
 
 /**
- * Counts over a window that ends now, in a ring of slots. A request stays in the count for up to
- * one slot longer than the window.
+ * Counts over a window that ends now, in a ring of slots that are reused. The period that is
+ * counted differs from the window by at most one slot.
  *
  * Not thread safe.
  */
--- a/src/libbulrush/process/shareledger.cpp
+++ b/src/libbulrush/process/shareledger.cpp
@@ -28,10 +28,10 @@
 
 ShareLedger ShareLedger::successor(double own, std::uint64_t epoch, ShareTerms terms, Instant now)
 {
-    ShareLedger ledger{own, epoch, terms};
+    ShareLedger result{own, epoch, terms};
     const Duration longest = std::max(terms.length, terms.loanLength);
-    ledger.m_confirmsOnlyUntil = now + stretched(longest, terms.driftPpm);
-    return ledger;
+    result.m_confirmOnlyUntil = now + stretched(longest, terms.driftPpm);
+    return result;
 }
 
 void ShareLedger::setOwn(double own)
@@ -39,18 +39,18 @@
     m_own = own;
 }
 
-void ShareLedger::predecessorSettled()
+void ShareLedger::endConfirmOnlyPeriod()
 {
-    m_confirmsOnlyUntil = Instant{};
+    m_confirmOnlyUntil = Instant{};
 }
 
 ShareGrant ShareLedger::renew(const Incarnation &holder, const ShareDemand &demand, double held,
                               Instant now)
 {
-    Holder &asking = heard(nameOfHolder(holder), demand, now);
-    if (now < m_confirmsOnlyUntil)
-        return give(asking, std::min(held, target(asking, now)), m_terms.length, now);
-    return give(asking, target(asking, now), m_terms.length, now);
+    Holder &requester = recordDemand(nameOfHolder(holder), demand, now);
+    if (now < m_confirmOnlyUntil)
+        return issueGrant(requester, std::min(held, target(requester, now)), m_terms.length, now);
+    return issueGrant(requester, target(requester, now), m_terms.length, now);
 }
 
 void ShareLedger::release(const Incarnation &holder)
@@ -60,17 +60,17 @@
 
 ShareGrant ShareLedger::lend(const DomainName &borrower, const ShareDemand &demand, Instant now)
 {
-    Holder &asking = heard(nameOfHolder(borrower), demand, now);
-    asking.isBorrower = true;
-    if (now < m_confirmsOnlyUntil)
-        return give(asking, 0.0, m_terms.loanLength, now);
+    Holder &requester = recordDemand(nameOfHolder(borrower), demand, now);
+    requester.isBorrower = true;
+    if (now < m_confirmOnlyUntil)
+        return issueGrant(requester, 0.0, m_terms.loanLength, now);
     double others = 0.0;
     for (const auto &[name, holder] : m_holders) {
-        if (holder.isBorrower && &holder != &asking)
+        if (holder.isBorrower && &holder != &requester)
             others += heldBy(holder, now);
     }
     const double left = std::max(0.0, lendable() - others);
-    return give(asking, std::min(left, demand.wanted), m_terms.loanLength, now);
+    return issueGrant(requester, std::min(left, demand.wanted), m_terms.loanLength, now);
 }
 
 ShareDemand ShareLedger::loanDemand(const DomainName &lender, Instant now) const
@@ -101,26 +101,27 @@
     return sum;
 }
 
-ShareLedger::Holder &ShareLedger::heard(const std::string &name, const ShareDemand &demand,
-                                        Instant now)
+ShareLedger::Holder &ShareLedger::recordDemand(const std::string &name, const ShareDemand &demand,
+                                               Instant now)
 {
-    dropExpired(now);
+    removeExpired(now);
     Holder &holder = m_holders[name];
     holder.wanted = demand.wanted;
     holder.inUse = demand.inUse;
-    holder.heardAt = now;
-    std::erase_if(holder.given,
-                  [&](const Given &given) { return given.sequence < demand.acknowledged; });
+    holder.lastDemandAt = now;
+    std::erase_if(holder.issuedGrants,
+                  [&](const IssuedGrant &grant) { return grant.sequence < demand.acknowledged; });
     return holder;
 }
 
-ShareGrant ShareLedger::give(Holder &holder, double target, Duration length, Instant now)
+ShareGrant ShareLedger::issueGrant(Holder &holder, double target, Duration length, Instant now)
 {
     const double others = outstanding(now) - heldBy(holder, now);
     const double limit = std::max(0.0, available(now) - others);
     const double amount = rounded(std::min(target, limit), limit);
     ++m_lastSequence.sequence;
-    holder.given.push_back({m_lastSequence, amount, now + stretched(length, m_terms.driftPpm)});
+    holder.issuedGrants.push_back(
+        {m_lastSequence, amount, now + stretched(length, m_terms.driftPpm)});
     return {m_lastSequence, amount, length};
 }
 
@@ -158,7 +159,7 @@
 }
 
 /** \returns the amount reserved for borrowers: what they hold, and what they are to receive. */
-double ShareLedger::keptForBorrowers(Instant now) const
+double ShareLedger::reservedForBorrowers(Instant now) const
 {
     double held = 0.0;
     double wanted = 0.0;
@@ -174,17 +175,17 @@
 /** \returns the share of a daemon: its demand if the amount suffices, otherwise a fair part. */
 double ShareLedger::target(const Holder &holder, Instant now) const
 {
-    const double amount = std::max(0.0, available(now) - keptForBorrowers(now));
+    const double amount = std::max(0.0, available(now) - reservedForBorrowers(now));
     const auto daemons = std::ranges::count_if(
         m_holders, [](const auto &entry) { return !entry.second.isBorrower; });
     const double spare = amount - totalWanted();
     if (spare >= 0.0)
         return holder.wanted + spare / static_cast<double>(daemons);
-    return std::min(holder.wanted, waterLevel(amount));
+    return std::min(holder.wanted, fairShareLevel(amount));
 }
 
 /** \returns the level at which demands, capped at that level, sum up to \a amount. */
-double ShareLedger::waterLevel(double amount) const
+double ShareLedger::fairShareLevel(double amount) const
 {
     std::vector<double> demands;
     for (const auto &[name, holder] : m_holders) {
@@ -209,24 +210,25 @@
     return up <= limit ? up : std::floor(amount / m_terms.unit) * m_terms.unit;
 }
 
-void ShareLedger::dropExpired(Instant now)
+void ShareLedger::removeExpired(Instant now)
 {
     for (auto &[name, holder] : m_holders)
-        std::erase_if(holder.given, [&](const Given &given) { return given.expiresAt <= now; });
-    const Duration memory = stretched(m_terms.length, m_terms.driftPpm);
+        std::erase_if(holder.issuedGrants,
+                      [&](const IssuedGrant &grant) { return grant.expiresAt <= now; });
+    const Duration retention = stretched(m_terms.length, m_terms.driftPpm);
     std::erase_if(m_holders, [&](const auto &entry) {
-        return entry.second.given.empty() && entry.second.heardAt + memory <= now;
+        return entry.second.issuedGrants.empty() && entry.second.lastDemandAt + retention <= now;
     });
 }
 
 double ShareLedger::heldBy(const Holder &holder, Instant now)
 {
-    double most = holder.inUse;
-    for (const Given &given : holder.given) {
-        if (given.expiresAt > now)
-            most = std::max(most, given.amount);
+    double maximum = holder.inUse;
+    for (const IssuedGrant &grant : holder.issuedGrants) {
+        if (grant.expiresAt > now)
+            maximum = std::max(maximum, grant.amount);
     }
-    return most;
+    return maximum;
 }
 
 } // namespace bulrush
--- a/src/libbulrush/process/shareledger.h
+++ b/src/libbulrush/process/shareledger.h
@@ -74,7 +74,7 @@
      * Ends the successor's confirm-only period early. \pre Every daemon and domain to which the
      * predecessor may have issued grants has acknowledged a share of this instance, or has stopped.
      */
-    void predecessorSettled();
+    void endConfirmOnlyPeriod();
 
     /** Changes the domain's part, after a new version of the contract. */
     void setOwn(double own);
@@ -105,7 +105,7 @@
     double outstanding(Instant now) const;
 
 private:
-    struct Given
+    struct IssuedGrant
     {
         Fence sequence;
         double amount;
@@ -114,10 +114,10 @@
 
     struct Holder
     {
-        std::vector<Given> given;
+        std::vector<IssuedGrant> issuedGrants;
         double wanted = 0.0;
         double inUse = 0.0;
-        Instant heardAt;
+        Instant lastDemandAt;
         bool isBorrower = false;
     };
 
@@ -130,17 +130,17 @@
 
     using Holders = std::map<std::string, Holder>;
 
-    Holder &heard(const std::string &name, const ShareDemand &demand, Instant now);
-    ShareGrant give(Holder &holder, double target, Duration length, Instant now);
+    Holder &recordDemand(const std::string &name, const ShareDemand &demand, Instant now);
+    ShareGrant issueGrant(Holder &holder, double target, Duration length, Instant now);
     double borrowed(Instant until) const;
     double available(Instant now) const;
     double totalWanted() const;
     double lendable() const;
-    double keptForBorrowers(Instant now) const;
+    double reservedForBorrowers(Instant now) const;
     double target(const Holder &holder, Instant now) const;
-    double waterLevel(double amount) const;
+    double fairShareLevel(double amount) const;
     double rounded(double amount, double limit) const;
-    void dropExpired(Instant now);
+    void removeExpired(Instant now);
 
     static double heldBy(const Holder &holder, Instant now);
 
@@ -150,7 +150,7 @@
     Holders m_holders;
     Fence m_lastSequence;
     /** Until this time shares issued by a predecessor may be in effect. */
-    Instant m_confirmsOnlyUntil;
+    Instant m_confirmOnlyUntil;
 };
 
 } // namespace bulrush
--- a/src/libbulrush/process/tokenbucket.cpp
+++ b/src/libbulrush/process/tokenbucket.cpp
@@ -36,7 +36,7 @@
     return true;
 }
 
-Duration TokenBucket::timeToToken() const
+Duration TokenBucket::timeUntilToken() const
 {
     constexpr Duration longest = std::chrono::seconds{1};
     const double missing = oneToken - m_tokens;
@@ -57,7 +57,7 @@
 {
     if (m_rate <= 0.0)
         return 0.0;
-    const double small = std::min(smallBurst, m_rate);
+    const double small = std::min(minBurst, m_rate);
     return std::max({1.0, small, m_rate * seconds(m_burstSpan)});
 }
 
--- a/src/libbulrush/process/tokenbucket.h
+++ b/src/libbulrush/process/tokenbucket.h
@@ -13,7 +13,7 @@
 {
 public:
     /** Tokens that can be saved at any rate, but of no more than one second. */
-    static constexpr double smallBurst = 32.0;
+    static constexpr double minBurst = 32.0;
 
     /** Starts empty. \a burstSpan is the time for which tokens can be saved. */
     explicit TokenBucket(Duration burstSpan = std::chrono::milliseconds{100});
@@ -25,7 +25,7 @@
     bool take(Instant now);
 
     /** \returns the time until a token is available, or one second if the rate is zero. */
-    Duration timeToToken() const;
+    Duration timeUntilToken() const;
 
     double rate() const;
 
--- a/src/libbulrush/process/versionstore.cpp
+++ b/src/libbulrush/process/versionstore.cpp
@@ -90,7 +90,7 @@
     confirm(askedAt - stretched(peerAge, defaultDriftPpm));
 }
 
-bool VersionStore::isNews(const ItemHeader &header) const
+bool VersionStore::isNewer(const ItemHeader &header) const
 {
     const VersionedItem *held = find(header.key);
     return !held || held->header.version < header.version;
--- a/src/libbulrush/process/versionstore.h
+++ b/src/libbulrush/process/versionstore.h
@@ -90,7 +90,7 @@
     /**
      * \returns whether \a header is newer than the stored version.
      */
-    bool isNews(const ItemHeader &header) const;
+    bool isNewer(const ItemHeader &header) const;
 
     /**
      * \returns the stored item of \a key, or null. Valid until the next change.
--- a/src/libbulrush/request/claim.cpp
+++ b/src/libbulrush/request/claim.cpp
@@ -21,12 +21,12 @@
 
     ClaimActions operator()(const ClaimWriteConflicted &event) const
     {
-        return m_claim.onRowSeen(event.current, m_now);
+        return m_claim.onRow(event.current, m_now);
     }
 
     ClaimActions operator()(const ClaimRowRead &event) const
     {
-        return m_claim.onRowSeen(event.current, m_now);
+        return m_claim.onRow(event.current, m_now);
     }
 
     ClaimActions operator()(const ClaimWriteNotSent &) const
@@ -46,17 +46,17 @@
 
     ClaimActions operator()(const ClaimGivenUp &event) const
     {
-        return m_claim.onGivenUp(event.reason);
+        return m_claim.onAbandoned(event.reason);
     }
 
     ClaimActions operator()(const ClaimSettleDue &) const
     {
-        return m_claim.onSettleDue();
+        return m_claim.onRecheckDue();
     }
 
     ClaimActions operator()(const ClaimedWorkEnded &event) const
     {
-        return m_claim.onWorkEnded(event);
+        return m_claim.onRequestFinished(event);
     }
 
 private:
@@ -77,7 +77,7 @@
 
 ClaimActions Claim::start()
 {
-    return claimUpon(0);
+    return claimAtVersion(0);
 }
 
 ClaimActions Claim::handle(const ClaimEvent &event, Instant now)
@@ -85,7 +85,7 @@
     return std::visit(EventHandler{*this, now}, event);
 }
 
-ClaimActions Claim::claimUpon(std::uint64_t version)
+ClaimActions Claim::claimAtVersion(std::uint64_t version)
 {
     m_phase = Phase::Claiming;
     m_expectedVersion = version;
@@ -104,37 +104,37 @@
     return record(ClaimState::NotRun, {});
 }
 
-ClaimActions Claim::onRowSeen(const VersionedClaim &current, Instant now)
+ClaimActions Claim::onRow(const VersionedClaim &current, Instant now)
 {
     if (m_phase == Phase::Claiming)
-        return onRowSeenWhileClaiming(current, now);
+        return onRowWhileClaiming(current, now);
     if (m_phase == Phase::Abandoned)
         startRecording(ClaimState::NotRun, {});
     if (m_phase == Phase::Recording)
-        return onRowSeenWhileRecording(current);
+        return onRowWhileRecording(current);
     return {};
 }
 
-ClaimActions Claim::onRowSeenWhileClaiming(const VersionedClaim &current, Instant now)
+ClaimActions Claim::onRowWhileClaiming(const VersionedClaim &current, Instant now)
 {
     if (current.version != m_expectedVersion)
-        m_isWriteOpen = false;
+        m_isWritePending = false;
     if (!current.row)
-        return claimUpon(current.version);
-    if (isMine(*current.row))
+        return claimAtVersion(current.version);
+    if (isOwnClaim(*current.row))
         return dispatchIfInTime(current.version, now);
     if (current.row->state == ClaimState::NotRun)
-        return claimUpon(current.version);
-    return answerByOther(*current.row);
+        return claimAtVersion(current.version);
+    return answerFromOtherClaim(*current.row);
 }
 
-ClaimActions Claim::onRowSeenWhileRecording(const VersionedClaim &current)
+ClaimActions Claim::onRowWhileRecording(const VersionedClaim &current)
 {
     const bool isUnchanged = current.version == m_expectedVersion;
-    const bool isHeldByUs =
-        current.row && isMine(*current.row) && current.row->state == ClaimState::Claimed;
+    const bool isClaimedByThis =
+        current.row && isOwnClaim(*current.row) && current.row->state == ClaimState::Claimed;
     // An unchanged row has to be overwritten, since a pending write could still claim it.
-    if (!isUnchanged && !isHeldByUs)
+    if (!isUnchanged && !isClaimedByThis)
         return finish();
     m_expectedVersion = current.version;
     return {WriteClaim{m_expectedVersion, m_finalRow}};
@@ -144,7 +144,7 @@
 {
     if (m_phase == Phase::Claiming)
         return refuse(FailurePoint::ClaimUnavailable);
-    if (m_phase == Phase::Abandoned && !m_isWriteOpen)
+    if (m_phase == Phase::Abandoned && !m_isWritePending)
         return finish();
     return onReadFailed();
 }
@@ -155,7 +155,7 @@
         startRecording(ClaimState::NotRun, {});
     if (m_phase != Phase::Claiming && m_phase != Phase::Recording)
         return {};
-    m_isWriteOpen = true;
+    m_isWritePending = true;
     return {ReadClaim{}};
 }
 
@@ -168,11 +168,11 @@
     if (m_phase != Phase::Recording)
         return {};
     const Duration delay = m_settleDelay;
-    m_settleDelay = std::min(m_settleDelay * 2, longestSettleDelay);
+    m_settleDelay = std::min(m_settleDelay * 2, maxSettleDelay);
     return {SettleLater{delay}};
 }
 
-ClaimActions Claim::onGivenUp(FailurePoint reason)
+ClaimActions Claim::onAbandoned(FailurePoint reason)
 {
     if (m_phase != Phase::Claiming)
         return {};
@@ -180,14 +180,14 @@
     return {AnswerCaller{outcomeOfRefusal(reason)}};
 }
 
-ClaimActions Claim::onSettleDue()
+ClaimActions Claim::onRecheckDue()
 {
     if (m_phase != Phase::Recording)
         return {};
     return {ReadClaim{}};
 }
 
-ClaimActions Claim::onWorkEnded(const ClaimedWorkEnded &ended)
+ClaimActions Claim::onRequestFinished(const ClaimedWorkEnded &ended)
 {
     if (m_phase != Phase::Dispatched)
         return {};
@@ -201,7 +201,7 @@
 ClaimActions Claim::dispatchIfInTime(std::uint64_t version, Instant now)
 {
     m_expectedVersion = version;
-    m_isWriteOpen = false;
+    m_isWritePending = false;
     if (now > m_request.lastDispatch) {
         ClaimActions actions{
             AnswerCaller{NotRun{FailurePoint::DeadlineBeforeDispatch, m_request.retryAfter}}};
@@ -213,7 +213,7 @@
     return {DispatchClaimed{}};
 }
 
-ClaimActions Claim::answerByOther(const ClaimRow &row)
+ClaimActions Claim::answerFromOtherClaim(const ClaimRow &row)
 {
     if (row.state == ClaimState::Done)
         return finish({AnswerStored{row.storedAnswer}});
@@ -225,7 +225,7 @@
 ClaimActions Claim::refuse(FailurePoint point)
 {
     ClaimActions actions{AnswerCaller{outcomeOfRefusal(point)}};
-    if (!m_isWriteOpen)
+    if (!m_isWritePending)
         return finish(std::move(actions));
     startRecording(ClaimState::NotRun, {});
     const ClaimActions later = onReadFailed();
@@ -261,7 +261,7 @@
     return NotRun{point, m_request.retryAfter};
 }
 
-bool Claim::isMine(const ClaimRow &row) const
+bool Claim::isOwnClaim(const ClaimRow &row) const
 {
     return row.holder == m_request.self && row.attempt == m_request.attempt;
 }
--- a/src/libbulrush/request/claim.h
+++ b/src/libbulrush/request/claim.h
@@ -206,8 +206,8 @@
 class Claim
 {
 public:
-    static constexpr Duration firstSettleDelay = std::chrono::milliseconds{500};
-    static constexpr Duration longestSettleDelay = std::chrono::seconds{30};
+    static constexpr Duration initialSettleDelay = std::chrono::milliseconds{500};
+    static constexpr Duration maxSettleDelay = std::chrono::seconds{30};
 
     explicit Claim(ClaimRequest request);
 
@@ -235,25 +235,25 @@
 
     class EventHandler;
 
-    ClaimActions claimUpon(std::uint64_t version);
+    ClaimActions claimAtVersion(std::uint64_t version);
     ClaimActions onCommitted(std::uint64_t version, Instant now);
-    ClaimActions onRowSeen(const VersionedClaim &current, Instant now);
-    ClaimActions onRowSeenWhileClaiming(const VersionedClaim &current, Instant now);
-    ClaimActions onRowSeenWhileRecording(const VersionedClaim &current);
+    ClaimActions onRow(const VersionedClaim &current, Instant now);
+    ClaimActions onRowWhileClaiming(const VersionedClaim &current, Instant now);
+    ClaimActions onRowWhileRecording(const VersionedClaim &current);
     ClaimActions onNotSent();
     ClaimActions onLost();
     ClaimActions onReadFailed();
-    ClaimActions onGivenUp(FailurePoint reason);
-    ClaimActions onSettleDue();
-    ClaimActions onWorkEnded(const ClaimedWorkEnded &ended);
+    ClaimActions onAbandoned(FailurePoint reason);
+    ClaimActions onRecheckDue();
+    ClaimActions onRequestFinished(const ClaimedWorkEnded &ended);
     ClaimActions dispatchIfInTime(std::uint64_t version, Instant now);
-    ClaimActions answerByOther(const ClaimRow &row);
+    ClaimActions answerFromOtherClaim(const ClaimRow &row);
     ClaimActions refuse(FailurePoint point);
     void startRecording(ClaimState state, std::string storedAnswer);
     ClaimActions record(ClaimState state, std::string storedAnswer);
     ClaimActions finish(ClaimActions actions = {});
     Outcome outcomeOfRefusal(FailurePoint point) const;
-    bool isMine(const ClaimRow &row) const;
+    bool isOwnClaim(const ClaimRow &row) const;
     ClaimRow rowInState(ClaimState state) const;
 
     ClaimRequest m_request;
@@ -261,9 +261,9 @@
     /** Version that the last write expects. */
     std::uint64_t m_expectedVersion = 0;
     /** Whether a write of this claim may still take effect. */
-    bool m_isWriteOpen = false;
+    bool m_isWritePending = false;
     ClaimRow m_finalRow;
-    Duration m_settleDelay = firstSettleDelay;
+    Duration m_settleDelay = initialSettleDelay;
 };
 
 inline bool Claim::isOver() const
--- a/src/libbulrush/request/outcome.cpp
+++ b/src/libbulrush/request/outcome.cpp
@@ -93,7 +93,7 @@
 {
     CallerResponse operator()(const WholeAnswer &) const
     {
-        return PassAnswer{};
+        return ForwardAnswer{};
     }
 
     CallerResponse operator()(const NotRun &notRun) const
@@ -133,8 +133,8 @@
 
 Outcome outcomeOfAttempts(std::span<const FailurePoint> points, Duration retryAfter)
 {
-    const auto doubtful = std::ranges::find_if_not(points, isCertainlyNotRun);
-    return outcomeOf(doubtful != points.end() ? *doubtful : points.back(), retryAfter);
+    const auto possiblyRun = std::ranges::find_if_not(points, isCertainlyNotRun);
+    return outcomeOf(possiblyRun != points.end() ? *possiblyRun : points.back(), retryAfter);
 }
 
 FailurePoint failurePointOfRefusal(std::string_view reason)
--- a/src/libbulrush/request/outcome.h
+++ b/src/libbulrush/request/outcome.h
@@ -124,7 +124,7 @@
 
 /**
  * \returns the outcome for a complete, matching answer. A server error (5xx) without a statement is
- * not forwarded: it does not tell whether the work ran. Thread safe.
+ * not forwarded: it does not indicate whether the work ran. Thread safe.
  */
 Outcome outcomeOfAnswer(int status, RanStatement ran, std::string_view reason, Duration retryAfter);
 
@@ -136,16 +136,16 @@
     std::string_view ran;
     /** Value of `X-Bulrush-Reason`. */
     std::string_view reason;
-    /** Value of `Retry-After`: whole seconds, at least one. */
+    /** Value of `Retry-After` in seconds, at least one. */
     std::chrono::seconds retryAfter;
 
     bool operator==(const RefusalResponse &) const = default;
 };
 
 /** Forward the server's answer to its end. */
-struct PassAnswer
+struct ForwardAnswer
 {
-    bool operator==(const PassAnswer &) const = default;
+    bool operator==(const ForwardAnswer &) const = default;
 };
 
 /**
@@ -158,7 +158,7 @@
 };
 
 /** What is sent to the caller. */
-using CallerResponse = std::variant<PassAnswer, RefusalResponse, AbortCallerConnection>;
+using CallerResponse = std::variant<ForwardAnswer, RefusalResponse, AbortCallerConnection>;
 
 /**
  * \returns what a caller receives for \a outcome. \a hasAnswerBegun says whether bytes of the
--- a/src/libbulrush/version/heavyhitters.cpp
+++ b/src/libbulrush/version/heavyhitters.cpp
@@ -15,7 +15,8 @@
 }
 
 /**
- * Keeps the hottest \a maximum hitters and raises unnamedRate to the highest rate that was dropped.
+ * Keeps the hottest \a maximum hitters and raises unlistedRate to the highest rate that was
+ * dropped.
  */
 void keepHottest(HeavyHitterReport &report, std::size_t maximum)
 {
@@ -23,7 +24,7 @@
     if (report.hitters.size() <= maximum)
         return;
     for (std::size_t i = maximum; i < report.hitters.size(); ++i)
-        report.unnamedRate = std::max(report.unnamedRate, report.hitters[i].rate);
+        report.unlistedRate = std::max(report.unlistedRate, report.hitters[i].rate);
     report.hitters.resize(maximum);
 }
 
@@ -48,7 +49,7 @@
         m_counters.push_back({key, weight, 0.0, &index->second});
         siftUp(m_counters.size() - 1);
     } else {
-        renameSmallest(key);
+        reassignSmallest(key);
         m_counters.front().error = m_counters.front().count;
         m_counters.front().count += weight;
         siftDown(0);
@@ -66,7 +67,7 @@
             {counter.key, m_decay.rate(counter.count, now), m_decay.rate(counter.error, now)});
     }
     if (m_counters.size() == m_capacity)
-        report.unnamedRate = m_decay.rate(m_counters.front().count, now);
+        report.unlistedRate = m_decay.rate(m_counters.front().count, now);
     keepHottest(report, maximumHitters);
     return report;
 }
@@ -74,7 +75,7 @@
 /**
  * Reassigns the smallest counter to another key, without allocating.
  */
-void HeavyHitters::renameSmallest(KeyHash key)
+void HeavyHitters::reassignSmallest(KeyHash key)
 {
     auto node = m_indexByKey.extract(m_counters.front().key);
     node.key() = key;
@@ -131,16 +132,16 @@
 {
     HeavyHitterReport merged;
     for (const HeavyHitterReport &report : reports)
-        merged.unnamedRate += report.unnamedRate;
+        merged.unlistedRate += report.unlistedRate;
 
-    // A key that a report does not list may have a rate of up to that report's unnamedRate.
+    // A key that a report does not list may have a rate of up to that report's unlistedRate.
     std::unordered_map<KeyHash, HeavyHitter> byKey;
     for (const HeavyHitterReport &report : reports) {
         for (const HeavyHitter &hitter : report.hitters) {
-            const HeavyHitter unnamed{hitter.key, merged.unnamedRate, merged.unnamedRate};
+            const HeavyHitter unnamed{hitter.key, merged.unlistedRate, merged.unlistedRate};
             HeavyHitter &sum = byKey.try_emplace(hitter.key, unnamed).first->second;
-            sum.rate += hitter.rate - report.unnamedRate;
-            sum.error += hitter.error - report.unnamedRate;
+            sum.rate += hitter.rate - report.unlistedRate;
+            sum.error += hitter.error - report.unlistedRate;
         }
     }
     merged.hitters.reserve(byKey.size());
--- a/src/libbulrush/version/heavyhitters.h
+++ b/src/libbulrush/version/heavyhitters.h
@@ -36,7 +36,7 @@
     /** Hottest first. */
     std::vector<HeavyHitter> hitters;
     /** Upper bound of the rate of any key that is not listed, in requests per second. */
-    double unnamedRate = 0;
+    double unlistedRate = 0;
 
     bool operator==(const HeavyHitterReport &) const = default;
 };
@@ -74,7 +74,7 @@
         std::size_t *index = nullptr;
     };
 
-    void renameSmallest(KeyHash key);
+    void reassignSmallest(KeyHash key);
     void siftUp(std::size_t index);
     void siftDown(std::size_t index);
     void swapCounters(std::size_t first, std::size_t second);
--- a/src/libbulrush/version/loadledger.cpp
+++ b/src/libbulrush/version/loadledger.cpp
@@ -18,11 +18,11 @@
 void LoadLedger::expire(Instant now)
 {
     std::erase_if(m_entries,
-                  [&](const auto &entry) { return now - entry.second.notedAt >= m_lifetime; });
+                  [&](const auto &entry) { return now - entry.second.recordedAt >= m_lifetime; });
 }
 
 LoadReport LoadLedger::merged(const ServiceName &service, std::span<const SliceRange> slices,
-                              double leastLoad) const
+                              double minLoad) const
 {
     std::vector<LoadReport> reports;
     for (const auto &[daemon, entry] : m_entries) {
@@ -34,7 +34,7 @@
     double total = 0;
     for (const SliceLoad &slice : sum.slices)
         total += slice.load;
-    return reports.empty() || total < leastLoad ? LoadReport{} : sum;
+    return reports.empty() || total < minLoad ? LoadReport{} : sum;
 }
 
 } // namespace bulrush
--- a/src/libbulrush/version/loadledger.h
+++ b/src/libbulrush/version/loadledger.h
@@ -29,17 +29,17 @@
 
     /**
      * \returns the sum of all reports on \a service, on the ranges \a slices; empty if there is no
-     * report, or if the sum is below \a leastLoad requests per second.
+     * report, or if the sum is below \a minLoad requests per second.
      * \pre \a slices are sorted and do not overlap.
      */
     LoadReport merged(const ServiceName &service, std::span<const SliceRange> slices,
-                      double leastLoad) const;
+                      double minLoad) const;
 
 private:
     struct Entry
     {
         std::map<ServiceName, LoadReport> reports;
-        Instant notedAt;
+        Instant recordedAt;
     };
 
     Duration m_lifetime;
--- a/src/libbulrush/version/moveround.cpp
+++ b/src/libbulrush/version/moveround.cpp
@@ -10,19 +10,19 @@
 namespace {
 
 /** A receiver may become too busy by the slices it gets; the next pass relieves it. */
-constexpr int maximumPasses = 4;
+constexpr int maxPasses = 4;
 
 /** Servers examined for one large key; bounds the planning time to linear. */
-constexpr std::size_t maximumTries = 16;
+constexpr std::size_t maxCandidates = 16;
 
 /** A key with this part of a fair share is large: moving it may be cheaper than moving the rest. */
 constexpr double largeRatio = 0.25;
 
 /**
- * A large key moves only if the load that cannot make room for it without moving many keys exceeds
- * the settle ratio at the new server by at most this part of the excess at the old one.
+ * A large key moves only if the fixed load of the new server would exceed the settle ratio by at
+ * most this part of the excess at the old server, since removing fixed load moves many keys.
  */
-constexpr double worthwhileRest = 0.5;
+constexpr double maxReceiverExcessRatio = 0.5;
 
 } // namespace
 
@@ -53,21 +53,22 @@
 
 void MoveRound::emptyUnusableServers()
 {
-    std::vector<MovableSlice *> stranded;
+    std::vector<MovableSlice *> slicesToEvacuate;
     for (MovableSlice &slice : m_slices) {
         if (!m_servers.isUsable(slice.owner))
-            stranded.push_back(&slice);
+            slicesToEvacuate.push_back(&slice);
     }
-    std::ranges::stable_sort(stranded, [&](const MovableSlice *first, const MovableSlice *second) {
-        const bool isFirstLost = m_servers.isLost(first->owner);
-        if (isFirstLost != m_servers.isLost(second->owner))
-            return isFirstLost;
-        return first->load > second->load;
-    });
-    for (MovableSlice *slice : stranded) {
+    std::ranges::stable_sort(slicesToEvacuate,
+                             [&](const MovableSlice *first, const MovableSlice *second) {
+                                 const bool isFirstLost = m_servers.isLost(first->owner);
+                                 if (isFirstLost != m_servers.isLost(second->owner))
+                                     return isFirstLost;
+                                 return first->load > second->load;
+                             });
+    for (MovableSlice *slice : slicesToEvacuate) {
         auto to = m_servers.receiver(slice->load, m_options.settleRatio);
         if (!to)
-            to = m_servers.lightest();
+            to = m_servers.leastLoaded();
         if (!to)
             return;
         const bool isLost = m_servers.isLost(slice->owner);
@@ -75,10 +76,10 @@
     }
 }
 
-void MoveRound::relieveBusyServers(const std::vector<bool> &waiting)
+void MoveRound::relieveBusyServers(const std::vector<bool> &unconfirmed)
 {
-    for (int pass = 0; pass < maximumPasses; ++pass) {
-        if (!relieveAllOnce(waiting))
+    for (int pass = 0; pass < maxPasses; ++pass) {
+        if (!relieveOnePass(unconfirmed))
             return;
     }
 }
@@ -88,7 +89,7 @@
     for (std::size_t i = 0; i < m_servers.count(); ++i) {
         const bool takesLoad = m_servers.isUsable(i) && m_servers.isCold(i);
         if (takesLoad && m_servers.ratio(i) < m_options.floorRatio)
-            fill(i);
+            fillColdServer(i);
     }
 }
 
@@ -115,7 +116,7 @@
 
 bool MoveRound::canMove(const MovableSlice &slice) const
 {
-    return !slice.isHeld && slice.share <= m_budget;
+    return !slice.isPinned && slice.share <= m_budget;
 }
 
 void MoveRound::move(MovableSlice &slice, std::size_t to, MoveReason reason)
@@ -130,7 +131,7 @@
         changeFixedLoad(to, slice.load);
     }
     slice.owner = target;
-    slice.isHeld = true;
+    slice.isPinned = true;
 }
 
 /**
@@ -140,8 +141,9 @@
 std::vector<MovableSlice *> MoveRound::slicesByDensity(std::size_t server)
 {
     std::vector<MovableSlice *> slices = m_slicesByServer[server];
-    std::erase_if(
-        slices, [&](const MovableSlice *slice) { return slice->isHeld || slice->owner != server; });
+    std::erase_if(slices, [&](const MovableSlice *slice) {
+        return slice->isPinned || slice->owner != server;
+    });
     std::ranges::stable_sort(slices, std::greater{},
                              [](const MovableSlice *slice) { return slice->load / slice->share; });
     return slices;
@@ -150,11 +152,11 @@
 /**
  * \returns whether any slice was moved.
  */
-bool MoveRound::relieveAllOnce(const std::vector<bool> &waiting)
+bool MoveRound::relieveOnePass(const std::vector<bool> &unconfirmed)
 {
     std::vector<std::size_t> busy;
     for (std::size_t i = 0; i < m_servers.count(); ++i) {
-        if (!waiting[i] && m_servers.ratio(i) > m_options.targetRatio)
+        if (!unconfirmed[i] && m_servers.ratio(i) > m_options.targetRatio)
             busy.push_back(i);
     }
     std::ranges::stable_sort(busy, std::greater{},
@@ -183,12 +185,12 @@
     for (MovableSlice *slice : slices) {
         if (!isLarge(*slice) || !canMove(*slice) || excess(donor) <= 0)
             continue;
-        const auto to = homeFor(*slice);
+        const auto to = receiverForLargeKey(*slice);
         if (!to || *to == donor)
             continue;
-        const double stays = fixedExcess(donor);
-        const double goes = fixedExcess(*to) + slice->load;
-        if (stays > 0 && goes <= stays * worthwhileRest)
+        const double donorExcess = fixedExcess(donor);
+        const double receiverExcess = fixedExcess(*to) + slice->load;
+        if (donorExcess > 0 && receiverExcess <= donorExcess * maxReceiverExcessRatio)
             move(*slice, *to, MoveReason::Overload);
     }
 }
@@ -223,7 +225,7 @@
  * \returns the server with the least fixed load for a large key, or nothing. Cold servers qualify
  * only if they have room for it.
  */
-std::optional<std::size_t> MoveRound::homeFor(const MovableSlice &slice) const
+std::optional<std::size_t> MoveRound::receiverForLargeKey(const MovableSlice &slice) const
 {
     std::size_t tries = 0;
     for (const auto &[ratio, server] : m_byFixedRatio) {
@@ -231,7 +233,7 @@
             || m_servers.room(server, m_options.settleRatio) >= slice.load;
         if (isAllowed)
             return server;
-        if (++tries == maximumTries)
+        if (++tries == maxCandidates)
             return std::nullopt;
     }
     return std::nullopt;
@@ -243,10 +245,10 @@
 void MoveRound::shedWithinExcess(std::size_t donor, std::span<MovableSlice *const> slices)
 {
     for (MovableSlice *slice : slices) {
-        const double tooMuch = excess(donor);
-        if (tooMuch <= 0)
+        const double excessLoad = excess(donor);
+        if (excessLoad <= 0)
             return;
-        if (!canMove(*slice) || slice->load > tooMuch)
+        if (!canMove(*slice) || slice->load > excessLoad)
             continue;
         if (const auto to = m_servers.receiver(slice->load, m_options.settleRatio))
             move(*slice, *to, MoveReason::Overload);
@@ -258,10 +260,10 @@
  */
 void MoveRound::shedOneAboveExcess(std::size_t donor, std::span<MovableSlice *const> slices)
 {
-    const double tooMuch = excess(donor);
+    const double excessLoad = excess(donor);
     MovableSlice *smallest = nullptr;
     for (MovableSlice *slice : slices) {
-        const bool isLarger = canMove(*slice) && slice->load > tooMuch;
+        const bool isLarger = canMove(*slice) && slice->load > excessLoad;
         if (isLarger && (!smallest || slice->load < smallest->load))
             smallest = slice;
     }
@@ -275,7 +277,7 @@
  * Moves slices from the busiest server to \a receiver, as long as the former stays above its fair
  * share.
  */
-void MoveRound::fill(std::size_t receiver)
+void MoveRound::fillColdServer(std::size_t receiver)
 {
     std::size_t donor = receiver;
     for (std::size_t i = 0; i < m_servers.count(); ++i) {
--- a/src/libbulrush/version/moveround.h
+++ b/src/libbulrush/version/moveround.h
@@ -21,7 +21,7 @@
     SliceRange range;
     std::uint32_t owner = 0;
     /** Moved recently or in this round; not moved again unless its owner is lost or leaving. */
-    bool isHeld = false;
+    bool isPinned = false;
     /** In requests per second. */
     double load = 0;
     /** Share of the service's part of the key space. */
@@ -60,9 +60,10 @@
     void emptyUnusableServers();
     /**
      * Moves slices off servers above the target ratio.
-     * \pre \a waiting says for each server whether it must not be relieved yet.
+     * \pre \a unconfirmed says for each server whether its overload is not confirmed yet, so that
+     * it is not relieved.
      */
-    void relieveBusyServers(const std::vector<bool> &waiting);
+    void relieveBusyServers(const std::vector<bool> &unconfirmed);
     /** Moves slices from the busiest servers to cold ones, up to one step per round. */
     void fillColdServers();
     /**
@@ -78,17 +79,17 @@
     bool canMove(const MovableSlice &slice) const;
     void move(MovableSlice &slice, std::size_t to, MoveReason reason);
     std::vector<MovableSlice *> slicesByDensity(std::size_t server);
-    bool relieveAllOnce(const std::vector<bool> &waiting);
+    bool relieveOnePass(const std::vector<bool> &unconfirmed);
     double excess(std::size_t server) const;
     void placeLargeSlices(std::size_t donor, std::span<MovableSlice *const> slices);
     bool isLarge(const MovableSlice &slice) const;
     bool isFixed(const MovableSlice &slice) const;
     void changeFixedLoad(std::size_t server, double change);
     double fixedExcess(std::size_t server) const;
-    std::optional<std::size_t> homeFor(const MovableSlice &slice) const;
+    std::optional<std::size_t> receiverForLargeKey(const MovableSlice &slice) const;
     void shedWithinExcess(std::size_t donor, std::span<MovableSlice *const> slices);
     void shedOneAboveExcess(std::size_t donor, std::span<MovableSlice *const> slices);
-    void fill(std::size_t receiver);
+    void fillColdServer(std::size_t receiver);
     bool canJoin(const MovableSlice &slice, const MovableSlice &neighbour) const;
 
     const PlannerOptions &m_options;
--- a/src/libbulrush/version/pathpattern.cpp
+++ b/src/libbulrush/version/pathpattern.cpp
@@ -84,7 +84,7 @@
         && std::ranges::find(segments, candidate) != segments.end();
 }
 
-/** \returns the text before the next slash, and takes both off \a rest. */
+/** \returns the text before the next slash, and removes both from \a rest. */
 std::string_view takeSegment(std::string_view &rest)
 {
     const std::size_t slash = rest.find('/');
--- a/src/libbulrush/version/plan.cpp
+++ b/src/libbulrush/version/plan.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr double lineLength = 18446744073709551616.0; // 2 to the 64th
+constexpr double keySpaceSize = 18446744073709551616.0; // 2 to the 64th
 
 SliceOwner withRange(SliceOwner slice, SliceRange range)
 {
@@ -18,7 +18,7 @@
 /**
  * Applies merges and splits, both sorted by range, in one pass over the slices.
  */
-std::vector<SliceOwner> withLayout(std::span<const SliceOwner> slices, const Plan &plan)
+std::vector<SliceOwner> applyLayout(std::span<const SliceOwner> slices, const Plan &plan)
 {
     std::vector<SliceOwner> result;
     result.reserve(slices.size() + 2 * plan.splits.size());
@@ -50,7 +50,7 @@
 
 std::vector<SliceOwner> appliedPlan(std::span<const SliceOwner> slices, const Plan &plan)
 {
-    std::vector<SliceOwner> result = withLayout(slices, plan);
+    std::vector<SliceOwner> result = applyLayout(slices, plan);
     const auto beginOf = [](const SliceOwner &slice) {
         return slice.range.begin;
     };
@@ -71,9 +71,9 @@
     return {first, last};
 }
 
-double shareOfLine(SliceRange range)
+double keySpaceShare(SliceRange range)
 {
-    return (static_cast<double>(range.end - range.begin) + 1.0) / lineLength;
+    return (static_cast<double>(range.end - range.begin) + 1.0) / keySpaceSize;
 }
 
 } // namespace bulrush
--- a/src/libbulrush/version/plan.h
+++ b/src/libbulrush/version/plan.h
@@ -103,7 +103,7 @@
 /**
  * \returns the share of the complete key space that \a range covers, from 0 to 1.
  */
-double shareOfLine(SliceRange range);
+double keySpaceShare(SliceRange range);
 
 inline bool Plan::isEmpty() const
 {
--- a/src/libbulrush/version/planner.cpp
+++ b/src/libbulrush/version/planner.cpp
@@ -16,10 +16,10 @@
 namespace {
 
 /** Idle keys count as this part of the load, so that idle slices are spread over servers too. */
-constexpr double idleShare = 0.01;
+constexpr double idleLoadRatio = 0.01;
 
 /** The budget holds this part of a window's moves; it and the refill add up to the allowance. */
-constexpr double burstShare = 0.5;
+constexpr double maxBudgetRatio = 0.5;
 
 template<typename Slice>
 std::vector<SliceRange> rangesOf(std::span<const Slice> slices)
@@ -35,7 +35,7 @@
 {
     double share = 0;
     for (const SliceOwner &slice : slices)
-        share += shareOfLine(slice.range);
+        share += keySpaceShare(slice.range);
     return share;
 }
 
@@ -61,14 +61,14 @@
     }
     std::unordered_map<std::string_view, double> shares;
     for (const SliceOwner &slice : input.slices)
-        shares[slice.server.value()] += shareOfLine(slice.range);
+        shares[slice.server.value()] += keySpaceShare(slice.range);
 
     std::vector<SliceLoad> loads;
     for (const SliceOwner &slice : input.slices) {
         const auto report = reports.find(slice.server.value());
         if (report == reports.end())
             return {};
-        const double part = shareOfLine(slice.range) / shares[slice.server.value()];
+        const double part = keySpaceShare(slice.range) / shares[slice.server.value()];
         loads.push_back({slice.range, report->second * part});
     }
     return loads;
@@ -90,8 +90,8 @@
     };
 }
 
-Plan typedPlan(const PlanInput &input, const ServerLoads &servers, Layout layout,
-               std::span<const SliceMove> moves)
+Plan toPlan(const PlanInput &input, const ServerLoads &servers, Layout layout,
+            std::span<const SliceMove> moves)
 {
     Plan plan;
     for (SliceRange range : layout.merges)
@@ -122,22 +122,22 @@
 
 Planner::Planner(PlannerOptions options)
     : m_options(options)
-    , m_budget(options.moveBudget * burstShare)
+    , m_budget(options.moveBudget * maxBudgetRatio)
 { }
 
 Plan Planner::plan(const PlanInput &input, Instant now)
 {
     refillBudget(now);
-    forgetOldMoves(now);
+    removeExpiredMoves(now);
     ServerLoads servers(input.service, input.servers, m_options.coldStep);
     const std::size_t serverCount = servers.count();
     if (input.slices.empty() || servers.usableCount() == 0)
         return {};
 
-    const bool isCounted = !input.loads.empty() || !input.hotKeys.empty();
+    const bool isMeasured = !input.loads.empty() || !input.hotKeys.empty();
     const std::vector<SliceLoad> reported =
-        isCounted ? std::vector<SliceLoad>{} : reportedLoads(input);
-    const std::span<const SliceLoad> loads = isCounted ? input.loads : reported;
+        isMeasured ? std::vector<SliceLoad>{} : reportedLoads(input);
+    const std::span<const SliceLoad> loads = isMeasured ? input.loads : reported;
 
     const double share = coveredShare(input.slices);
     const std::vector<PlannedSlice> current = plannedSlices(input.slices, servers);
@@ -150,14 +150,14 @@
 
     sliceLoads = loadOfSlices(rangesOf<PlannedSlice>(layout.slices), loads, input.hotKeys);
     std::vector<MovableSlice> slices = movableSlices(layout.slices, sliceLoads, total, share);
-    const std::size_t mostSlices = serverCount * m_options.maximumSlicesPerServer;
+    const std::size_t maxSlices = serverCount * m_options.maximumSlicesPerServer;
     LayoutBounds partBounds = bounds;
     // The share of movable slices is relative to the service's part of the key space.
     partBounds.sliceShare /= share;
-    const auto moves = chooseMoves(slices, servers, partBounds, slices.size() > mostSlices);
+    const auto moves = chooseMoves(slices, servers, partBounds, slices.size() > maxSlices);
     for (const SliceMove &move : moves)
         m_lastMoves.insert_or_assign(move.range.begin, now);
-    return typedPlan(input, servers, std::move(layout), moves);
+    return toPlan(input, servers, std::move(layout), moves);
 }
 
 std::vector<SliceMove> Planner::chooseMoves(std::span<MovableSlice> slices, ServerLoads &servers,
@@ -181,15 +181,15 @@
                                                  std::span<const double> loads, double totalLoad,
                                                  double totalShare) const
 {
-    const double idleLoad = totalLoad > 0 ? totalLoad * idleShare : 1.0;
+    const double idleLoad = totalLoad > 0 ? totalLoad * idleLoadRatio : 1.0;
     std::vector<MovableSlice> result;
     result.reserve(slices.size());
     for (std::size_t i = 0; i < slices.size(); ++i) {
         MovableSlice slice;
         slice.range = slices[i].range;
         slice.owner = slices[i].owner;
-        slice.isHeld = m_lastMoves.contains(slice.range.begin);
-        slice.share = shareOfLine(slice.range) / totalShare;
+        slice.isPinned = m_lastMoves.contains(slice.range.begin);
+        slice.share = keySpaceShare(slice.range) / totalShare;
         slice.load = loads[i] + idleLoad * slice.share;
         result.push_back(slice);
     }
@@ -220,14 +220,14 @@
     if (m_lastRound) {
         const std::chrono::duration<double> passed = now - *m_lastRound;
         const std::chrono::duration<double> window = m_options.budgetWindow;
-        const double fullBudget = m_options.moveBudget * burstShare;
-        const double refill = m_options.moveBudget * (1.0 - burstShare) * (passed / window);
+        const double fullBudget = m_options.moveBudget * maxBudgetRatio;
+        const double refill = m_options.moveBudget * (1.0 - maxBudgetRatio) * (passed / window);
         m_budget = std::min(fullBudget, m_budget + refill);
     }
     m_lastRound = now;
 }
 
-void Planner::forgetOldMoves(Instant now)
+void Planner::removeExpiredMoves(Instant now)
 {
     std::erase_if(m_lastMoves,
                   [&](const auto &entry) { return now - entry.second >= m_options.holdTime; });
@@ -235,7 +235,7 @@
 
 std::vector<SliceOwner> initialSlices(const ServiceName &service,
                                       std::span<const ServerState> servers,
-                                      const PlannerOptions &options, SliceRange line)
+                                      const PlannerOptions &options, SliceRange keySpace)
 {
     const ServerLoads known(service, servers, options.coldStep);
     if (known.usableCount() == 0)
@@ -246,23 +246,24 @@
         if (state.service == service)
             capacityByName.emplace(state.server.value(), state.capacity);
     }
-    // The server with the least slices for its capacity comes first, ties are resolved by name.
-    using Turn = std::pair<double, std::size_t>;
-    std::priority_queue<Turn, std::vector<Turn>, std::greater<>> turns;
+    // The server with the fewest slices for its capacity is next; ties are resolved by name.
+    using FillLevel = std::pair<double, std::size_t>;
+    std::priority_queue<FillLevel, std::vector<FillLevel>, std::greater<>> serversByFill;
     for (std::size_t i = 0; i < known.count(); ++i) {
         if (known.isUsable(i))
-            turns.emplace(0.0, i);
+            serversByFill.emplace(0.0, i);
     }
     const std::size_t sliceCount = known.usableCount() * options.slicesPerServer;
-    const KeyHash step = (line.end - line.begin) / sliceCount;
+    const KeyHash step = (keySpace.end - keySpace.begin) / sliceCount;
     std::vector<SliceOwner> slices;
     slices.reserve(sliceCount);
     for (std::size_t i = 0; i < sliceCount; ++i) {
-        const auto [turn, owner] = turns.top();
-        turns.pop();
-        turns.emplace(turn + 1.0 / capacityByName.at(known.name(owner).value()), owner);
-        const KeyHash begin = line.begin + i * step;
-        const KeyHash end = i + 1 == sliceCount ? line.end : begin + step - 1;
+        const auto [fillLevel, owner] = serversByFill.top();
+        serversByFill.pop();
+        serversByFill.emplace(fillLevel + 1.0 / capacityByName.at(known.name(owner).value()),
+                              owner);
+        const KeyHash begin = keySpace.begin + i * step;
+        const KeyHash end = i + 1 == sliceCount ? keySpace.end : begin + step - 1;
         slices.push_back({service, {begin, end}, known.name(owner), {}});
     }
     return slices;
--- a/src/libbulrush/version/planner.h
+++ b/src/libbulrush/version/planner.h
@@ -120,7 +120,7 @@
                                        const LayoutBounds &bounds, bool isCrowded);
     std::vector<bool> unconfirmedServers(const ServerLoads &servers);
     void refillBudget(Instant now);
-    void forgetOldMoves(Instant now);
+    void removeExpiredMoves(Instant now);
 
     PlannerOptions m_options;
     double m_budget;
@@ -131,12 +131,12 @@
 };
 
 /**
- * \returns slices of \a line of equal width for a service that has none yet, distributed by
+ * \returns slices of \a keySpace of equal width for a service that has none yet, distributed by
  * capacity over the servers that are neither lost nor leaving. The result does not depend on the
  * order of the servers. Empty if there is no such server. Thread safe.
  */
 std::vector<SliceOwner> initialSlices(const ServiceName &service,
                                       std::span<const ServerState> servers,
-                                      const PlannerOptions &options, SliceRange line = {});
+                                      const PlannerOptions &options, SliceRange keySpace = {});
 
 } // namespace bulrush
--- a/src/libbulrush/version/serverloads.cpp
+++ b/src/libbulrush/version/serverloads.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 /** Servers examined for one move, so that planning stays linear in slices. */
-constexpr std::size_t maximumTries = 16;
+constexpr std::size_t maxCandidates = 16;
 
 } // namespace
 
@@ -67,7 +67,7 @@
 {
     changeLoad(from, -load);
     changeLoad(to, load);
-    m_entries[to].taken += load;
+    m_entries[to].receivedLoad += load;
 }
 
 std::size_t ServerLoads::usableCount() const
@@ -85,7 +85,7 @@
 {
     std::size_t tries = 0;
     for (const auto &[ratio, index] : m_byRatio) {
-        if (ratio >= limitRatio || tries == maximumTries)
+        if (ratio >= limitRatio || tries == maxCandidates)
             return std::nullopt;
         const double space = room(index, limitRatio);
         if (space >= load && space > 0)
@@ -95,7 +95,7 @@
     return std::nullopt;
 }
 
-std::optional<std::size_t> ServerLoads::lightest() const
+std::optional<std::size_t> ServerLoads::leastLoaded() const
 {
     for (const auto &[ratio, index] : m_byRatio) {
         if (!m_entries[index].isCold)
@@ -111,7 +111,7 @@
     const Entry &entry = m_entries[index];
     double space = limitRatio * entry.fairShare - entry.load;
     if (entry.isCold)
-        space = std::min(space, m_coldStep * entry.fairShare - entry.taken);
+        space = std::min(space, m_coldStep * entry.fairShare - entry.receivedLoad);
     return std::max(space, 0.0);
 }
 
--- a/src/libbulrush/version/serverloads.h
+++ b/src/libbulrush/version/serverloads.h
@@ -63,7 +63,7 @@
     std::optional<std::size_t> receiver(double load, double limitRatio) const;
 
     /** \returns the least loaded server, preferably one that is not cold, or nothing. */
-    std::optional<std::size_t> lightest() const;
+    std::optional<std::size_t> leastLoaded() const;
 
     /** \returns how much load a server can receive up to \a limitRatio; never below 0. */
     double room(std::size_t index, double limitRatio) const;
@@ -78,7 +78,7 @@
         bool isCold = false;
         double fairShare = 0;
         double load = 0;
-        double taken = 0;
+        double receivedLoad = 0;
     };
 
     void changeLoad(std::size_t index, double change);
--- a/src/libbulrush/version/slicelayout.cpp
+++ b/src/libbulrush/version/slicelayout.cpp
@@ -38,40 +38,41 @@
 /**
  * \returns the first keys of the parts of \a range except the first part, if it is too wide.
  */
-std::vector<KeyHash> evenCuts(SliceRange range, double sliceShare)
+std::vector<KeyHash> evenSplitPoints(SliceRange range, double sliceShare)
 {
-    const double parts = std::floor(shareOfLine(range) / sliceShare + shareTolerance);
-    std::vector<KeyHash> cuts;
+    const double parts = std::floor(keySpaceShare(range) / sliceShare + shareTolerance);
+    std::vector<KeyHash> splitPoints;
     if (parts < 2.0)
-        return cuts;
+        return splitPoints;
 
     const auto count = static_cast<std::uint64_t>(parts);
     const KeyHash step = (range.end - range.begin) / count;
     for (std::uint64_t i = 1; i < count; ++i)
-        cuts.push_back(range.begin + i * step);
-    return cuts;
+        splitPoints.push_back(range.begin + i * step);
+    return splitPoints;
 }
 
-void addKeyCuts(SliceRange range, std::span<const KeyHash> keys, std::vector<KeyHash> &cuts)
+void addKeySplitPoints(SliceRange range, std::span<const KeyHash> keys,
+                       std::vector<KeyHash> &splitPoints)
 {
     for (KeyHash key : keys) {
         if (key > range.begin)
-            cuts.push_back(key);
+            splitPoints.push_back(key);
         if (key < range.end)
-            cuts.push_back(key + 1);
+            splitPoints.push_back(key + 1);
     }
 }
 
-std::vector<SliceRange> partsOf(SliceRange range, std::vector<KeyHash> cuts)
+std::vector<SliceRange> partsOf(SliceRange range, std::vector<KeyHash> splitPoints)
 {
-    std::ranges::sort(cuts);
-    cuts.erase(std::unique(cuts.begin(), cuts.end()), cuts.end());
+    std::ranges::sort(splitPoints);
+    splitPoints.erase(std::unique(splitPoints.begin(), splitPoints.end()), splitPoints.end());
 
     std::vector<SliceRange> parts;
     KeyHash begin = range.begin;
-    for (KeyHash cut : cuts) {
-        parts.push_back({begin, cut - 1});
-        begin = cut;
+    for (KeyHash splitPoint : splitPoints) {
+        parts.push_back({begin, splitPoint - 1});
+        begin = splitPoint;
     }
     parts.push_back({begin, range.end});
     return parts;
@@ -91,7 +92,7 @@
     /** Adds a slice that may merge with its neighbours. */
     void addMergeable(const PlannedSlice &slice)
     {
-        const double share = shareOfLine(slice.range);
+        const double share = keySpaceShare(slice.range);
         if (m_count > 0 && canFollow(slice) && m_share + share <= m_limit) {
             m_layout.slices.back().range.end = slice.range.end;
             m_share += share;
@@ -163,12 +164,12 @@
             builder.addFixed(slices[i]);
             continue;
         }
-        std::vector<KeyHash> cuts = evenCuts(range, bounds.sliceShare);
-        addKeyCuts(range, {firstKey, key}, cuts);
-        if (cuts.empty())
+        std::vector<KeyHash> splitPoints = evenSplitPoints(range, bounds.sliceShare);
+        addKeySplitPoints(range, {firstKey, key}, splitPoints);
+        if (splitPoints.empty())
             builder.addMergeable(slices[i]);
         else
-            builder.addParts(slices[i], partsOf(range, std::move(cuts)));
+            builder.addParts(slices[i], partsOf(range, std::move(splitPoints)));
     }
     builder.finishRun();
     return layout;
--- a/src/libbulrush/version/sliceload.cpp
+++ b/src/libbulrush/version/sliceload.cpp
@@ -16,8 +16,8 @@
 /**
  * \returns the load of each range without the load of its hot keys.
  */
-std::vector<double> unexplainedLoads(std::span<const SliceLoad> loads,
-                                     std::span<const KeyLoad> hotKeys)
+std::vector<double> loadsWithoutHotKeys(std::span<const SliceLoad> loads,
+                                        std::span<const KeyLoad> hotKeys)
 {
     std::vector<double> result;
     result.reserve(loads.size());
@@ -51,14 +51,14 @@
                                  std::span<const SliceLoad> loads, std::span<const KeyLoad> hotKeys)
 {
     std::vector<double> result(slices.size(), 0.0);
-    const std::vector<double> unexplained = unexplainedLoads(loads, hotKeys);
+    const std::vector<double> remainingLoads = loadsWithoutHotKeys(loads, hotKeys);
     std::size_t first = 0;
     for (std::size_t i = 0; i < slices.size(); ++i) {
         while (first < loads.size() && loads[first].range.end < slices[i].begin)
             ++first;
         for (std::size_t j = first; j < loads.size() && overlaps(loads[j].range, slices[i]); ++j) {
             const SliceRange shared = intersection(loads[j].range, slices[i]);
-            result[i] += unexplained[j] * shareOfLine(shared) / shareOfLine(loads[j].range);
+            result[i] += remainingLoads[j] * keySpaceShare(shared) / keySpaceShare(loads[j].range);
         }
     }
     addHotKeys(slices, hotKeys, result);
--- a/tests/heavyhitters/test_heavyhitters.cpp
+++ b/tests/heavyhitters/test_heavyhitters.cpp
@@ -14,7 +14,7 @@
 
 constexpr Instant start{};
 
-/** Key k of 2000 comes up about 1 / (k + 1) as often as key 0. */
+/** Chooses one of 2000 keys; key k is chosen about 1 / (k + 1) times as often as key 0. */
 KeyHash skewedKey(std::mt19937_64 &random)
 {
     const double place = std::uniform_real_distribution<double>(0.0, 1.0)(random);
@@ -46,13 +46,13 @@
         if (count > 50'000.0 / 64.0)
             BOOST_TEST(named.contains(key));
         if (!named.contains(key))
-            BOOST_TEST(count * perSecond <= report.unnamedRate * 1.000001);
+            BOOST_TEST(count * perSecond <= report.unlistedRate * 1.000001);
     }
     BOOST_TEST(report.hitters.front().key == 0u);
     BOOST_TEST(sketch.report(start, 5).hitters.size() == 5u);
 }
 
-BOOST_AUTO_TEST_CASE(anOldHotKeyFadesBehindANewOne)
+BOOST_AUTO_TEST_CASE(olderHotKeyDecaysBelowANewerOne)
 {
     HeavyHitters sketch(8, 10s, start);
     sketch.add(1, start, 1000.0);
@@ -85,7 +85,7 @@
     BOOST_TEST(merged.hitters.size() == 2u);
     BOOST_TEST((merged.hitters[0] == HeavyHitter{1, 170, 5}));
     BOOST_TEST((merged.hitters[1] == HeavyHitter{2, 70, 20}));
-    BOOST_TEST(merged.unnamedRate == 50.0);
+    BOOST_TEST(merged.unlistedRate == 50.0);
 }
 
 BOOST_AUTO_TEST_CASE(metersMergeAcrossDifferentSlices)
@@ -100,7 +100,7 @@
     BOOST_TEST((merged.hotKeys == std::vector<KeyLoad>{{50, 70}}));
 }
 
-BOOST_AUTO_TEST_CASE(aHotKeyTakesItsCountToItsOwnSlice)
+BOOST_AUTO_TEST_CASE(hotKeyCountMovesToItsOwnSlice)
 {
     SliceMeter meter(std::vector<SliceRange>{{0, 100}}, 10s, start);
     meter.add(50, start, 90.0);
@@ -109,14 +109,14 @@
     const std::vector<KeyLoad> hotKeys{{50, 90.0 * perSecond}};
     meter.changeSlices(std::vector<SliceRange>{{0, 49}, {50, 50}, {51, 100}}, hotKeys, start + 10s);
     const auto loads = meter.loads(start + 10s);
-    // Half of the count has decayed, so the key's load exceeds what is left of the slice's.
+    // Half of the count has decayed, so the key's load exceeds the remaining load of the slice.
     BOOST_TEST(loads[1].load == 90.0 * perSecond, boost::test_tools::tolerance(1e-9));
     BOOST_TEST(loads[0].load == 0.0);
     meter.add(200, start + 10s);
     BOOST_TEST((meter.loads(start + 10s) == loads));
 }
 
-BOOST_AUTO_TEST_CASE(boundedLoadsKeepTheSumAndTheBusiest)
+BOOST_AUTO_TEST_CASE(boundedLoadsPreserveTheSumAndTheBusiestSlices)
 {
     std::vector<SliceLoad> loads;
     for (KeyHash i = 0; i < 100; ++i)
--- a/tests/planner/plansession.cpp
+++ b/tests/planner/plansession.cpp
@@ -53,7 +53,7 @@
         addServer(name);
     slices = initialSlices(catalogue, servers, options);
     for (const SliceOwner &slice : slices)
-        coldLoads.push_back({slice.range, 10.0});
+        baseLoads.push_back({slice.range, 10.0});
 }
 
 PlannerOptions PlanSession::smallOptions()
@@ -82,7 +82,7 @@
 Plan PlanSession::round()
 {
     m_now += std::chrono::seconds{10};
-    std::vector<SliceLoad> loads = coldLoads;
+    std::vector<SliceLoad> loads = baseLoads;
     std::vector<KeyLoad> keys;
     for (const auto &entry : hotKeys) {
         const KeyHash key = entry.first;
@@ -93,7 +93,7 @@
         std::ranges::find_if(loads, holdsKey)->load += entry.second;
     }
     PlanInput input{.service = catalogue, .slices = slices, .servers = servers};
-    if (isCounted) {
+    if (isMeasured) {
         input.loads = loads;
         input.hotKeys = keys;
     }
@@ -120,7 +120,7 @@
         m_log << "  move  " << text(move.range) << ' ' << move.from.value() << " to "
               << move.to.value() << ", " << text(move.reason) << '\n';
         if (!isForced(move.reason))
-            shareMoved += shareOfLine(move.range);
+            shareMoved += keySpaceShare(move.range);
     }
 }
 
--- a/tests/planner/plansession.h
+++ b/tests/planner/plansession.h
@@ -7,8 +7,8 @@
 #include <string>
 
 /**
- * A service of four servers with eight slices each, whose planner is driven round by round; what
- * it decides is written down. Every slice has 10 requests a second besides its hot keys.
+ * Runs planning rounds for a service of four servers with eight slices each and logs the decisions.
+ * Every slice has a load of 10 requests per second besides its hot keys.
  */
 class PlanSession
 {
@@ -20,18 +20,18 @@
     bulrush::ServerState &server(const std::string &name);
     void addServer(const std::string &name);
     void note(const std::string &line);
-    /** Plans at the next round, ten seconds on, and applies the plan. */
+    /** Runs the next round, ten seconds later, and applies its plan. */
     bulrush::Plan round();
-    /** Compares with the golden file of this name, or rewrites it if told so. */
+    /** Compares with the golden file, or rewrites it if BULRUSH_UPDATE_GOLDEN is set. */
     bool matchesGolden(const std::string &name) const;
 
     std::vector<bulrush::ServerState> servers;
     std::vector<bulrush::SliceOwner> slices;
-    /** Load besides hot keys of the slices as they were at first. */
-    std::vector<bulrush::SliceLoad> coldLoads;
+    /** Load of the initial slices, without hot keys. */
+    std::vector<bulrush::SliceLoad> baseLoads;
     std::map<bulrush::KeyHash, double> hotKeys;
-    bool isCounted = true;
-    /** Share of the line that has moved, but for lost or leaving owners. */
+    bool isMeasured = true;
+    /** Share of the key space that has moved, except from lost or leaving owners. */
     double shareMoved = 0;
 
 private:
--- a/tests/planner/test_planner.cpp
+++ b/tests/planner/test_planner.cpp
@@ -23,7 +23,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(initialSlicesCoverTheLineInAnyOrderOfServers)
+BOOST_AUTO_TEST_CASE(initialSlicesCoverTheKeySpaceForAnyOrderOfServers)
 {
     const auto slices = initialSlices(catalogue, serversNamed({"c", "a", "b"}), {});
     BOOST_TEST(slices.size() == 300u);
@@ -83,13 +83,13 @@
             BOOST_REQUIRE(((old - 1)->server == slice.server));
         }
         BOOST_REQUIRE(next == 0u);
-        // Even with other hot keys in every round the slices stay bounded.
+        // The number of slices stays bounded even if the hot keys change in every round.
         BOOST_REQUIRE(session.slices.size() < 4 * 2 * 8 + 6 * 12);
     }
     BOOST_TEST(changes > 300u);
 }
 
-BOOST_AUTO_TEST_CASE(crowdedSlicesMoveToWhereTheyMerge)
+BOOST_AUTO_TEST_CASE(excessSlicesMoveToWhereTheyCanMerge)
 {
     std::size_t counts[2] = {};
     for (std::uint32_t maximum : {110u, 1000u}) {
@@ -97,7 +97,7 @@
         options.slicesPerServer = 100;
         options.maximumSlicesPerServer = maximum;
         PlanSession session(options);
-        // Each slice in two halves, of which another server owns the second.
+        // Each slice is split in two halves, and the second one gets another owner.
         std::vector<SliceOwner> halves;
         for (std::size_t i = 0; i < session.slices.size(); ++i) {
             SliceOwner first = session.slices[i];
@@ -118,7 +118,7 @@
     BOOST_TEST(counts[1] == 800u);
 }
 
-BOOST_AUTO_TEST_CASE(hotKeyMovesNextToFewOthersAndMergesBackWhenCold)
+BOOST_AUTO_TEST_CASE(hotKeyMovesAndMergesBackWhenCold)
 {
     PlanSession session;
     session.note("even load");
@@ -167,13 +167,13 @@
         const Plan plan = session.round();
         double toCold = 0;
         for (const MoveSlice &move : plan.moves)
-            toCold += shareOfLine(move.range) * 5.0;
+            toCold += keySpaceShare(move.range) * 5.0;
         BOOST_TEST(toCold <= 0.3);
     }
     BOOST_TEST(session.matchesGolden("coldserver"));
 }
 
-BOOST_AUTO_TEST_CASE(reportsDontOutweighCounts)
+BOOST_AUTO_TEST_CASE(measuredLoadTakesPrecedenceOverReports)
 {
     PlanSession session;
     session.note("a reports ten times its load, b none");
@@ -184,7 +184,7 @@
     for (int i = 0; i < 3; ++i)
         BOOST_TEST(session.round().moves.empty());
     session.note("no daemon has counted: the reports are all there is");
-    session.isCounted = false;
+    session.isMeasured = false;
     session.round();
     BOOST_TEST(!session.round().moves.empty());
     BOOST_TEST(session.matchesGolden("lyingreports"));
@@ -198,19 +198,19 @@
     PlanSession session(options);
     session.note("all slices of a have four times the load of others, without any hot key");
     for (std::size_t i = 0; i < session.slices.size(); ++i)
-        session.coldLoads[i].load = session.slices[i].server.value() == "a" ? 4.0 : 1.0;
-    double movedBefore = 0;
+        session.baseLoads[i].load = session.slices[i].server.value() == "a" ? 4.0 : 1.0;
+    double shareMovedBefore = 0;
     for (int window = 0; window < 4; ++window) {
         for (int i = 0; i < 18; ++i)
             session.round();
-        BOOST_TEST(session.shareMoved - movedBefore <= 0.02 + 1e-9);
-        BOOST_TEST(session.shareMoved - movedBefore >= 0.009);
-        movedBefore = session.shareMoved;
+        BOOST_TEST(session.shareMoved - shareMovedBefore <= 0.02 + 1e-9);
+        BOOST_TEST(session.shareMoved - shareMovedBefore >= 0.009);
+        shareMovedBefore = session.shareMoved;
     }
     BOOST_TEST(session.matchesGolden("boundedchurn"));
 }
 
-BOOST_AUTO_TEST_CASE(slicesDontGoToAndFro)
+BOOST_AUTO_TEST_CASE(slicesDoNotOscillate)
 {
     PlanSession session;
     session.note("a hot key comes and goes every other round");
--- a/tests/requestlife/claimworld.cpp
+++ b/tests/requestlife/claimsimulation.cpp
@@ -1,4 +1,4 @@
-#include "claimworld.h"
+#include "claimsimulation.h"
 
 #include <algorithm>
 #include <utility>
@@ -42,34 +42,34 @@
 
 } // namespace
 
-/** Does what a claim asks for, and writes it down. */
-class ClaimWorld::ActionRunner
+/** Performs and logs the actions of a claim. */
+class ClaimSimulation::ActionRunner
 {
 public:
-    ActionRunner(ClaimWorld &world, const std::string &daemon)
-        : m_world(world)
+    ActionRunner(ClaimSimulation &simulation, const std::string &daemon)
+        : m_simulation(simulation)
         , m_daemon(daemon)
-        , m_asker(world.m_askers.at(daemon))
+        , m_claimingDaemon(simulation.m_claimingDaemons.at(daemon))
     { }
 
     void operator()(const WriteClaim &write) const
     {
-        m_asker.writes.push_back(write);
+        m_claimingDaemon.writes.push_back(write);
         note("writes " + nameOfState(write.row.state) + " upon version "
              + std::to_string(write.expectedVersion));
     }
 
     void operator()(const ReadClaim &) const
     {
-        m_asker.isReading = true;
+        m_claimingDaemon.isReading = true;
         note("reads the row");
     }
 
     void operator()(const DispatchClaimed &) const
     {
-        m_asker.isDispatched = true;
-        ++m_world.m_runs;
-        note("dispatches; run " + std::to_string(m_world.m_runs) + " at the server");
+        m_claimingDaemon.isDispatched = true;
+        ++m_simulation.m_runs;
+        note("dispatches; run " + std::to_string(m_simulation.m_runs) + " at the server");
     }
 
     void operator()(const AnswerCaller &answer) const
@@ -89,7 +89,7 @@
 
     void operator()(const SettleLater &later) const
     {
-        m_asker.isWaiting = true;
+        m_claimingDaemon.isWaiting = true;
         const auto delay = std::chrono::duration_cast<std::chrono::milliseconds>(later.delay);
         note("settles later, in " + std::to_string(delay.count()) + " ms");
     }
@@ -102,168 +102,170 @@
 private:
     void setAnswer(const std::string &answer) const
     {
-        m_asker.answer = answer;
+        m_claimingDaemon.answer = answer;
         note("answers its caller: " + answer);
     }
 
     void note(const std::string &line) const
     {
-        m_world.note("    " + m_daemon + " " + line);
+        m_simulation.note("    " + m_daemon + " " + line);
     }
 
-    ClaimWorld &m_world;
+    ClaimSimulation &m_simulation;
     const std::string &m_daemon;
-    Asker &m_asker;
+    ClaimingDaemon &m_claimingDaemon;
 };
 
-ClaimWorld::ClaimWorld(GoldenSession *session)
+ClaimSimulation::ClaimSimulation(GoldenSession *session)
     : m_session(session)
 { }
 
-void ClaimWorld::ask(const std::string &daemon, bool isRepeat)
+void ClaimSimulation::ask(const std::string &daemon, bool isRepeat)
 {
-    ++m_askCount;
-    const AttemptId attempt{daemon + "/" + std::to_string(m_askCount)};
+    ++m_requestCount;
+    const AttemptId attempt{daemon + "/" + std::to_string(m_requestCount)};
     ClaimRequest request{Incarnation{daemon}, attempt, m_now + 2s, 1s, isRepeat};
-    m_askers.insert_or_assign(daemon, Asker{Claim{std::move(request)}, {}, {}, {}, {}, {}});
+    m_claimingDaemons.insert_or_assign(
+        daemon, ClaimingDaemon{Claim{std::move(request)}, {}, {}, {}, {}, {}});
     note(daemon + (isRepeat ? " is asked again" : " is asked"));
-    perform(daemon, m_askers.at(daemon).claim.start());
+    perform(daemon, m_claimingDaemons.at(daemon).claim.start());
 }
 
-void ClaimWorld::platform(const std::string &daemon, Fate fate)
+void ClaimSimulation::completeWrite(const std::string &daemon, WriteResult writeResult)
 {
-    Asker &asker = m_askers.at(daemon);
-    const WriteClaim write = asker.writes.front();
-    asker.writes.erase(asker.writes.begin());
-    if (fate == Fate::Answered) {
+    ClaimingDaemon &claimingDaemon = m_claimingDaemons.at(daemon);
+    const WriteClaim write = claimingDaemon.writes.front();
+    claimingDaemon.writes.erase(claimingDaemon.writes.begin());
+    if (writeResult == WriteResult::Answered) {
         send(daemon, apply(write));
         return;
     }
-    if (fate == Fate::NotSent) {
+    if (writeResult == WriteResult::NotSent) {
         note("the platform refuses the connection of " + daemon);
         send(daemon, ClaimWriteNotSent{});
         return;
     }
-    if (fate == Fate::AnswerLost)
+    if (writeResult == WriteResult::AnswerLost)
         apply(write);
     else
-        m_late.push_back(write);
+        m_delayedWrites.push_back(write);
     note("the answer to the write of " + daemon + " is lost");
     send(daemon, ClaimWriteLost{});
 }
 
-void ClaimWorld::readAnswered(const std::string &daemon)
+void ClaimSimulation::readAnswered(const std::string &daemon)
 {
-    m_askers.at(daemon).isReading = false;
+    m_claimingDaemons.at(daemon).isReading = false;
     note(daemon + " has read " + textOf(m_row));
     send(daemon, ClaimRowRead{m_row});
 }
 
-void ClaimWorld::readFailed(const std::string &daemon)
+void ClaimSimulation::readFailed(const std::string &daemon)
 {
-    m_askers.at(daemon).isReading = false;
+    m_claimingDaemons.at(daemon).isReading = false;
     note("the read of " + daemon + " fails");
     send(daemon, ClaimReadFailed{});
 }
 
-void ClaimWorld::deliverLate()
+void ClaimSimulation::processDelayedWrites()
 {
-    for (const WriteClaim &write : std::exchange(m_late, {}))
+    for (const WriteClaim &write : std::exchange(m_delayedWrites, {}))
         apply(write);
 }
 
-void ClaimWorld::workEnded(const std::string &daemon, const Outcome &outcome)
+void ClaimSimulation::workEnded(const std::string &daemon, const Outcome &outcome)
 {
-    Asker &asker = m_askers.at(daemon);
-    asker.isDispatched = false;
-    asker.answer = textOf(callerResponse(outcome, false));
-    // A server that says so did not run it.
+    ClaimingDaemon &claimingDaemon = m_claimingDaemons.at(daemon);
+    claimingDaemon.isDispatched = false;
+    claimingDaemon.answer = textOf(callerResponse(outcome, false));
+    // The server stated that it did not run the request.
     if (std::holds_alternative<NotRun>(outcome))
         --m_runs;
-    note("the work of " + daemon + " ends: " + asker.answer);
+    note("the work of " + daemon + " ends: " + claimingDaemon.answer);
     send(daemon, ClaimedWorkEnded{outcome, "answer of " + daemon});
 }
 
-void ClaimWorld::send(const std::string &daemon, const ClaimEvent &event)
+void ClaimSimulation::send(const std::string &daemon, const ClaimEvent &event)
 {
     if (std::holds_alternative<ClaimSettleDue>(event))
-        m_askers.at(daemon).isWaiting = false;
+        m_claimingDaemons.at(daemon).isWaiting = false;
     const ClaimEvent seen = mutate ? mutate(event) : event;
-    perform(daemon, m_askers.at(daemon).claim.handle(seen, m_now));
+    perform(daemon, m_claimingDaemons.at(daemon).claim.handle(seen, m_now));
 }
 
-void ClaimWorld::kill(const std::string &daemon)
+void ClaimSimulation::kill(const std::string &daemon)
 {
     note(daemon + " is killed");
     ++m_kills;
-    Asker &asker = m_askers.at(daemon);
-    m_late.insert(m_late.end(), asker.writes.begin(), asker.writes.end());
-    m_askers.erase(daemon);
+    ClaimingDaemon &claimingDaemon = m_claimingDaemons.at(daemon);
+    m_delayedWrites.insert(m_delayedWrites.end(), claimingDaemon.writes.begin(),
+                           claimingDaemon.writes.end());
+    m_claimingDaemons.erase(daemon);
 }
 
-void ClaimWorld::advance(Duration span)
+void ClaimSimulation::advance(Duration span)
 {
     m_now += span;
     const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(span);
     note(std::to_string(ms.count()) + " ms pass");
 }
 
-bool ClaimWorld::isWriting(const std::string &daemon) const
+bool ClaimSimulation::isWriting(const std::string &daemon) const
 {
-    return !m_askers.at(daemon).writes.empty();
+    return !m_claimingDaemons.at(daemon).writes.empty();
 }
 
-bool ClaimWorld::isReading(const std::string &daemon) const
+bool ClaimSimulation::isReading(const std::string &daemon) const
 {
-    return m_askers.at(daemon).isReading;
+    return m_claimingDaemons.at(daemon).isReading;
 }
 
-bool ClaimWorld::isWaitingToSettle(const std::string &daemon) const
+bool ClaimSimulation::isWaitingToSettle(const std::string &daemon) const
 {
-    return m_askers.at(daemon).isWaiting;
+    return m_claimingDaemons.at(daemon).isWaiting;
 }
 
-bool ClaimWorld::isDispatched(const std::string &daemon) const
+bool ClaimSimulation::isDispatched(const std::string &daemon) const
 {
-    return m_askers.at(daemon).isDispatched;
+    return m_claimingDaemons.at(daemon).isDispatched;
 }
 
-bool ClaimWorld::isOver(const std::string &daemon) const
+bool ClaimSimulation::isOver(const std::string &daemon) const
 {
-    return m_askers.at(daemon).claim.isOver();
+    return m_claimingDaemons.at(daemon).claim.isOver();
 }
 
-std::string ClaimWorld::answerAt(const std::string &daemon) const
+std::string ClaimSimulation::answerAt(const std::string &daemon) const
 {
-    return m_askers.at(daemon).answer;
+    return m_claimingDaemons.at(daemon).answer;
 }
 
-int ClaimWorld::runs() const
+int ClaimSimulation::runs() const
 {
     return m_runs;
 }
 
-ClaimState ClaimWorld::rowState() const
+ClaimState ClaimSimulation::rowState() const
 {
     return m_row.row.value().state;
 }
 
-bool ClaimWorld::isStuck() const
+bool ClaimSimulation::isStuck() const
 {
     const bool areAllDone = std::ranges::all_of(
-        m_askers, [](const auto &entry) { return entry.second.claim.isOver(); });
+        m_claimingDaemons, [](const auto &entry) { return entry.second.claim.isOver(); });
     const bool isHeld = m_row.row && m_row.row->state == ClaimState::Claimed;
     return areAllDone && isHeld && m_kills == 0;
 }
 
-void ClaimWorld::perform(const std::string &daemon, const ClaimActions &actions)
+void ClaimSimulation::perform(const std::string &daemon, const ClaimActions &actions)
 {
     const ActionRunner runner{*this, daemon};
     for (const ClaimAction &action : actions)
         std::visit(runner, action);
 }
 
-ClaimEvent ClaimWorld::apply(const WriteClaim &write)
+ClaimEvent ClaimSimulation::apply(const WriteClaim &write)
 {
     const std::string what = nameOfState(write.row.state) + " by " + write.row.attempt.value();
     if (write.expectedVersion != m_row.version) {
@@ -275,7 +277,7 @@
     return ClaimWriteCommitted{m_row.version};
 }
 
-void ClaimWorld::note(const std::string &line)
+void ClaimSimulation::note(const std::string &line)
 {
     if (m_session != nullptr)
         m_session->note(line);
--- a/tests/requestlife/claimworld.h
+++ b/tests/requestlife/claimsimulation.h
@@ -8,33 +8,33 @@
 #include <string>
 #include <vector>
 
-/** What becomes of a write on its way to the platform and back. */
-enum class Fate {
+/** Result of sending a write to the platform. */
+enum class WriteResult {
     Answered,
-    AnswerLost,    ///< took effect if it could; the answer was lost
-    StillUnderWay, ///< given up on; takes effect later, by deliverLate()
+    AnswerLost, ///< processed by the platform; the answer was lost
+    Delayed,    ///< timed out; processed later, by processDelayedWrites()
     NotSent,
 };
 
 /**
- * One claim row, several daemons that ask for it, and a server that counts what it runs.
+ * Simulation of one claim row, several daemons that claim it, and a server that counts its runs.
  */
-class ClaimWorld
+class ClaimSimulation
 {
 public:
-    explicit ClaimWorld(GoldenSession *session = nullptr);
+    explicit ClaimSimulation(GoldenSession *session = nullptr);
 
-    /** A caller asks \a daemon, with the key that all share. */
+    /** A caller sends a request to \a daemon; all requests have the same key. */
     void ask(const std::string &daemon, bool isRepeat = false);
-    /** The write or read that \a daemon waits for ends so. */
-    void platform(const std::string &daemon, Fate fate);
+    /** Completes the first pending write of \a daemon with the result \a writeResult. */
+    void completeWrite(const std::string &daemon, WriteResult writeResult);
     void readAnswered(const std::string &daemon);
     void readFailed(const std::string &daemon);
-    /** Writes that were still under way arrive. */
-    void deliverLate();
+    /** Processes the writes that were delayed. */
+    void processDelayedWrites();
     void workEnded(const std::string &daemon, const bulrush::Outcome &outcome);
     void send(const std::string &daemon, const bulrush::ClaimEvent &event);
-    /** The daemon ends; what it sent stays on its way. */
+    /** Stops the daemon; writes that it has sent are still processed later. */
     void kill(const std::string &daemon);
     void advance(bulrush::Duration span);
 
@@ -43,21 +43,21 @@
     bool isWaitingToSettle(const std::string &daemon) const;
     bool isDispatched(const std::string &daemon) const;
     bool isOver(const std::string &daemon) const;
-    /** The last thing that the caller at \a daemon was told. */
+    /** The last answer to the caller at \a daemon. */
     std::string answerAt(const std::string &daemon) const;
     int runs() const;
     bulrush::ClaimState rowState() const;
     /**
-     * \returns whether the row says that somebody is at it though every daemon is done and nothing
-     * ran: a key that nobody can use any more. Killed daemons leave such rows for good.
+     * \returns whether the row is in the state Claimed although all claims have finished, so that
+     * the key is unusable. False after a daemon was killed, which leaves such a row permanently.
      */
     bool isStuck() const;
 
-    /** Changes an event before a claim sees it: for bugs planted on purpose. */
+    /** Changes an event before a claim handles it, to inject faults. */
     std::function<bulrush::ClaimEvent(const bulrush::ClaimEvent &)> mutate;
 
 private:
-    struct Asker
+    struct ClaimingDaemon
     {
         bulrush::Claim claim;
         std::vector<bulrush::WriteClaim> writes;
@@ -74,11 +74,11 @@
     void note(const std::string &line);
 
     GoldenSession *m_session;
-    std::map<std::string, Asker> m_askers;
-    std::vector<bulrush::WriteClaim> m_late;
+    std::map<std::string, ClaimingDaemon> m_claimingDaemons;
+    std::vector<bulrush::WriteClaim> m_delayedWrites;
     bulrush::VersionedClaim m_row;
     bulrush::Instant m_now{std::chrono::seconds{10}};
     int m_runs = 0;
     int m_kills = 0;
-    int m_askCount = 0;
+    int m_requestCount = 0;
 };
--- a/tests/requestlife/goldensession.h
+++ b/tests/requestlife/goldensession.h
@@ -4,7 +4,7 @@
 #include <string_view>
 
 /**
- * The text of a session, compared with the committed file of the same name.
+ * The log of a test session, compared with the golden file of the same name.
  */
 class GoldenSession
 {
@@ -14,7 +14,7 @@
     /** Adds a line. */
     void note(std::string_view line);
 
-    /** Compares with the file, or writes it where BULRUSH_UPDATE_GOLDEN is set. */
+    /** Compares with the file, or writes it if BULRUSH_UPDATE_GOLDEN is set. */
     void check() const;
 
 private:
--- a/tests/requestlife/test_attendant.cpp
+++ b/tests/requestlife/test_attendant.cpp
@@ -13,13 +13,13 @@
 
 constexpr Instant start{10s};
 
-/** An attendant whose every event and action is written down. */
-class AttendantSession
+/** A server manager with a log of all its events and actions. */
+class ServerManagerSession
 {
 public:
-    explicit AttendantSession(std::string_view name, AttendantLimits limits = {})
+    explicit ServerManagerSession(std::string_view name, AttendantLimits limits = {})
         : m_golden(name)
-        , m_attendant(limits)
+        , m_serverManager(limits)
     { }
 
     void submit(WorkId id, RequestClass requestClass, Duration wait)
@@ -27,26 +27,26 @@
         const bool isPriority = requestClass == RequestClass::Priority;
         note(std::string{isPriority ? "priority" : "ordinary"} + " work " + std::to_string(id)
              + " comes, to be done in " + ms(wait));
-        perform(m_attendant.submit({id, {requestClass, true, m_now + wait}, false}, m_now));
+        perform(m_serverManager.submit({id, {requestClass, true, m_now + wait}, false}, m_now));
     }
 
     void ended(WorkId id, WorkEnd end, std::string_view what)
     {
         note("work " + std::to_string(id) + " " + std::string{what});
-        perform(m_attendant.workEnded(id, end, m_now));
+        perform(m_serverManager.workEnded(id, end, m_now));
     }
 
     void serverAnswered(bool isDraining = false)
     {
         note(isDraining ? "the server says that it drains" : "the server answers a control call");
-        perform(m_attendant.serverAnswered(isDraining, m_now));
+        perform(m_serverManager.serverAnswered(isDraining, m_now));
     }
 
     void advance(Duration span)
     {
         m_now += span;
         note(ms(span) + " pass");
-        perform(m_attendant.advance(m_now));
+        perform(m_serverManager.advance(m_now));
     }
 
     void check() const
@@ -54,9 +54,9 @@
         m_golden.check();
     }
 
-    Attendant &attendant()
+    Attendant &serverManager()
     {
-        return m_attendant;
+        return m_serverManager;
     }
 
 private:
@@ -99,20 +99,20 @@
     }
 
     GoldenSession m_golden;
-    Attendant m_attendant;
+    Attendant m_serverManager;
     Instant m_now = start;
 };
 
-AttendedWork ordinary(WorkId id, Duration wait = 10s)
+ManagedWork ordinary(WorkId id, Duration wait = 10s)
 {
     return {id, {RequestClass::Ordinary, true, start + wait}, false};
 }
 
-/** Random work, ends and silence at one attendant, with a count kept beside it. */
-class AttendantSearch
+/** Random work, results and silence at one server manager, checked against separate counts. */
+class ServerManagerSearch
 {
 public:
-    explicit AttendantSearch(unsigned seed)
+    explicit ServerManagerSearch(unsigned seed)
         : m_random(seed)
     { }
 
@@ -125,11 +125,11 @@
             BOOST_TEST_REQUIRE(m_queued.size() <= 8U);
         }
         m_now += 10s;
-        perform(m_attendant.advance(m_now));
+        perform(m_serverManager.advance(m_now));
         while (!m_sent.empty())
             end(m_sent.begin()->first, WorkEnd::Answered);
         BOOST_TEST_REQUIRE(m_queued.empty());
-        BOOST_TEST_REQUIRE(m_attendant.load(RequestClass::Ordinary).inFlight == 0);
+        BOOST_TEST_REQUIRE(m_serverManager.load(RequestClass::Ordinary).inFlight == 0);
     }
 
 private:
@@ -148,9 +148,9 @@
         else if (choice < 8 && !m_sent.empty())
             end(m_sent.begin()->first, static_cast<WorkEnd>(m_random() % 4));
         else if (choice == 8)
-            perform(m_attendant.serverAnswered(false, m_now));
+            perform(m_serverManager.serverAnswered(false, m_now));
         else
-            perform(m_attendant.advance(m_now));
+            perform(m_serverManager.advance(m_now));
     }
 
     void submit()
@@ -160,13 +160,13 @@
             m_random() % 3 == 0 ? RequestClass::Priority : RequestClass::Ordinary;
         const Instant deadline = m_now + m_random() % 1000 * 1ms;
         m_queued[id] = deadline;
-        perform(m_attendant.submit({id, {requestClass, true, deadline}, false}, m_now));
+        perform(m_serverManager.submit({id, {requestClass, true, deadline}, false}, m_now));
     }
 
     void end(WorkId id, WorkEnd workEnd)
     {
         m_sent.erase(id);
-        perform(m_attendant.workEnded(id, workEnd, m_now));
+        perform(m_serverManager.workEnded(id, workEnd, m_now));
     }
 
     void perform(const AttendantActions &actions)
@@ -175,7 +175,7 @@
             std::visit([this](const auto &one) { perform(one); }, action);
     }
 
-    /** Each piece of work is sent or refused once, and is never sent when it is too late. */
+    /** Each piece of work is sent or refused once, and never sent after its deadline. */
     void perform(const DispatchWork &action)
     {
         BOOST_TEST_REQUIRE(m_queued.contains(action.id));
@@ -192,16 +192,16 @@
 
     void perform(const ReportSuspected &)
     {
-        BOOST_TEST_REQUIRE(m_attendant.isSuspected());
+        BOOST_TEST_REQUIRE(m_serverManager.isSuspected());
     }
 
     void perform(const ReportRecovered &)
     {
-        BOOST_TEST_REQUIRE(!m_attendant.isSuspected());
+        BOOST_TEST_REQUIRE(!m_serverManager.isSuspected());
     }
 
     std::mt19937 m_random;
-    Attendant m_attendant{limits()};
+    Attendant m_serverManager{limits()};
     std::map<WorkId, Instant> m_queued;
     std::map<WorkId, Instant> m_sent;
     WorkId m_nextId = 1;
@@ -215,36 +215,36 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(AttendantSessions)
+BOOST_AUTO_TEST_SUITE(ServerManagerSessions)
 
 BOOST_AUTO_TEST_CASE(slotsAreNeverOverfilled)
 {
-    Attendant attendant{{}};
+    Attendant serverManager{{}};
     for (WorkId id = 1; id <= 10; ++id)
-        BOOST_TEST(isSent(attendant.submit(ordinary(id), start), id) == (id <= 3));
-    BOOST_TEST(attendant.load(RequestClass::Ordinary).inFlight == 3);
-    BOOST_TEST(attendant.load(RequestClass::Ordinary).queuedBefore == 7);
-    BOOST_TEST(isSent(attendant.workEnded(2, WorkEnd::Answered, start + 20ms), 4));
-    BOOST_TEST(attendant.workEnded(2, WorkEnd::Answered, start + 20ms).empty());
+        BOOST_TEST(isSent(serverManager.submit(ordinary(id), start), id) == (id <= 3));
+    BOOST_TEST(serverManager.load(RequestClass::Ordinary).inFlight == 3);
+    BOOST_TEST(serverManager.load(RequestClass::Ordinary).queuedBefore == 7);
+    BOOST_TEST(isSent(serverManager.workEnded(2, WorkEnd::Answered, start + 20ms), 4));
+    BOOST_TEST(serverManager.workEnded(2, WorkEnd::Answered, start + 20ms).empty());
 }
 
 BOOST_AUTO_TEST_CASE(queueIsBounded)
 {
-    Attendant attendant{{}};
+    Attendant serverManager{{}};
     int refused = 0;
     for (WorkId id = 1; id <= 1000; ++id) {
-        for (const AttendantAction &action : attendant.submit(ordinary(id, 100s), start)) {
+        for (const AttendantAction &action : serverManager.submit(ordinary(id, 100s), start)) {
             const auto *refusal = std::get_if<RefuseWork>(&action);
             refused += refusal != nullptr && refusal->reason == FailurePoint::QueueFull ? 1 : 0;
         }
     }
     BOOST_TEST(refused == 1000 - 3 - 64);
-    BOOST_TEST(attendant.load(RequestClass::Ordinary).queuedBefore == 64);
+    BOOST_TEST(serverManager.load(RequestClass::Ordinary).queuedBefore == 64);
 }
 
 BOOST_AUTO_TEST_CASE(workThatCannotBeInTimeIsRefusedWhenItComes)
 {
-    AttendantSession session{"attendant-overload"};
+    ServerManagerSession session{"attendant-overload"};
     for (WorkId id = 1; id <= 8; ++id)
         session.submit(id, RequestClass::Ordinary, 125ms);
     session.submit(9, RequestClass::Priority, 125ms);
@@ -257,14 +257,14 @@
     session.check();
 }
 
-BOOST_AUTO_TEST_CASE(frozenServerIsSuspectedAndTriedAgain)
+BOOST_AUTO_TEST_CASE(frozenServerIsSuspectedAndProbed)
 {
-    AttendantSession session{"attendant-frozen"};
+    ServerManagerSession session{"attendant-frozen"};
     for (WorkId id = 1; id <= 5; ++id)
         session.submit(id, RequestClass::Ordinary, 2s);
     session.advance(300ms);
     session.advance(100ms);
-    BOOST_TEST(session.attendant().isSuspected());
+    BOOST_TEST(session.serverManager().isSuspected());
     session.submit(6, RequestClass::Priority, 2s);
     session.serverAnswered();
     session.ended(1, WorkEnd::Lost, "is given up on");
@@ -273,13 +273,13 @@
     session.advance(1700ms);
     session.ended(3, WorkEnd::Answered, "is answered");
     session.ended(7, WorkEnd::Answered, "is answered");
-    BOOST_TEST(!session.attendant().isSuspected());
+    BOOST_TEST(!session.serverManager().isSuspected());
     session.check();
 }
 
-BOOST_AUTO_TEST_CASE(sheddingServerGetsLess)
+BOOST_AUTO_TEST_CASE(sheddingServerGetsLessWork)
 {
-    AttendantSession session{"attendant-shed"};
+    ServerManagerSession session{"attendant-shed"};
     for (WorkId id = 1; id <= 9; ++id)
         session.submit(id, RequestClass::Ordinary, 5s);
     session.ended(1, WorkEnd::Shed, "is shed by the server");
@@ -293,7 +293,7 @@
 
 BOOST_AUTO_TEST_CASE(drainingServerGetsNothingNewAndEndsItsFlights)
 {
-    AttendantSession session{"attendant-draining"};
+    ServerManagerSession session{"attendant-draining"};
     for (WorkId id = 1; id <= 4; ++id)
         session.submit(id, RequestClass::Ordinary, 5s);
     session.serverAnswered(true);
@@ -306,39 +306,39 @@
 
 BOOST_AUTO_TEST_CASE(lostWorkHoldsItsSlotUntilItsDeadline)
 {
-    Attendant attendant{{}};
+    Attendant serverManager{{}};
     for (WorkId id = 1; id <= 4; ++id)
-        attendant.submit(ordinary(id, id == 1 ? 200ms : 5s), start);
-    BOOST_TEST(attendant.workEnded(1, WorkEnd::Lost, start + 20ms).empty());
-    BOOST_TEST(attendant.load(RequestClass::Ordinary).inFlight == 3);
-    BOOST_TEST(isSent(attendant.advance(start + 200ms), 4));
+        serverManager.submit(ordinary(id, id == 1 ? 200ms : 5s), start);
+    BOOST_TEST(serverManager.workEnded(1, WorkEnd::Lost, start + 20ms).empty());
+    BOOST_TEST(serverManager.load(RequestClass::Ordinary).inFlight == 3);
+    BOOST_TEST(isSent(serverManager.advance(start + 200ms), 4));
 }
 
 BOOST_AUTO_TEST_CASE(streamedBodiesHoldConnectionsNotSlots)
 {
     AttendantLimits limits;
     limits.streamedBodyLimit = 4;
-    Attendant attendant{limits};
+    Attendant serverManager{limits};
     const auto upload = [](WorkId id) {
-        AttendedWork work = ordinary(id, 100s);
+        ManagedWork work = ordinary(id, 100s);
         work.hasStreamedBody = true;
         return work;
     };
     for (WorkId id = 1; id <= 5; ++id)
-        BOOST_TEST(isSent(attendant.submit(upload(id), start), id) == (id <= 4));
-    BOOST_TEST(isSent(attendant.submit(ordinary(6), start), 6));
-    attendant.bodySent(1, start + 1s);
-    BOOST_TEST(attendant.load(RequestClass::Ordinary).inFlight == 2);
-    BOOST_TEST(isSent(attendant.submit(upload(7), start), 7));
+        BOOST_TEST(isSent(serverManager.submit(upload(id), start), id) == (id <= 4));
+    BOOST_TEST(isSent(serverManager.submit(ordinary(6), start), 6));
+    serverManager.bodySent(1, start + 1s);
+    BOOST_TEST(serverManager.load(RequestClass::Ordinary).inFlight == 2);
+    BOOST_TEST(isSent(serverManager.submit(upload(7), start), 7));
 }
 
 BOOST_AUTO_TEST_CASE(cancelledWorkIsNotSent)
 {
-    Attendant attendant{{}};
+    Attendant serverManager{{}};
     for (WorkId id = 1; id <= 5; ++id)
-        attendant.submit(ordinary(id), start);
-    attendant.cancel(4);
-    BOOST_TEST(isSent(attendant.workEnded(1, WorkEnd::Answered, start + 20ms), 5));
+        serverManager.submit(ordinary(id), start);
+    serverManager.cancel(4);
+    BOOST_TEST(isSent(serverManager.workEnded(1, WorkEnd::Answered, start + 20ms), 5));
 }
 
 BOOST_AUTO_TEST_CASE(randomWorkIsSentOrRefusedOnceAndNeverBeyondTheSlots)
@@ -346,7 +346,7 @@
     for (unsigned seed = 0; seed < 500; ++seed) {
         BOOST_TEST_CONTEXT("seed " << seed)
         {
-            AttendantSearch{seed}.run();
+            ServerManagerSearch{seed}.run();
         }
     }
 }
--- a/tests/requestlife/test_claim.cpp
+++ b/tests/requestlife/test_claim.cpp
@@ -1,4 +1,4 @@
-#include "claimworld.h"
+#include "claimsimulation.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -11,11 +11,11 @@
 
 namespace {
 
-const Outcome whole = WholeAnswer{};
-const Outcome silent = Unknown{FailurePoint::WrittenAndSilent, 1s};
+const Outcome completeAnswer = WholeAnswer{};
+const Outcome noAnswer = Unknown{FailurePoint::WrittenAndSilent, 1s};
 const Outcome shed = NotRun{FailurePoint::ServerShed, 1s};
 
-/** Random daemons ask for one key, with random faults, until nothing is left to happen. */
+/** Three daemons claim one key, with random faults, until all claims have finished. */
 class ClaimSearch
 {
 public:
@@ -23,29 +23,30 @@
         : m_random(seed)
     { }
 
-    ClaimWorld &world()
+    ClaimSimulation &simulation()
     {
-        return m_world;
+        return m_simulation;
     }
 
     void run()
     {
         for (const std::string &daemon : m_daemons)
-            m_world.ask(daemon);
+            m_simulation.ask(daemon);
         for (int step = 0; step < 60; ++step)
             stepAt(m_daemons[pick(m_daemons.size())]);
         settle();
     }
 
-    /** \returns whether a caller was told "not run" of a request that went to the server. */
-    bool hasLied() const
+    /** \returns whether a caller received "not run" for a request that was sent to the server. */
+    bool hasGivenWrongAnswer() const
     {
-        return m_hasLied;
+        return m_hasGivenWrongAnswer;
     }
 
     bool areAllOver() const
     {
-        return std::ranges::all_of(m_daemons, [this](auto &name) { return m_world.isOver(name); });
+        return std::ranges::all_of(m_daemons,
+                                   [this](auto &name) { return m_simulation.isOver(name); });
     }
 
 private:
@@ -56,81 +57,82 @@
 
     void stepAt(const std::string &daemon)
     {
-        if (m_world.isOver(daemon) && pick(4) == 0)
+        if (m_simulation.isOver(daemon) && pick(4) == 0)
             ask(daemon);
-        watched(daemon, [&] { randomStepAt(daemon); });
+        checkedStep(daemon, [&] { randomStepAt(daemon); });
         if (pick(40) == 0) {
-            m_world.kill(daemon);
+            m_simulation.kill(daemon);
             ask(daemon);
         }
     }
 
-    /** Callers ask again and again, each attempt of a daemon under an id of its own. */
+    /** The caller repeats the request; each attempt of a daemon has an id of its own. */
     void ask(const std::string &daemon)
     {
         m_isRepeat[daemon] = true;
-        m_world.ask(daemon, true);
+        m_simulation.ask(daemon, true);
     }
 
-    /** Checks, around a step, that "not run" was true when it was said. */
+    /** Runs a step and checks that an answer "not run" was correct when it was given. */
     template<typename Step>
-    void watched(const std::string &daemon, Step step)
+    void checkedStep(const std::string &daemon, Step step)
     {
-        const bool wasDispatched = m_world.isDispatched(daemon);
-        const std::string before = m_world.answerAt(daemon);
+        const bool wasDispatched = m_simulation.isDispatched(daemon);
+        const std::string before = m_simulation.answerAt(daemon);
         step();
-        const std::string after = m_world.answerAt(daemon);
-        const bool isToldNotRun = after.find("ran=no") != std::string::npos;
-        if (!wasDispatched && m_world.isDispatched(daemon))
-            m_hasLied |= isToldNotRun;
-        if (before.empty() && isToldNotRun && m_isRepeat[daemon])
-            m_hasLied |= m_world.runs() > 0;
+        const std::string after = m_simulation.answerAt(daemon);
+        const bool isAnsweredNotRun = after.find("ran=no") != std::string::npos;
+        if (!wasDispatched && m_simulation.isDispatched(daemon))
+            m_hasGivenWrongAnswer |= isAnsweredNotRun;
+        if (before.empty() && isAnsweredNotRun && m_isRepeat[daemon])
+            m_hasGivenWrongAnswer |= m_simulation.runs() > 0;
     }
 
     void randomStepAt(const std::string &daemon)
     {
         if (pick(12) == 0)
-            m_world.deliverLate();
+            m_simulation.processDelayedWrites();
         if (pick(12) == 0)
-            m_world.advance(700ms);
+            m_simulation.advance(700ms);
         if (pick(12) == 0)
-            m_world.send(daemon, ClaimGivenUp{});
-        else if (m_world.isWriting(daemon))
-            m_world.platform(daemon, static_cast<Fate>(pick(4)));
-        else if (m_world.isReading(daemon))
-            pick(3) == 0 ? m_world.readFailed(daemon) : m_world.readAnswered(daemon);
-        else if (m_world.isWaitingToSettle(daemon))
-            m_world.send(daemon, ClaimSettleDue{});
-        else if (m_world.isDispatched(daemon))
-            m_world.workEnded(daemon, pick(3) == 0 ? shed : (pick(2) == 0 ? silent : whole));
+            m_simulation.send(daemon, ClaimGivenUp{});
+        else if (m_simulation.isWriting(daemon))
+            m_simulation.completeWrite(daemon, static_cast<WriteResult>(pick(4)));
+        else if (m_simulation.isReading(daemon))
+            pick(3) == 0 ? m_simulation.readFailed(daemon) : m_simulation.readAnswered(daemon);
+        else if (m_simulation.isWaitingToSettle(daemon))
+            m_simulation.send(daemon, ClaimSettleDue{});
+        else if (m_simulation.isDispatched(daemon))
+            m_simulation.workEnded(
+                daemon, pick(3) == 0 ? shed : (pick(2) == 0 ? noAnswer : completeAnswer));
     }
 
     void settle()
     {
-        m_world.deliverLate();
+        m_simulation.processDelayedWrites();
         for (const std::string &daemon : m_daemons) {
-            for (int step = 0; step < 20 && !m_world.isOver(daemon); ++step)
-                watched(daemon, [&] { settleStep(daemon); });
+            for (int step = 0; step < 20 && !m_simulation.isOver(daemon); ++step)
+                checkedStep(daemon, [&] { settleStep(daemon); });
         }
     }
 
     void settleStep(const std::string &daemon)
     {
-        if (m_world.isWriting(daemon))
-            m_world.platform(daemon, Fate::Answered);
-        else if (m_world.isReading(daemon))
-            m_world.readAnswered(daemon);
-        else if (m_world.isWaitingToSettle(daemon))
-            m_world.send(daemon, ClaimSettleDue{});
-        else if (m_world.isDispatched(daemon))
-            m_world.workEnded(daemon, whole);
+        if (m_simulation.isWriting(daemon))
+            m_simulation.completeWrite(daemon, WriteResult::Answered);
+        else if (m_simulation.isReading(daemon))
+            m_simulation.readAnswered(daemon);
+        else if (m_simulation.isWaitingToSettle(daemon))
+            m_simulation.send(daemon, ClaimSettleDue{});
+        else if (m_simulation.isDispatched(daemon))
+            m_simulation.workEnded(daemon, completeAnswer);
     }
 
     std::mt19937 m_random;
-    ClaimWorld m_world;
+    ClaimSimulation m_simulation;
     std::vector<std::string> m_daemons{"first", "second", "third"};
     std::map<std::string, bool> m_isRepeat;
-    bool m_hasLied = false;
+    bool m_hasGivenWrongAnswer = false;
 };
 
 } // namespace
@@ -140,86 +142,86 @@
 BOOST_AUTO_TEST_CASE(sameDepositThroughTwoDaemons)
 {
     GoldenSession session{"claim-two-daemons"};
-    ClaimWorld world{&session};
-    world.ask("first");
-    world.ask("second");
-    world.platform("first", Fate::Answered);
-    world.platform("second", Fate::Answered);
-    world.workEnded("first", whole);
-    world.platform("first", Fate::Answered);
-    world.ask("second", true);
-    world.platform("second", Fate::Answered);
-    BOOST_TEST(world.runs() == 1);
-    BOOST_TEST(world.answerAt("second") == "stored answer of first");
+    ClaimSimulation simulation{&session};
+    simulation.ask("first");
+    simulation.ask("second");
+    simulation.completeWrite("first", WriteResult::Answered);
+    simulation.completeWrite("second", WriteResult::Answered);
+    simulation.workEnded("first", completeAnswer);
+    simulation.completeWrite("first", WriteResult::Answered);
+    simulation.ask("second", true);
+    simulation.completeWrite("second", WriteResult::Answered);
+    BOOST_TEST(simulation.runs() == 1);
+    BOOST_TEST(simulation.answerAt("second") == "stored answer of first");
     session.check();
 }
 
 BOOST_AUTO_TEST_CASE(claimTookEffectAndItsAnswerWasLost)
 {
     GoldenSession session{"claim-answer-lost"};
-    ClaimWorld world{&session};
-    world.ask("first");
-    world.platform("first", Fate::AnswerLost);
-    world.readAnswered("first");
-    world.workEnded("first", whole);
-    world.platform("first", Fate::AnswerLost);
-    world.readAnswered("first");
-    BOOST_TEST(world.runs() == 1);
-    BOOST_TEST(world.isOver("first"));
+    ClaimSimulation simulation{&session};
+    simulation.ask("first");
+    simulation.completeWrite("first", WriteResult::AnswerLost);
+    simulation.readAnswered("first");
+    simulation.workEnded("first", completeAnswer);
+    simulation.completeWrite("first", WriteResult::AnswerLost);
+    simulation.readAnswered("first");
+    BOOST_TEST(simulation.runs() == 1);
+    BOOST_TEST(simulation.isOver("first"));
     session.check();
 }
 
-BOOST_AUTO_TEST_CASE(claimWriteArrivesAfterItsCallerWasToldNotRun)
+BOOST_AUTO_TEST_CASE(claimWriteArrivesAfterItsCallerWasAnsweredNotRun)
 {
     GoldenSession session{"claim-write-late"};
-    ClaimWorld world{&session};
-    world.ask("first");
-    world.platform("first", Fate::StillUnderWay);
-    world.readFailed("first");
-    BOOST_TEST(world.answerAt("first") == "503 ran=no claim-answer-lost");
-    world.deliverLate();
-    world.ask("second");
-    world.platform("second", Fate::Answered);
-    BOOST_TEST(world.answerAt("second") == "409 ran=unknown in-progress");
-    world.send("first", ClaimSettleDue{});
-    world.readAnswered("first");
-    world.platform("first", Fate::Answered);
-    world.ask("second");
-    world.platform("second", Fate::Answered);
-    world.platform("second", Fate::Answered);
-    BOOST_TEST(world.isDispatched("second"));
-    BOOST_TEST(world.runs() == 1);
+    ClaimSimulation simulation{&session};
+    simulation.ask("first");
+    simulation.completeWrite("first", WriteResult::Delayed);
+    simulation.readFailed("first");
+    BOOST_TEST(simulation.answerAt("first") == "503 ran=no claim-answer-lost");
+    simulation.processDelayedWrites();
+    simulation.ask("second");
+    simulation.completeWrite("second", WriteResult::Answered);
+    BOOST_TEST(simulation.answerAt("second") == "409 ran=unknown in-progress");
+    simulation.send("first", ClaimSettleDue{});
+    simulation.readAnswered("first");
+    simulation.completeWrite("first", WriteResult::Answered);
+    simulation.ask("second");
+    simulation.completeWrite("second", WriteResult::Answered);
+    simulation.completeWrite("second", WriteResult::Answered);
+    BOOST_TEST(simulation.isDispatched("second"));
+    BOOST_TEST(simulation.runs() == 1);
     session.check();
 }
 
 BOOST_AUTO_TEST_CASE(writeStillUnderWayIsShutOut)
 {
     GoldenSession session{"claim-write-shut-out"};
-    ClaimWorld world{&session};
-    world.ask("first");
-    world.platform("first", Fate::StillUnderWay);
-    world.readFailed("first");
-    world.send("first", ClaimSettleDue{});
-    world.readAnswered("first");
-    world.platform("first", Fate::Answered);
-    world.deliverLate();
-    BOOST_TEST((world.rowState() == ClaimState::NotRun));
-    BOOST_TEST(world.isOver("first"));
-    BOOST_TEST(world.runs() == 0);
+    ClaimSimulation simulation{&session};
+    simulation.ask("first");
+    simulation.completeWrite("first", WriteResult::Delayed);
+    simulation.readFailed("first");
+    simulation.send("first", ClaimSettleDue{});
+    simulation.readAnswered("first");
+    simulation.completeWrite("first", WriteResult::Answered);
+    simulation.processDelayedWrites();
+    BOOST_TEST((simulation.rowState() == ClaimState::NotRun));
+    BOOST_TEST(simulation.isOver("first"));
+    BOOST_TEST(simulation.runs() == 0);
     session.check();
 }
 
 BOOST_AUTO_TEST_CASE(daemonDiesAfterDispatch)
 {
     GoldenSession session{"claim-daemon-killed"};
-    ClaimWorld world{&session};
-    world.ask("first");
-    world.platform("first", Fate::Answered);
-    world.kill("first");
-    world.advance(3600s);
-    world.ask("second", true);
-    world.platform("second", Fate::Answered);
-    BOOST_TEST(world.runs() == 1);
+    ClaimSimulation simulation{&session};
+    simulation.ask("first");
+    simulation.completeWrite("first", WriteResult::Answered);
+    simulation.kill("first");
+    simulation.advance(3600s);
+    simulation.ask("second", true);
+    simulation.completeWrite("second", WriteResult::Answered);
+    BOOST_TEST(simulation.runs() == 1);
     BOOST_TEST((outcomeOfHeldClaim(HolderState::Gone, 1s)
                 == Outcome{Unknown{FailurePoint::ClaimUnknown, 1s}}));
     session.check();
@@ -228,74 +230,74 @@
 BOOST_AUTO_TEST_CASE(daemonFrozenBetweenClaimAndDispatch)
 {
     GoldenSession session{"claim-daemon-frozen"};
-    ClaimWorld world{&session};
-    world.ask("first");
-    world.advance(5s);
-    world.platform("first", Fate::Answered);
-    world.platform("first", Fate::Answered);
-    BOOST_TEST(world.runs() == 0);
-    BOOST_TEST(world.answerAt("first") == "503 ran=no deadline");
-    BOOST_TEST((world.rowState() == ClaimState::NotRun));
+    ClaimSimulation simulation{&session};
+    simulation.ask("first");
+    simulation.advance(5s);
+    simulation.completeWrite("first", WriteResult::Answered);
+    simulation.completeWrite("first", WriteResult::Answered);
+    BOOST_TEST(simulation.runs() == 0);
+    BOOST_TEST(simulation.answerAt("first") == "503 ran=no deadline");
+    BOOST_TEST((simulation.rowState() == ClaimState::NotRun));
     session.check();
 }
 
 BOOST_AUTO_TEST_CASE(platformDown)
 {
     GoldenSession session{"claim-platform-down"};
-    ClaimWorld world{&session};
-    world.ask("first");
-    world.platform("first", Fate::NotSent);
-    world.ask("second", true);
-    world.platform("second", Fate::NotSent);
-    BOOST_TEST(world.answerAt("first") == "503 ran=no claim-unavailable");
-    BOOST_TEST(world.answerAt("second") == "504 ran=unknown repeat-not-checked");
-    BOOST_TEST(world.runs() == 0);
+    ClaimSimulation simulation{&session};
+    simulation.ask("first");
+    simulation.completeWrite("first", WriteResult::NotSent);
+    simulation.ask("second", true);
+    simulation.completeWrite("second", WriteResult::NotSent);
+    BOOST_TEST(simulation.answerAt("first") == "503 ran=no claim-unavailable");
+    BOOST_TEST(simulation.answerAt("second") == "504 ran=unknown repeat-not-checked");
+    BOOST_TEST(simulation.runs() == 0);
     session.check();
 }
 
 BOOST_AUTO_TEST_CASE(platformSlowBeyondTheDeadline)
 {
     GoldenSession session{"claim-platform-slow"};
-    ClaimWorld world{&session};
-    world.ask("first");
-    world.advance(2100ms);
-    world.send("first", ClaimGivenUp{});
-    BOOST_TEST(world.answerAt("first") == "503 ran=no deadline");
-    world.platform("first", Fate::Answered);
-    world.platform("first", Fate::Answered);
-    BOOST_TEST((world.rowState() == ClaimState::NotRun));
-    BOOST_TEST(world.runs() == 0);
+    ClaimSimulation simulation{&session};
+    simulation.ask("first");
+    simulation.advance(2100ms);
+    simulation.send("first", ClaimGivenUp{});
+    BOOST_TEST(simulation.answerAt("first") == "503 ran=no deadline");
+    simulation.completeWrite("first", WriteResult::Answered);
+    simulation.completeWrite("first", WriteResult::Answered);
+    BOOST_TEST((simulation.rowState() == ClaimState::NotRun));
+    BOOST_TEST(simulation.runs() == 0);
     session.check();
 }
 
 BOOST_AUTO_TEST_CASE(serverDidNotRunItAndAnotherDaemonMayClaim)
 {
     GoldenSession session{"claim-released"};
-    ClaimWorld world{&session};
-    world.ask("first");
-    world.platform("first", Fate::Answered);
-    world.workEnded("first", shed);
-    world.platform("first", Fate::Answered);
-    world.ask("second", true);
-    world.platform("second", Fate::Answered);
-    world.platform("second", Fate::Answered);
-    BOOST_TEST(world.isDispatched("second"));
-    BOOST_TEST(world.runs() == 1);
+    ClaimSimulation simulation{&session};
+    simulation.ask("first");
+    simulation.completeWrite("first", WriteResult::Answered);
+    simulation.workEnded("first", shed);
+    simulation.completeWrite("first", WriteResult::Answered);
+    simulation.ask("second", true);
+    simulation.completeWrite("second", WriteResult::Answered);
+    simulation.completeWrite("second", WriteResult::Answered);
+    BOOST_TEST(simulation.isDispatched("second"));
+    BOOST_TEST(simulation.runs() == 1);
     session.check();
 }
 
 BOOST_AUTO_TEST_CASE(silentServerLeavesItUnknownForGood)
 {
     GoldenSession session{"claim-unknown"};
-    ClaimWorld world{&session};
-    world.ask("first");
-    world.platform("first", Fate::Answered);
-    world.workEnded("first", silent);
-    world.platform("first", Fate::Answered);
-    world.ask("second", true);
-    world.platform("second", Fate::Answered);
-    BOOST_TEST(world.answerAt("second") == "504 ran=unknown claim-unknown");
-    BOOST_TEST(world.runs() == 1);
+    ClaimSimulation simulation{&session};
+    simulation.ask("first");
+    simulation.completeWrite("first", WriteResult::Answered);
+    simulation.workEnded("first", noAnswer);
+    simulation.completeWrite("first", WriteResult::Answered);
+    simulation.ask("second", true);
+    simulation.completeWrite("second", WriteResult::Answered);
+    BOOST_TEST(simulation.answerAt("second") == "504 ran=unknown claim-unknown");
+    BOOST_TEST(simulation.runs() == 1);
     session.check();
 }
 
@@ -304,17 +306,17 @@
     for (unsigned seed = 0; seed < 20000; ++seed) {
         ClaimSearch search{seed};
         search.run();
-        BOOST_TEST_REQUIRE(search.world().runs() <= 1, "seed " << seed);
-        BOOST_TEST_REQUIRE(!search.hasLied(), "seed " << seed);
+        BOOST_TEST_REQUIRE(search.simulation().runs() <= 1, "seed " << seed);
+        BOOST_TEST_REQUIRE(!search.hasGivenWrongAnswer(), "seed " << seed);
         BOOST_TEST_REQUIRE(search.areAllOver(), "seed " << seed);
-        BOOST_TEST_REQUIRE(!search.world().isStuck(), "seed " << seed);
+        BOOST_TEST_REQUIRE(!search.simulation().isStuck(), "seed " << seed);
     }
 }
 
-/** The search counts only if it finds a fault that is there. */
-BOOST_AUTO_TEST_CASE(seededSearchFindsLostAnswerTakenForSuccess)
+/** Injected fault: a lost answer is treated as a success. The search must find it. */
+BOOST_AUTO_TEST_CASE(seededSearchFindsLostAnswerTreatedAsSuccess)
 {
-    const auto takeForSuccess = [](const ClaimEvent &event) -> ClaimEvent {
+    const auto treatAsSuccess = [](const ClaimEvent &event) -> ClaimEvent {
         if (std::holds_alternative<ClaimWriteLost>(event))
             return ClaimWriteCommitted{1};
         return event;
@@ -322,14 +324,14 @@
     bool isFound = false;
     for (unsigned seed = 0; seed < 1000 && !isFound; ++seed) {
         ClaimSearch search{seed};
-        search.world().mutate = takeForSuccess;
+        search.simulation().mutate = treatAsSuccess;
         search.run();
-        isFound = search.world().runs() > 1;
+        isFound = search.simulation().runs() > 1;
     }
     BOOST_TEST(isFound);
 }
 
-/** What the search is to find: a daemon that claims what another holds. */
+/** Injected fault: a daemon claims a row that another daemon holds. The search must find it. */
 BOOST_AUTO_TEST_CASE(seededSearchFindsTakenOverClaim)
 {
     const auto takeOver = [](const ClaimEvent &event) -> ClaimEvent {
@@ -341,16 +343,16 @@
     bool isFound = false;
     for (unsigned seed = 0; seed < 1000 && !isFound; ++seed) {
         ClaimSearch search{seed};
-        search.world().mutate = takeOver;
+        search.simulation().mutate = takeOver;
         search.run();
-        isFound = search.world().runs() > 1;
+        isFound = search.simulation().runs() > 1;
     }
     BOOST_TEST(isFound);
 }
 
-BOOST_AUTO_TEST_CASE(seededSearchFindsUnsettledWriteTakenForFailure)
+BOOST_AUTO_TEST_CASE(seededSearchFindsPendingWriteTreatedAsFailure)
 {
-    const auto takeForFailure = [](const ClaimEvent &event) -> ClaimEvent {
+    const auto treatAsFailure = [](const ClaimEvent &event) -> ClaimEvent {
         if (std::holds_alternative<ClaimWriteLost>(event))
             return ClaimWriteNotSent{};
         return event;
@@ -358,9 +360,9 @@
     bool isFound = false;
     for (unsigned seed = 0; seed < 1000 && !isFound; ++seed) {
         ClaimSearch search{seed};
-        search.world().mutate = takeForFailure;
+        search.simulation().mutate = treatAsFailure;
         search.run();
-        isFound = search.world().isStuck();
+        isFound = search.simulation().isStuck();
     }
     BOOST_TEST(isFound);
 }
--- a/tests/requestlife/test_claimbatcher.cpp
+++ b/tests/requestlife/test_claimbatcher.cpp
@@ -74,7 +74,7 @@
     BOOST_TEST(sentIds(actions) == (Ids{1, 3}));
 }
 
-BOOST_AUTO_TEST_CASE(conflictThatNamesNoRowIsNarrowedDown)
+BOOST_AUTO_TEST_CASE(conflictWithoutARowIsIsolatedByBisection)
 {
     ClaimBatcher batcher = threeWaiting();
     batcher.advance(start + 2ms);
@@ -96,7 +96,7 @@
     BOOST_TEST(sentIds(actions) == Ids{2});
 }
 
-BOOST_AUTO_TEST_CASE(lostAndUnsentTransactionsSayWhichTheyAre)
+BOOST_AUTO_TEST_CASE(lostAndUnsentTransactionsAreDistinguished)
 {
     ClaimBatcher batcher = threeWaiting();
     batcher.advance(start + 2ms);
@@ -106,7 +106,7 @@
     BOOST_TEST(endedIds<ClaimWriteNotSent>(batcher.notSent(2, start)) == Ids{4});
 }
 
-BOOST_AUTO_TEST_CASE(answerThatCoversTooLittleIsALostOne)
+BOOST_AUTO_TEST_CASE(writesMissingFromAnAnswerAreLost)
 {
     ClaimBatcher batcher = threeWaiting();
     batcher.advance(start + 2ms);
--- a/tests/requestlife/test_drain.cpp
+++ b/tests/requestlife/test_drain.cpp
@@ -7,7 +7,7 @@
 
 BOOST_AUTO_TEST_SUITE(Draining)
 
-BOOST_AUTO_TEST_CASE(newWorkIsRefusedAfterSecondsAndFlightsFinish)
+BOOST_AUTO_TEST_CASE(newWorkIsRefusedAfterTwoSecondsAndWorkInFlightFinishes)
 {
     constexpr Instant start{10s};
     Drain drain;
@@ -26,7 +26,7 @@
     BOOST_TEST((drain.phase(start + 20min) == DrainPhase::Finished));
 }
 
-BOOST_AUTO_TEST_CASE(deadlineCutsNothingOff)
+BOOST_AUTO_TEST_CASE(deadlineDoesNotAbortWorkInFlight)
 {
     constexpr Instant start{10s};
     Drain drain;
--- a/tests/requestlife/test_outcome.cpp
+++ b/tests/requestlife/test_outcome.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-/** Points at which a byte of the request may have reached a server, or another request decides. */
-const std::set<FailurePoint> doubtfulPoints{
+/** Points where a server may have received a byte, or where another request decides. */
+const std::set<FailurePoint> possiblyRunPoints{
     FailurePoint::PartlyWritten,        FailurePoint::WrittenAndSilent,
     FailurePoint::ResetAfterWrite,      FailurePoint::CancelledAfterWrite,
     FailurePoint::DaemonLostAfterWrite, FailurePoint::AnswerCut,
@@ -35,7 +35,7 @@
     for (const FailurePoint point : allFailurePoints()) {
         BOOST_TEST_CONTEXT(nameOf(point))
         {
-            BOOST_TEST(ranOf(point) == (doubtfulPoints.contains(point) ? "unknown" : "no"));
+            BOOST_TEST(ranOf(point) == (possiblyRunPoints.contains(point) ? "unknown" : "no"));
         }
     }
 }
@@ -75,15 +75,15 @@
     BOOST_TEST(secondsOf(1001ms) == 2);
 }
 
-BOOST_AUTO_TEST_CASE(cutAnswerNeverLooksWhole)
+BOOST_AUTO_TEST_CASE(truncatedAnswerNeverLooksComplete)
 {
     const Outcome cut = outcomeOf(FailurePoint::AnswerCut, 1s);
     BOOST_TEST(std::holds_alternative<AbortCallerConnection>(callerResponse(cut, true)));
     BOOST_TEST(std::holds_alternative<RefusalResponse>(callerResponse(cut, false)));
-    BOOST_TEST(std::holds_alternative<PassAnswer>(callerResponse(WholeAnswer{}, true)));
+    BOOST_TEST(std::holds_alternative<ForwardAnswer>(callerResponse(WholeAnswer{}, true)));
 }
 
-BOOST_AUTO_TEST_CASE(doubtOfAnEarlierAttemptStays)
+BOOST_AUTO_TEST_CASE(unknownOutcomeOfAnEarlierAttemptIsKept)
 {
     const std::vector<FailurePoint> silentThenShed{
         FailurePoint::ConnectRefused, FailurePoint::WrittenAndSilent, FailurePoint::ServerShed};
@@ -94,7 +94,7 @@
     BOOST_TEST((outcomeOfAttempts(neverRan, 1s) == Outcome{NotRun{FailurePoint::ServerShed, 1s}}));
 }
 
-BOOST_AUTO_TEST_CASE(answerIsBelievedOnlyWhereItSaysSo)
+BOOST_AUTO_TEST_CASE(serverErrorWithoutStatementIsUnknown)
 {
     const auto end = [](int status, RanStatement ran) {
         return outcomeOfAnswer(status, ran, "shed", 1s);
--- a/tests/requestlife/test_retry.cpp
+++ b/tests/requestlife/test_retry.cpp
@@ -30,7 +30,7 @@
 
 BOOST_AUTO_TEST_SUITE(Retry)
 
-BOOST_AUTO_TEST_CASE(doubtfulAttemptIsRetriedOnlyWhereIdempotent)
+BOOST_AUTO_TEST_CASE(possiblyRunAttemptIsRetriedOnlyIfIdempotent)
 {
     BOOST_TEST(isRetried({FailurePoint::WrittenAndSilent}, idempotent));
     for (const FailurePoint point : allFailurePoints()) {
@@ -58,7 +58,7 @@
     BOOST_TEST(!isRetried({.point = point, .hasOtherServer = false}, idempotent));
 }
 
-BOOST_AUTO_TEST_CASE(retriesStayATenthOfTraffic)
+BOOST_AUTO_TEST_CASE(retriesAreLimitedToATenthOfTraffic)
 {
     RetryBudget budget;
     BOOST_TEST(!budget.takeRetry(RequestClass::Priority));
@@ -84,7 +84,7 @@
     BOOST_TEST(priority == 5);
 }
 
-BOOST_AUTO_TEST_CASE(trafficOfOneServiceEarnsNoRetriesForAnother)
+BOOST_AUTO_TEST_CASE(trafficOfOneServiceGivesNoRetriesToAnother)
 {
     const ServiceName busy{"busy"};
     const ServiceName quiet{"quiet"};
@@ -101,7 +101,7 @@
     BOOST_TEST(retries == 60);
 }
 
-BOOST_AUTO_TEST_CASE(whatDaemonsSaveUpStaysBelowWhatAllMayRepeatTogether)
+BOOST_AUTO_TEST_CASE(savedRetriesOfAllDaemonsStayBelowTheLimit)
 {
     for (const std::size_t daemons : {1, 8, 12, 77, 89, 145}) {
         RetryBudgets budgets{RetryTerms{0.2, 194.0}};
@@ -117,7 +117,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(anOrdinaryRequestMayUseTheOnlyRetryThatIsSavedUp)
+BOOST_AUTO_TEST_CASE(ordinaryRequestMayUseTheOnlySavedRetry)
 {
     RetryBudgets budgets{RetryTerms{0.2, 100.0}};
     budgets.setDaemonCount(75);
--- a/tests/requestlife/test_sessions.cpp
+++ b/tests/requestlife/test_sessions.cpp
@@ -39,7 +39,7 @@
     return "?";
 }
 
-/** Three daemons and their stewards, with the shares that each holds. */
+/** Three daemons and their domain leader, with the share of each daemon. */
 class LimitSession
 {
 public:
@@ -55,10 +55,10 @@
         m_now += 1s;
     }
 
-    void changeSteward()
+    void changeLeader()
     {
         golden.note("another steward");
-        m_ledger = ShareLedger::successor(90.0, 2, {}, m_now);
+        m_allocator = ShareLedger::successor(90.0, 2, {}, m_now);
     }
 
     GoldenSession golden{"limit-shares"};
@@ -75,7 +75,7 @@
         Daemon &daemon = m_daemons[place];
         const Incarnation name{std::to_string(place)};
         const ShareDemand demand{wanted, 0.0, daemon.grant.sequence};
-        daemon.grant = m_ledger.renew(name, demand, held(daemon), m_now);
+        daemon.grant = m_allocator.renew(name, demand, held(daemon), m_now);
         daemon.validUntil = m_now + shortened(daemon.grant.length, defaultDriftPpm);
     }
 
@@ -98,7 +98,7 @@
         BOOST_TEST(sum <= 90.0 + 1e-9);
     }
 
-    ShareLedger m_ledger{90.0, 1, {}};
+    ShareLedger m_allocator{90.0, 1, {}};
     std::vector<Daemon> m_daemons = std::vector<Daemon>(3);
     Instant m_now{100s};
 };
@@ -147,7 +147,7 @@
     session.golden.note("the first is cut off, the others want 60 each");
     for (int i = 0; i < 8; ++i)
         session.round({100.0, 60.0, 60.0}, true);
-    session.changeSteward();
+    session.changeLeader();
     session.golden.note("the first is back");
     for (int i = 0; i < 17; ++i)
         session.round({100.0, 60.0, 60.0}, false);
--- a/tests/requestlife/test_shares.cpp
+++ b/tests/requestlife/test_shares.cpp
@@ -15,16 +15,16 @@
 const Incarnation one{"one"};
 const Incarnation two{"two"};
 
-/** A daemon as its steward sees it. */
-struct Asker
+/** A daemon that renews its share with the domain leader. */
+struct ShareHolder
 {
     Incarnation name;
     ShareGrant grant;
     Instant validUntil;
 
-    double ask(ShareLedger &ledger, double wanted, Instant now)
+    double ask(ShareLedger &allocator, double wanted, Instant now)
     {
-        grant = ledger.renew(name, {wanted, 0.0, grant.sequence}, grant.amount, now);
+        grant = allocator.renew(name, {wanted, 0.0, grant.sequence}, grant.amount, now);
         validUntil = now + shortened(grant.length, defaultDriftPpm);
         return grant.amount;
     }
@@ -36,62 +36,62 @@
 
 BOOST_AUTO_TEST_CASE(sharesFollowDemandWithoutEverExceedingTheLimit)
 {
-    ShareLedger ledger{100.0, 1, {}};
-    Asker first{one, {}, {}};
-    Asker second{two, {}, {}};
-    BOOST_TEST(first.ask(ledger, 80.0, start) == 100.0);
-    BOOST_TEST(second.ask(ledger, 60.0, start) == 0.0);
-    BOOST_TEST(first.ask(ledger, 80.0, start + 1s) == 50.0);
-    BOOST_TEST(second.ask(ledger, 60.0, start + 1s) == 0.0);
-    BOOST_TEST(first.ask(ledger, 80.0, start + 2s) == 50.0);
-    BOOST_TEST(second.ask(ledger, 60.0, start + 2s) == 50.0);
-    BOOST_TEST(ledger.outstanding(start + 2s) <= 100.0);
-    BOOST_TEST(first.ask(ledger, 10.0, start + 3s) < 30.0);
+    ShareLedger allocator{100.0, 1, {}};
+    ShareHolder first{one, {}, {}};
+    ShareHolder second{two, {}, {}};
+    BOOST_TEST(first.ask(allocator, 80.0, start) == 100.0);
+    BOOST_TEST(second.ask(allocator, 60.0, start) == 0.0);
+    BOOST_TEST(first.ask(allocator, 80.0, start + 1s) == 50.0);
+    BOOST_TEST(second.ask(allocator, 60.0, start + 1s) == 0.0);
+    BOOST_TEST(first.ask(allocator, 80.0, start + 2s) == 50.0);
+    BOOST_TEST(second.ask(allocator, 60.0, start + 2s) == 50.0);
+    BOOST_TEST(allocator.outstanding(start + 2s) <= 100.0);
+    BOOST_TEST(first.ask(allocator, 10.0, start + 3s) < 30.0);
 }
 
-BOOST_AUTO_TEST_CASE(shareOfADaemonThatIsCutOffIsGivenOnlyAfterItsTime)
+BOOST_AUTO_TEST_CASE(shareOfADisconnectedDaemonIsReusedOnlyAfterItExpired)
 {
-    ShareLedger ledger{100.0, 1, {}};
-    Asker first{one, {}, {}};
-    Asker second{two, {}, {}};
-    first.ask(ledger, 100.0, start);
-    BOOST_TEST(second.ask(ledger, 100.0, start + 5s) == 0.0);
-    BOOST_TEST(second.ask(ledger, 100.0, first.validUntil) == 0.0);
-    BOOST_TEST(second.ask(ledger, 100.0, start + 6s + 7ms) == 100.0);
+    ShareLedger allocator{100.0, 1, {}};
+    ShareHolder first{one, {}, {}};
+    ShareHolder second{two, {}, {}};
+    first.ask(allocator, 100.0, start);
+    BOOST_TEST(second.ask(allocator, 100.0, start + 5s) == 0.0);
+    BOOST_TEST(second.ask(allocator, 100.0, first.validUntil) == 0.0);
+    BOOST_TEST(second.ask(allocator, 100.0, start + 6s + 7ms) == 100.0);
 }
 
-BOOST_AUTO_TEST_CASE(successorConfirmsAndGivesNothingNewUntilOldSharesHaveRunOut)
+BOOST_AUTO_TEST_CASE(successorOnlyConfirmsSharesUntilOldOnesExpire)
 {
     ShareLedger old{100.0, 1, {}};
-    Asker first{one, {}, {}};
-    Asker second{two, {}, {}};
+    ShareHolder first{one, {}, {}};
+    ShareHolder second{two, {}, {}};
     first.ask(old, 100.0, start);
-    ShareLedger ledger = ShareLedger::successor(100.0, 2, {}, start + 4s);
-    BOOST_TEST(second.ask(ledger, 100.0, start + 4s) == 0.0);
-    BOOST_TEST(first.ask(ledger, 100.0, start + 5s) == 50.0);
-    BOOST_TEST(second.ask(ledger, 100.0, start + 17s) == 0.0);
-    first.ask(ledger, 100.0, start + 18s);
-    BOOST_TEST(second.ask(ledger, 100.0, start + 18s + 15ms) == 50.0);
+    ShareLedger allocator = ShareLedger::successor(100.0, 2, {}, start + 4s);
+    BOOST_TEST(second.ask(allocator, 100.0, start + 4s) == 0.0);
+    BOOST_TEST(first.ask(allocator, 100.0, start + 5s) == 50.0);
+    BOOST_TEST(second.ask(allocator, 100.0, start + 17s) == 0.0);
+    first.ask(allocator, 100.0, start + 18s);
+    BOOST_TEST(second.ask(allocator, 100.0, start + 18s + 15ms) == 50.0);
 }
 
-BOOST_AUTO_TEST_CASE(shareOfADaemonThatLeavesIsFreeAtOnce)
+BOOST_AUTO_TEST_CASE(shareOfALeavingDaemonIsReusedAtOnce)
 {
-    ShareLedger ledger{100.0, 1, {}};
-    Asker first{one, {}, {}};
-    Asker second{two, {}, {}};
-    first.ask(ledger, 100.0, start);
-    ledger.release(one);
-    BOOST_TEST(second.ask(ledger, 100.0, start + 1s) == 100.0);
+    ShareLedger allocator{100.0, 1, {}};
+    ShareHolder first{one, {}, {}};
+    ShareHolder second{two, {}, {}};
+    first.ask(allocator, 100.0, start);
+    allocator.release(one);
+    BOOST_TEST(second.ask(allocator, 100.0, start + 1s) == 100.0);
 }
 
-BOOST_AUTO_TEST_CASE(domainLendsWhatItLeavesAndGetsItBack)
+BOOST_AUTO_TEST_CASE(domainLendsItsUnusedPartAndGetsItBack)
 {
     const DomainName near{"near"};
     const DomainName far{"far"};
     ShareLedger lender{50.0, 1, {}};
     ShareLedger borrower{50.0, 1, {}};
-    Asker first{one, {}, {}};
-    Asker second{two, {}, {}};
+    ShareHolder first{one, {}, {}};
+    ShareHolder second{two, {}, {}};
     const auto round = [&](double wantedNear, double wantedFar, Instant now) {
         first.ask(lender, wantedNear, now);
         second.ask(borrower, wantedFar, now);
@@ -110,36 +110,36 @@
     BOOST_TEST(second.grant.amount == 50.0, boost::test_tools::tolerance(0.01));
 }
 
-BOOST_AUTO_TEST_CASE(randomCutsNeverPutMoreOutThanThereIs)
+BOOST_AUTO_TEST_CASE(randomPartitionsNeverCauseSharesAboveTheLimit)
 {
     std::mt19937 random{5};
-    ShareLedger ledger{100.0, 1, {}};
-    std::vector<Asker> daemons;
+    ShareLedger allocator{100.0, 1, {}};
+    std::vector<ShareHolder> daemons;
     daemons.reserve(12);
     for (int i = 0; i < 12; ++i)
         daemons.push_back({Incarnation{std::to_string(i)}, {}, {}});
     for (int step = 0; step < 20000; ++step) {
         const Instant now = start + step * 50ms;
-        Asker &daemon = daemons[random() % daemons.size()];
+        ShareHolder &daemon = daemons[random() % daemons.size()];
         const bool isCutOff = (step / 400 + random() % 12) % 3 == 0;
         if (!isCutOff)
-            daemon.ask(ledger, static_cast<double>(random() % 100), now);
+            daemon.ask(allocator, static_cast<double>(random() % 100), now);
         double sum = 0.0;
-        for (const Asker &one : daemons)
+        for (const ShareHolder &one : daemons)
             sum += now < one.validUntil ? one.grant.amount : 0.0;
         BOOST_TEST_REQUIRE(sum <= 100.0 + 1e-6, "step " << step);
     }
 }
 
-BOOST_AUTO_TEST_CASE(sharesOfConcurrencyAreWholeAndCountWhatRuns)
+BOOST_AUTO_TEST_CASE(concurrencySharesAreIntegersAndCoverRequestsInFlight)
 {
     ShareTerms terms;
     terms.unit = 1.0;
-    ShareLedger ledger{10.0, 1, terms};
+    ShareLedger allocator{10.0, 1, terms};
     ConcurrencyLimiter first;
     ConcurrencyLimiter second;
     const auto renew = [&](ConcurrencyLimiter &limiter, const Incarnation &name, Instant now) {
-        limiter.shareGranted(ledger.renew(name, limiter.demand(), 0.0, now), now);
+        limiter.shareGranted(allocator.renew(name, limiter.demand(), 0.0, now), now);
     };
     renew(first, one, start);
     int started = 0;
@@ -161,15 +161,15 @@
     BOOST_TEST(second.start(start + 6s));
 }
 
-/** Beyond the limit there is only what runs on at daemons that are cut off. */
-BOOST_AUTO_TEST_CASE(concurrencyHoldsOverTwelveDaemonsButForWorkOfThoseCutOff)
+/** Only requests in flight at disconnected daemons may exceed the limit. */
+BOOST_AUTO_TEST_CASE(concurrencyHoldsExceptForRequestsAtDisconnectedDaemons)
 {
     std::mt19937 random{9};
     ShareTerms terms;
     terms.unit = 1.0;
-    ShareLedger ledger{20.0, 1, terms};
+    ShareLedger allocator{20.0, 1, terms};
     std::vector<ConcurrencyLimiter> daemons(12);
-    int most = 0;
+    int maximum = 0;
     for (int step = 0; step < 50000; ++step) {
         const Instant now = start + step * 20ms;
         const std::size_t place = random() % daemons.size();
@@ -177,7 +177,8 @@
         ConcurrencyLimiter &daemon = daemons[place];
         if (random() % 4 == 0 && !isCutOff)
             daemon.shareGranted(
-                ledger.renew(Incarnation{std::to_string(place)}, daemon.demand(), 0.0, now), now);
+                allocator.renew(Incarnation{std::to_string(place)}, daemon.demand(), 0.0, now),
+                now);
         else if (random() % 2 == 0)
             daemon.start(now);
         else if (daemon.inFlight() > 0)
@@ -186,15 +187,15 @@
         for (std::size_t i = 2; i < daemons.size(); ++i)
             others += daemons[i].inFlight();
         const int all = others + daemons[0].inFlight() + daemons[1].inFlight();
-        most = std::max(most, all);
+        maximum = std::max(maximum, all);
         BOOST_TEST_REQUIRE(others <= 20, "step " << step);
         const bool isLongAfterCut = step % 2000 >= 1200;
         BOOST_TEST_REQUIRE((!isLongAfterCut || all <= 20), "step " << step);
     }
-    BOOST_TEST(most >= 18);
+    BOOST_TEST(maximum >= 18);
 }
 
-BOOST_AUTO_TEST_CASE(limiterAdmitsByItsShareAndNothingWithoutOne)
+BOOST_AUTO_TEST_CASE(limiterAdmitsWithinItsShareAndNothingWithoutOne)
 {
     RateLimiter limiter;
     BOOST_TEST(!limiter.admits(start));
