--- a/tests/burnrate/test_burnrate.cpp
+++ b/tests/burnrate/test_burnrate.cpp
@@ -20,7 +20,7 @@
 const ServiceTarget depositTarget{0.999, 2s};
 const ServiceTarget statusTarget{0.99, 500ms};
 
-/** Counts \a requests a minute over \a minutes, \a bad of each minute's refused. */
+/** Records \a requests per minute for \a minutes; in each minute, \a bad of them are refused. */
 void recordMinutes(BurnRecorder &recorder, Instant &now, int minutes, int requests, int bad)
 {
     for (int minute = 0; minute < minutes; ++minute) {
@@ -45,23 +45,24 @@
 BurnReport sessionReport()
 {
     Instant now{};
-    BurnRecorder old(now);
-    old.setTarget(leuvensport, deposit, depositTarget);
-    old.setTarget(hinokuni, status, statusTarget);
-    old.setTarget(leuvensport, booking, statusTarget);
-    recordMinutes(old, now, 80 * 60, 20, 0);
+    BurnRecorder longRunning(now);
+    longRunning.setTarget(leuvensport, deposit, depositTarget);
+    longRunning.setTarget(hinokuni, status, statusTarget);
+    longRunning.setTarget(leuvensport, booking, statusTarget);
+    recordMinutes(longRunning, now, 80 * 60, 20, 0);
     for (int request = 0; request < 400; ++request)
-        old.record(now, hinokuni, status, ServiceOutcome::Answered, request < 8 ? 700ms : 40ms);
+        longRunning.record(now, hinokuni, status, ServiceOutcome::Answered,
+                           request < 8 ? 700ms : 40ms);
     for (int request = 0; request < 400; ++request)
-        old.record(now, leuvensport, booking,
-                   request < 1 ? ServiceOutcome::Unknown : ServiceOutcome::Answered, 40ms);
+        longRunning.record(now, leuvensport, booking,
+                           request < 1 ? ServiceOutcome::Unknown : ServiceOutcome::Answered, 40ms);
 
-    BurnRecorder young(now);
-    young.setTarget(leuvensport, deposit, {0.9995, 2s});
-    recordMinutes(young, now, 70, 20, 2);
+    BurnRecorder recentlyStarted(now);
+    recentlyStarted.setTarget(leuvensport, deposit, {0.9995, 2s});
+    recordMinutes(recentlyStarted, now, 70, 20, 2);
     const std::vector<BurnSnapshot> snapshots{
-        young.snapshot(now, HostName{"b1"}, Incarnation{"b1#9"}),
-        old.snapshot(now, HostName{"a1"}, Incarnation{"a1#1"}),
+        recentlyStarted.snapshot(now, HostName{"b1"}, Incarnation{"b1#9"}),
+        longRunning.snapshot(now, HostName{"a1"}, Incarnation{"a1#1"}),
     };
     const std::vector<HostName> expected{HostName{"a1"}, HostName{"b1"}, HostName{"c1"}};
     return burnReport(snapshots, expected);
@@ -93,7 +94,7 @@
     BOOST_TEST(recorder.ignored() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(windowsForgetInTheirOwnTime)
+BOOST_AUTO_TEST_CASE(countsExpireWithEachWindow)
 {
     Instant now{};
     BurnRecorder recorder(now);
@@ -141,7 +142,7 @@
     BOOST_TEST(!depositRow(recorder, now).isBurningFast);
 }
 
-BOOST_AUTO_TEST_CASE(quantilesAreTheEdgesOfTheirBins)
+BOOST_AUTO_TEST_CASE(quantilesAreUpperEdgesOfTheirBins)
 {
     LatencyHistogram histogram;
     BOOST_TEST(!histogram.quantile(0.5).has_value());
@@ -161,7 +162,7 @@
     BOOST_TEST((*merged.quantile(0) == 1ms));
 }
 
-BOOST_AUTO_TEST_CASE(reportNamesWhoIsMissingAndCountsAHostOnce)
+BOOST_AUTO_TEST_CASE(reportListsMissingHostsAndCountsEachHostOnce)
 {
     Instant now{};
     BurnRecorder recorder(now);
@@ -183,7 +184,7 @@
     BOOST_TEST((mergedThreads(threads).series.at(0).windows[0] == GoodBad{18, 2}));
 }
 
-BOOST_AUTO_TEST_CASE(snapshotComesBackAsItWas)
+BOOST_AUTO_TEST_CASE(snapshotSurvivesARoundTrip)
 {
     Instant now{};
     BurnRecorder recorder(now);
@@ -197,7 +198,7 @@
     BOOST_TEST((received == sent));
 }
 
-BOOST_AUTO_TEST_CASE(wrongSnapshotsAreToldApart)
+BOOST_AUTO_TEST_CASE(invalidSnapshotsGiveDistinctErrors)
 {
     BurnRecorder recorder(Instant{});
     recorder.setTarget(leuvensport, deposit, depositTarget);
--- a/tests/contractreader/test_contractreader.cpp
+++ b/tests/contractreader/test_contractreader.cpp
@@ -31,7 +31,7 @@
     return *operation;
 }
 
-void checkWrong(const std::string &name, ConfigError error)
+void checkRejected(const std::string &name, ConfigError error)
 {
     const std::string text =
         test::fileText(sourceFolder / "tests/contractreader/wrong" / (name + ".yaml"));
@@ -47,7 +47,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(leuvensportsContractSaysWhatMayNotRunTwice)
+BOOST_AUTO_TEST_CASE(leuvensportsContractMarksOperationsThatMustNotBeRepeated)
 {
     const Contract contract = example("leuvensport");
     BOOST_TEST(find(contract, "GET", "/catalogue/bike-7").isRepeatable);
@@ -64,7 +64,7 @@
     BOOST_CHECK(catalogue->preference == Preference::Imbalance);
 }
 
-BOOST_AUTO_TEST_CASE(hinokunisContractTakesKeysFromAHeader)
+BOOST_AUTO_TEST_CASE(hinokunisContractReadsKeysFromAHeader)
 {
     const Contract contract = example("hinokuni");
     BOOST_CHECK(find(contract, "GET", "/status").key == KeySource{KeyFromHeader{"X-Applicant"}});
@@ -73,7 +73,7 @@
     BOOST_CHECK(contract.services.front().preference == Preference::Availability);
 }
 
-BOOST_AUTO_TEST_CASE(operationsTakeTheContractsTargetUnlessTheyHaveTheirOwn)
+BOOST_AUTO_TEST_CASE(operationsDefaultToTheContractsTarget)
 {
     const Contract contract = example("leuvensport");
     const ServiceLevelTarget common{999'000, 300ms, 720h};
@@ -85,34 +85,35 @@
 
 BOOST_AUTO_TEST_CASE(everyWrongFieldIsReportedInOneReading)
 {
-    checkWrong("many-fields", ConfigError::Invalid);
+    checkRejected("many-fields", ConfigError::Invalid);
 }
 
-BOOST_AUTO_TEST_CASE(contractsThatContradictThemselvesAreReported)
+BOOST_AUTO_TEST_CASE(inconsistentContractsAreReported)
 {
-    checkWrong("contradictions", ConfigError::Invalid);
+    checkRejected("contradictions", ConfigError::Invalid);
 }
 
 BOOST_AUTO_TEST_CASE(missingFieldsAreReported)
 {
-    checkWrong("missing-fields", ConfigError::Invalid);
+    checkRejected("missing-fields", ConfigError::Invalid);
 }
 
-BOOST_AUTO_TEST_CASE(textThatIsNoYamlIsReported)
+BOOST_AUTO_TEST_CASE(invalidYamlIsReported)
 {
-    checkWrong("no-yaml", ConfigError::NotYaml);
+    checkRejected("no-yaml", ConfigError::NotYaml);
 }
 
-BOOST_AUTO_TEST_CASE(everyTruncationOfAContractIsAnswered)
+BOOST_AUTO_TEST_CASE(everyTruncatedContractIsReadOrReported)
 {
-    const std::string whole = test::fileText(sourceFolder / "examples/leuvensport/contract.yaml");
-    for (std::size_t length = 0; length < whole.size(); ++length) {
-        const ContractReading reading = readContract(whole.substr(0, length), "cut.yaml");
+    const std::string complete =
+        test::fileText(sourceFolder / "examples/leuvensport/contract.yaml");
+    for (std::size_t length = 0; length < complete.size(); ++length) {
+        const ContractReading reading = readContract(complete.substr(0, length), "cut.yaml");
         BOOST_CHECK_EQUAL(static_cast<bool>(reading.error), !reading.problems.empty());
     }
 }
 
-BOOST_AUTO_TEST_CASE(hostileTextsAreAnswered)
+BOOST_AUTO_TEST_CASE(malformedTextsAreReported)
 {
     const std::string deep(100'000, '[');
     BOOST_CHECK_EQUAL(readContract(deep, "deep").error, make_error_code(ConfigError::NotYaml));
--- a/tests/contractreader/test_pathpattern.cpp
+++ b/tests/contractreader/test_pathpattern.cpp
@@ -54,14 +54,14 @@
     BOOST_TEST(!matches("/catalogue", "/catalogues"));
 }
 
-BOOST_AUTO_TEST_CASE(refusesPatternsThatCantBeMeant)
+BOOST_AUTO_TEST_CASE(rejectsInvalidPatterns)
 {
     for (const char *text : {"", "catalogue", "/a//b", "/a/", "/../a", "/a b", "/%61", "/{x}/{x}",
                              "/{x", "/x}", "/{a/b}", "/a?b"})
         BOOST_TEST(!PathPattern::parse(text).has_value(), text);
 }
 
-BOOST_AUTO_TEST_CASE(spellingsOfOnePathAreOnePath)
+BOOST_AUTO_TEST_CASE(equivalentSpellingsGiveTheSamePath)
 {
     BOOST_CHECK(splitPath("/catalogue/bike-7") == splitPath("/c%61talogue/bike%2D7"));
     BOOST_CHECK(*splitPath("/a/b%20c") == (PathSegments{"a", "b c"}));
@@ -69,14 +69,14 @@
     BOOST_CHECK(*splitPath("/a/") == (PathSegments{"a", ""}));
 }
 
-BOOST_AUTO_TEST_CASE(refusesPathsThatServersReadOtherwise)
+BOOST_AUTO_TEST_CASE(rejectsPathsThatServersMayInterpretDifferently)
 {
     for (const char *path : {"", "a", "*", "/a/../b", "/a/%2e%2E/b", "/.", "/a%2fb", "/a%5Cb",
                              "/a\\b", "/a%00", "/a%0d%0a", "/a%7f", "/%", "/%4", "/%zz", "/a#b"})
         BOOST_TEST(!splitPath(path).has_value(), path);
 }
 
-BOOST_AUTO_TEST_CASE(mostSpecificOperationIsTaken)
+BOOST_AUTO_TEST_CASE(mostSpecificOperationIsSelected)
 {
     Contract contract;
     contract.operations = {operation("all", "GET", "/"),
@@ -94,7 +94,7 @@
     BOOST_TEST(operationNameFor(contract, "get", "/deposits") == "none");
 }
 
-BOOST_AUTO_TEST_CASE(firstDifferingPlaceDecidesBetweenPatternsOfOneLength)
+BOOST_AUTO_TEST_CASE(firstDifferingSegmentDecidesBetweenPatternsOfOneLength)
 {
     Contract contract;
     contract.operations = {operation("late", "GET", "/{a}/b/{c}"),
--- a/tests/limits/test_limitboard.cpp
+++ b/tests/limits/test_limitboard.cpp
@@ -35,7 +35,7 @@
     return {{organisation, std::make_shared<const Contract>(contract)}};
 }
 
-/** One renewal without a network, at \a now. */
+/** Performs one renewal of shares at \a now, without a network. */
 ShareReply renew(LimitBoard &board, DomainShares &shares, const Incarnation &daemon,
                  const ContractMap &known, Instant now)
 {
@@ -45,7 +45,7 @@
     return reply;
 }
 
-void give(LimitBoard &board, double rate, double concurrency, Instant now)
+void grantShares(LimitBoard &board, double rate, double concurrency, Instant now)
 {
     OrganisationGrant grant;
     grant.organisation = organisation;
@@ -75,7 +75,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(withoutShareNothingPasses)
+BOOST_AUTO_TEST_CASE(nothingIsAdmittedWithoutAShare)
 {
     LimitBoard board{defaultDriftPpm};
     BOOST_TEST(!board.canAdmit(organisation, at(0)));
@@ -83,10 +83,10 @@
     BOOST_TEST(inFlight(board, at(0)) == 0);
 }
 
-BOOST_AUTO_TEST_CASE(ticketsCountFromAdmissionToTheirEnd)
+BOOST_AUTO_TEST_CASE(ticketsCountFromAdmissionToRelease)
 {
     LimitBoard board{defaultDriftPpm};
-    give(board, 1000.0, 2.0, at(0));
+    grantShares(board, 1000.0, 2.0, at(0));
     BOOST_TEST(board.canAdmit(organisation, at(0)));
     {
         auto first = board.admit(organisation, at(100));
@@ -105,7 +105,7 @@
 BOOST_AUTO_TEST_CASE(refusedByRateLeavesNothingInFlight)
 {
     LimitBoard board{defaultDriftPpm};
-    give(board, 10.0, 100.0, at(0));
+    grantShares(board, 10.0, 100.0, at(0));
     int passed = 0;
     for (int i = 0; i < 50; ++i) {
         const auto admission = board.admit(organisation, at(500));
@@ -116,10 +116,10 @@
     BOOST_TEST(inFlight(board, at(500)) == 0);
 }
 
-BOOST_AUTO_TEST_CASE(sharesEndWithTheirTime)
+BOOST_AUTO_TEST_CASE(sharesExpire)
 {
     LimitBoard board{defaultDriftPpm};
-    give(board, 1000.0, 10.0, at(0));
+    grantShares(board, 1000.0, 10.0, at(0));
     BOOST_TEST(board.canAdmit(organisation, at(5900)));
     BOOST_TEST(!board.canAdmit(organisation, at(6000)));
     BOOST_CHECK(refusalOf(board, at(6000)) == FailurePoint::Overloaded);
@@ -142,7 +142,7 @@
     BOOST_TEST(concurrency == 8.0);
 }
 
-BOOST_AUTO_TEST_CASE(daemonsOfADomainNeverHoldMoreThanItsPart)
+BOOST_AUTO_TEST_CASE(sharesOfADomainNeverExceedItsPart)
 {
     const ContractMap known = contracts(30, 9);
     DomainShares shares{threeDomains(), DomainName{"a"}, 1, at(0)};
@@ -157,7 +157,7 @@
     BOOST_TEST(second.canAdmit(organisation, at(3000)));
 }
 
-BOOST_AUTO_TEST_CASE(successorConfirmsUntilWhatWasGivenHasEnded)
+BOOST_AUTO_TEST_CASE(successorOnlyConfirmsUntilOldGrantsExpire)
 {
     const ContractMap known = contracts(30, 9);
     DomainShares before{threeDomains(), DomainName{"a"}, 1, at(0)};
--- a/tests/limits/test_sharecodec.cpp
+++ b/tests/limits/test_sharecodec.cpp
@@ -12,12 +12,12 @@
 
 namespace {
 
-constexpr std::uint64_t most = std::numeric_limits<std::uint64_t>::max();
+constexpr std::uint64_t maxValue = std::numeric_limits<std::uint64_t>::max();
 
 ShareRequest request()
 {
-    const LimitDemand rate{{1.0 / 3.0, 0.0, {most, 7}}, 12.25};
-    const LimitDemand concurrency{{40.0, 17.0, {2, most}}, 21.0};
+    const LimitDemand rate{{1.0 / 3.0, 0.0, {maxValue, 7}}, 12.25};
+    const LimitDemand concurrency{{40.0, 17.0, {2, maxValue}}, 21.0};
     return {Incarnation{"a1#5.1"}, {{OrganisationName{"leuvensport"}, rate, concurrency}}};
 }
 
@@ -28,8 +28,8 @@
     return {true, {{OrganisationName{"leuvensport"}, rate, concurrency}}};
 }
 
-/** \returns \a json as it comes out of the other end of a connection. */
-Json::Value sent(const Json::Value &json)
+/** \returns \a json after a round trip through its text form. */
+Json::Value transmitted(const Json::Value &json)
 {
     return parsedJson(compactText(json));
 }
@@ -44,9 +44,9 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(requestComesBackAsItWas)
+BOOST_AUTO_TEST_CASE(requestSurvivesARoundTrip)
 {
-    const auto decoded = decodeShareRequest(sent(encodeShareRequest(request())));
+    const auto decoded = decodeShareRequest(transmitted(encodeShareRequest(request())));
     BOOST_REQUIRE(decoded);
     BOOST_TEST(decoded->incarnation.value() == "a1#5.1");
     BOOST_REQUIRE(decoded->organisations.size() == 1U);
@@ -56,9 +56,9 @@
     checkSame(entry.concurrency, request().organisations.front().concurrency);
 }
 
-BOOST_AUTO_TEST_CASE(replyComesBackAsItWas)
+BOOST_AUTO_TEST_CASE(replySurvivesARoundTrip)
 {
-    const auto decoded = decodeShareReply(sent(encodeShareReply(reply())));
+    const auto decoded = decodeShareReply(transmitted(encodeShareReply(reply())));
     BOOST_REQUIRE(decoded);
     BOOST_TEST(decoded->isSettled);
     BOOST_REQUIRE(decoded->organisations.size() == 1U);
@@ -67,7 +67,7 @@
                 == reply().organisations.front().concurrency);
 }
 
-BOOST_AUTO_TEST_CASE(anythingElseIsNotTaken)
+BOOST_AUTO_TEST_CASE(invalidMessagesAreRejected)
 {
     BOOST_TEST(!decodeShareRequest({}));
     BOOST_TEST(!decodeShareReply({}));
--- a/tests/membership/test_membership.cpp
+++ b/tests/membership/test_membership.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-/** Two domains of three daemons each, settled. */
+/** Two domains of three daemons each, 10 s after their start. */
 class SixDaemons : public VirtualNetwork
 {
 public:
@@ -43,15 +43,15 @@
         std::ranges::count(network.membership(host).members(), state, &MemberRecord::state));
 }
 
-bool everyoneSees(VirtualNetwork &network, const std::string &of, MemberState state)
+bool isStateEverywhere(VirtualNetwork &network, const std::string &of, MemberState state)
 {
     return std::ranges::all_of(network.hosts(), [&](const std::string &host) {
         return stateAt(network, host, of) == state;
     });
 }
 
-/** \returns whether a daemon whose host's name begins with \a domain saw \a change. */
-bool hasSeen(const std::string &trace, char domain, std::string_view change)
+/** \returns whether a daemon whose host name starts with \a domain recorded \a change. */
+bool hasRecorded(const std::string &trace, char domain, std::string_view change)
 {
     constexpr std::size_t stampWidth = 10;
     std::istringstream lines(trace);
@@ -79,26 +79,26 @@
     checkGolden("membership/join.txt", network);
 }
 
-BOOST_AUTO_TEST_CASE(lostDaemonIsGoneAndItsSuccessorTakesItsPlace)
+BOOST_AUTO_TEST_CASE(crashedDaemonIsGoneAndReplacedByItsSuccessor)
 {
     SixDaemons network;
     network.kill("a1");
     network.note("a1 is killed");
     network.runFor(15s);
-    BOOST_TEST(everyoneSees(network, "a1", MemberState::Gone));
+    BOOST_TEST(isStateEverywhere(network, "a1", MemberState::Gone));
     BOOST_TEST(network.membership("a3").reader().host.value() == "a2");
 
-    // The host's clock was set back: the new run must still rank above the old one.
+    // The host's clock was set back: the new incarnation must still supersede the old one.
     network.note("a1 starts again");
     network.start({"a1", "a", "flanders"}, {"b1"}, 50);
     network.runFor(5s);
-    BOOST_TEST(everyoneSees(network, "a1", MemberState::Alive));
+    BOOST_TEST(isStateEverywhere(network, "a1", MemberState::Alive));
     BOOST_TEST(network.membership("a1").self().generation > 100U);
     BOOST_TEST(network.membership("b2").isSuperseded() == false);
     checkGolden("membership/lost_and_replaced.txt", network);
 }
 
-BOOST_AUTO_TEST_CASE(thawedDaemonRefutesAndAccusesNobody)
+BOOST_AUTO_TEST_CASE(resumedDaemonRefutesItsStateAndSuspectsNoOther)
 {
     SixDaemons network;
     network.pause("b2");
@@ -106,17 +106,17 @@
     network.runFor(30s);
     BOOST_TEST((stateAt(network, "a1", "b2") == MemberState::Gone));
 
-    network.thaw("b2");
+    network.resume("b2");
     network.note("b2 thaws");
     BOOST_TEST(countAt(network, "b2", MemberState::Alive) == 6);
     network.runFor(12s);
-    BOOST_TEST(everyoneSees(network, "b2", MemberState::Alive));
+    BOOST_TEST(isStateEverywhere(network, "b2", MemberState::Alive));
     for (const std::string &host : network.hosts())
         BOOST_TEST(countAt(network, host, MemberState::Alive) == 6);
     checkGolden("membership/thaw.txt", network);
 }
 
-BOOST_AUTO_TEST_CASE(freshDaemonThatFirstMeetsTheUninformedIsNotTakenForALeftOver)
+BOOST_AUTO_TEST_CASE(newDaemonIsNotSupersededByItsPredecessorsRecord)
 {
     VersionStore versions(Instant{});
     MemberRecord self;
@@ -136,7 +136,7 @@
     BOOST_TEST(membership.self().generation == 101U);
 }
 
-BOOST_AUTO_TEST_CASE(thawedDaemonWhoseHostWasReplacedEnds)
+BOOST_AUTO_TEST_CASE(resumedDaemonWithASuccessorStops)
 {
     SixDaemons network;
     network.runFor(60s);
@@ -151,7 +151,7 @@
     BOOST_TEST(old.onTick(network.now() + 60s).empty());
     BOOST_TEST((old.nextDue() == Instant::max()));
 
-    // What the old run still has in the network changes nothing elsewhere.
+    // Delayed messages of the old incarnation have no effect on other daemons.
     network.deliver("a2", {successor, NewsPush{}});
     network.deliver("a2", {before, NewsPush{}});
     const auto members = network.membership("a2").members();
@@ -175,11 +175,12 @@
     for (const std::string &host : network.hosts())
         BOOST_TEST(countAt(network, host, MemberState::Alive) == 6);
     BOOST_TEST(network.sent("b1").messages - before < 30U * 20U);
-    // Nobody who was in reach all the time is taken for gone on the word of the other side.
+    // No member that was reachable all the time is recorded as gone due to the other side's
+    // reports.
     for (const char *gone : {"a1#1 gone", "a2#2 gone", "a3#3 gone"})
-        BOOST_TEST(!hasSeen(network.trace(), 'a', gone));
+        BOOST_TEST(!hasRecorded(network.trace(), 'a', gone));
     for (const char *gone : {"b1#4 gone", "b2#5 gone", "b3#6 gone"})
-        BOOST_TEST(!hasSeen(network.trace(), 'b', gone));
+        BOOST_TEST(!hasRecorded(network.trace(), 'b', gone));
     checkGolden("membership/domain_cut.txt", network);
 }
 
@@ -190,7 +191,7 @@
     network.note("the platform lists a1 as leaving, at b3");
     network.act("b3", [&](Membership &b3) { return b3.onHostList(network.now(), listed); });
     network.runFor(3s);
-    BOOST_TEST(everyoneSees(network, "a1", MemberState::Leaving));
+    BOOST_TEST(isStateEverywhere(network, "a1", MemberState::Leaving));
     BOOST_TEST((network.membership("a1").self().state == MemberState::Leaving));
     BOOST_TEST(network.membership("a1").reader().host.value() == "a2");
 
@@ -198,11 +199,11 @@
     network.act("a1", [&](Membership &a1) { return a1.stop(network.now()); });
     network.kill("a1");
     network.runFor(1s);
-    BOOST_TEST(everyoneSees(network, "a1", MemberState::Gone));
+    BOOST_TEST(isStateEverywhere(network, "a1", MemberState::Gone));
     checkGolden("membership/leaving.txt", network);
 }
 
-BOOST_AUTO_TEST_CASE(pauseIsNoEvidenceAndTheGoneAreForgottenInTheEnd)
+BOOST_AUTO_TEST_CASE(pauseDoesNotConfirmSuspicionAndGoneMembersExpire)
 {
     VersionStore versions(Instant{});
     MemberRecord self;
@@ -227,24 +228,24 @@
     BOOST_TEST((stateOfSuspect() == MemberState::Gone));
     membership.onTick(Instant{2h});
     BOOST_TEST(!stateOfSuspect().has_value());
-    // A peer that still remembers does not bring it back.
+    // A record from a peer that still stores the member does not add it again.
     suspect.state = MemberState::Gone;
     membership.onMessage(Instant{2h}, {peer, NewsPush{{{suspect}, {}}}});
     BOOST_TEST(!stateOfSuspect().has_value());
 }
 
-BOOST_AUTO_TEST_CASE(attemptsAtTheGoneAskNobodyElse)
+BOOST_AUTO_TEST_CASE(reconnectAttemptsSendNoIndirectPings)
 {
     SixDaemons network;
     network.kill("b3");
     network.runFor(20s);
-    BOOST_REQUIRE(everyoneSees(network, "b3", MemberState::Gone));
+    BOOST_REQUIRE(isStateEverywhere(network, "b3", MemberState::Gone));
 
     Membership &a1 = network.membership("a1");
     std::size_t attempts = 0;
     std::size_t indirect = 0;
     const Instant end = network.now() + 60s;
-    // What a1 sends is dropped here, but for answers that keep the others present.
+    // Messages of a1 are dropped; answers to its pings keep the other members present.
     while (a1.nextDue() < end) {
         const Instant now = a1.nextDue();
         for (const MembershipAction &action : a1.onTick(now)) {
--- a/tests/membership/virtualnetwork.cpp
+++ b/tests/membership/virtualnetwork.cpp
@@ -8,11 +8,11 @@
 
 using namespace std::chrono_literals;
 
-constexpr Duration delayInDomain = 200us;
-constexpr Duration delayInRegion = 1500us;
-constexpr Duration delayBetweenRegions = 15ms;
-constexpr Duration delayOfPlatform = 10ms;
-constexpr Duration timeoutOfPlatform = 1s;
+constexpr Duration domainDelay = 200us;
+constexpr Duration regionDelay = 1500us;
+constexpr Duration interRegionDelay = 15ms;
+constexpr Duration platformDelay = 10ms;
+constexpr Duration platformTimeout = 1s;
 
 const char *nameOf(MemberState state)
 {
@@ -54,7 +54,7 @@
     : m_random(seed)
 { }
 
-void VirtualNetwork::start(const Place &place, std::vector<std::string> seeds,
+void VirtualNetwork::start(const Location &place, std::vector<std::string> seeds,
                            std::uint64_t generation, bool isTraced)
 {
     Daemon &daemon = m_daemons[place.host];
@@ -92,7 +92,7 @@
     m_daemons.at(host).isPaused = true;
 }
 
-void VirtualNetwork::thaw(const std::string &host)
+void VirtualNetwork::resume(const std::string &host)
 {
     Daemon &daemon = m_daemons.at(host);
     daemon.isPaused = false;
@@ -265,15 +265,14 @@
     const std::string host = daemon.place.host;
     const std::uint64_t run = daemon.run;
     const Instant askedAt = m_now;
-    m_timers.subscribe(m_now + (isServed ? delayOfPlatform : timeoutOfPlatform),
-                       [=, this](Instant) {
-                           whenRunning(host, run, [=, this, items = platform.listing()] {
-                               if (isServed)
-                                   answerListing(host, askedAt, items);
-                               else
-                                   membership(host).onPlatformFailure(m_now);
-                           });
-                       });
+    m_timers.subscribe(m_now + (isServed ? platformDelay : platformTimeout), [=, this](Instant) {
+        whenRunning(host, run, [=, this, items = platform.listing()] {
+            if (isServed)
+                answerListing(host, askedAt, items);
+            else
+                membership(host).onPlatformFailure(m_now);
+        });
+    });
 }
 
 void VirtualNetwork::performOne(Daemon &daemon, const ApplyItem &applied)
@@ -341,11 +340,11 @@
 
 Duration VirtualNetwork::delay(const Daemon &from, const Daemon &to)
 {
-    Duration base = delayBetweenRegions;
+    Duration base = interRegionDelay;
     if (from.place.domain == to.place.domain)
-        base = delayInDomain;
+        base = domainDelay;
     else if (from.place.region == to.place.region)
-        base = delayInRegion;
+        base = regionDelay;
     const auto jitter = static_cast<Duration::rep>(m_random() % 100);
     return base + base * jitter / 1000;
 }
--- a/tests/membership/virtualnetwork.h
+++ b/tests/membership/virtualnetwork.h
@@ -15,15 +15,15 @@
 
 namespace bulrush::test {
 
-/** Where a daemon of a session runs. */
-struct Place
+/** Location of a daemon in the simulation. */
+struct Location
 {
     std::string host;
     std::string domain;
     std::string region;
 };
 
-/** What a daemon sent and took in. */
+/** Messages and bytes that a daemon sent. */
 struct Traffic
 {
     std::uint64_t messages = 0;
@@ -31,7 +31,7 @@
 };
 
 /**
- * The platform of a session: contracts that are accepted by compare-and-set.
+ * The simulated platform: stores contracts by compare-and-set.
  */
 struct FakePlatform
 {
@@ -39,14 +39,15 @@
     bool isUp = true;
     std::uint64_t reads = 0;
 
-    /** \returns whether the change was accepted: \a readVersion is the version held. */
+    /** \returns whether the change was accepted, that is if \a readVersion is the stored version.
+     */
     bool put(const std::string &name, std::uint64_t readVersion, std::string body);
     std::vector<VersionedItem> listing() const;
 };
 
 /**
- * Many daemons' memberships on one virtual clock, with a network that delays, loses and cuts, and
- * processes that pause and end.
+ * Simulation of the membership of many daemons on one virtual clock, with network delays, message
+ * loss and partitions, and with processes that pause or stop.
  */
 class VirtualNetwork
 {
@@ -57,32 +58,33 @@
     VirtualNetwork(const VirtualNetwork &) = delete;
     VirtualNetwork &operator=(const VirtualNetwork &) = delete;
 
-    /** Starts a daemon; \a seeds are hosts. A host that runs one gets a new one in its place. */
-    void start(const Place &place, std::vector<std::string> seeds, std::uint64_t generation,
+    /** Starts a daemon; \a seeds are hosts. It replaces the daemon that runs on the host, if any.
+     */
+    void start(const Location &place, std::vector<std::string> seeds, std::uint64_t generation,
                bool isTraced = true);
-    /** Ends a process without a word. */
+    /** Stops a process without any message. */
     void kill(const std::string &host);
     void pause(const std::string &host);
-    void thaw(const std::string &host);
-    /** Cuts \a domain off from all others, and from the platform if \a fromPlatform. */
+    void resume(const std::string &host);
+    /** Disconnects \a domain from all others, and from the platform if \a fromPlatform. */
     void cut(const std::string &domain, bool fromPlatform);
     void heal(const std::string &domain);
-    /** Cuts one host off from the platform alone. */
+    /** Disconnects one host from the platform only. */
     void cutFromPlatform(const std::string &host);
-    /** Cuts regions from each other. */
+    /** Disconnects the regions from each other. */
     void setRegionsApart(bool areApart);
     void setLoss(double share);
     void setSizer(Sizer sizer);
 
-    /** Delivers a message that an old run of a daemon left in the network. */
+    /** Delivers a message, for example one sent by an earlier incarnation of a daemon. */
     void deliver(const std::string &to, const PeerMessage &message);
-    /** Gives \a host an answer of the platform that was read at \a askedAt. */
+    /** Delivers to \a host an answer of the platform to a read requested at \a askedAt. */
     void answerListing(const std::string &host, Instant askedAt, std::vector<VersionedItem> items);
 
     void runFor(Duration span);
     Instant now() const;
     void note(const std::string &line);
-    /** Runs what a test calls on a daemon itself. */
+    /** Makes a call on a daemon and performs the actions that it returns. */
     void act(const std::string &host, const std::function<MembershipActions(Membership &)> &call);
 
     Membership &membership(const std::string &host);
@@ -90,7 +92,8 @@
     bool isRunning(const std::string &host) const;
     std::vector<std::string> hosts() const;
     std::uint64_t versionAt(const std::string &host, const std::string &contract) const;
-    /** \returns how many running daemons hold \a version of \a contract or later. */
+    /** \returns the number of running daemons that hold \a version of \a contract or a later one.
+     */
     std::size_t holdersOf(const std::string &contract, std::uint64_t version) const;
     Traffic sent(const std::string &host) const;
     const std::string &trace() const;
@@ -101,7 +104,7 @@
 private:
     struct Daemon
     {
-        Place place;
+        Location place;
         std::unique_ptr<VersionStore> versions;
         std::unique_ptr<Membership> membership;
         bool isPaused = false;
--- a/tests/versionstore/test_versionstore.cpp
+++ b/tests/versionstore/test_versionstore.cpp
@@ -20,7 +20,7 @@
     return makeItem({ItemKind::Contract, contractName}, {0, version}, std::move(body));
 }
 
-/** Two domains of three daemons that hold version 1. */
+/** Two domains of three daemons each that hold version 1. */
 class SixDaemons : public VirtualNetwork
 {
 public:
@@ -35,15 +35,15 @@
     }
 };
 
-void noteHoldings(VirtualNetwork &network)
+void logHeldVersions(VirtualNetwork &network)
 {
     for (const std::string &host : network.hosts()) {
-        const bool isSure = network.versions(host).currentAsOf().has_value();
-        const auto unsure = network.versions(host).unsureFor(network.now());
-        const auto seconds = std::chrono::duration_cast<std::chrono::seconds>(unsure).count();
+        const bool isConfirmed = network.versions(host).currentAsOf().has_value();
+        const auto unconfirmed = network.versions(host).unsureFor(network.now());
+        const auto seconds = std::chrono::duration_cast<std::chrono::seconds>(unconfirmed).count();
         network.note(host + " holds v" + std::to_string(network.versionAt(host, contractName))
-                     + (isSure ? ", unsure for " : ", never sure for ") + std::to_string(seconds)
-                     + " s");
+                     + (isConfirmed ? ", unsure for " : ", never sure for ")
+                     + std::to_string(seconds) + " s");
     }
 }
 
@@ -60,7 +60,7 @@
     network.note("version 2 is accepted");
     BOOST_REQUIRE(network.platform.put(contractName, 1, "rate: 20"));
     network.runFor(2s);
-    noteHoldings(network);
+    logHeldVersions(network);
     BOOST_TEST(network.holdersOf(contractName, 2) == 6);
     checkGolden("versionstore/change.txt", network);
 }
@@ -75,7 +75,7 @@
     BOOST_TEST(reads <= 62U);
 }
 
-BOOST_AUTO_TEST_CASE(readerThatCannotReachThePlatformIsStoodInFor)
+BOOST_AUTO_TEST_CASE(backupReaderReplacesAReaderWithoutPlatform)
 {
     SixDaemons network;
     network.cut("b", true);
@@ -84,7 +84,7 @@
     network.runFor(10s);
     BOOST_REQUIRE(network.platform.put(contractName, 1, "rate: 20"));
     network.runFor(10s);
-    noteHoldings(network);
+    logHeldVersions(network);
     BOOST_TEST(network.holdersOf(contractName, 2) == 3);
 
     BOOST_REQUIRE(network.platform.put(contractName, 2, "rate: 30"));
@@ -101,17 +101,17 @@
         network.start({"a" + std::to_string(100 + number), "a", "flanders"}, {"a100"}, 100, false);
     network.runFor(30s);
     network.platform.isUp = false;
-    std::uint64_t mostInASecond = 0;
+    std::uint64_t maxReadsPerSecond = 0;
     for (int second = 0; second < 300; ++second) {
         const std::uint64_t before = network.platform.reads;
         network.runFor(1s);
-        mostInASecond = std::max(mostInASecond, network.platform.reads - before);
+        maxReadsPerSecond = std::max(maxReadsPerSecond, network.platform.reads - before);
     }
-    BOOST_TEST(mostInASecond <= 10U);
+    BOOST_TEST(maxReadsPerSecond <= 10U);
 
     const std::uint64_t before = network.platform.reads;
     network.runFor(1min);
-    // The reader and two stand-ins once a second or less, the others twice a minute.
+    // The reader and two backup readers read at most once a second, the others twice a minute.
     BOOST_TEST(network.platform.reads - before <= 3U * 60U + 27U * 2U);
     BOOST_TEST(network.platform.reads - before >= 60U);
 }
@@ -125,11 +125,11 @@
     network.runFor(3s);
 
     network.note("a slow platform answers a1 and b2 with its old copy");
-    const std::optional<Instant> sureBefore = network.versions("b2").currentAsOf();
+    const std::optional<Instant> confirmedBefore = network.versions("b2").currentAsOf();
     network.answerListing("a1", network.now(), oldListing);
     network.answerListing("b2", network.now(), oldListing);
     network.answerListing("b3", askedAt, oldListing);
-    BOOST_TEST((network.versions("b2").currentAsOf() == sureBefore));
+    BOOST_TEST((network.versions("b2").currentAsOf() == confirmedBefore));
     BOOST_TEST(network.versions("b2").counters().outdatedListings == 1U);
 
     network.note("an old peer sends version 1");
@@ -139,7 +139,7 @@
     broken.body = std::make_shared<const std::string>("rate: 3");
     network.deliver("b2", {network.membership("a1").self(), Items{{broken}}});
     network.runFor(5s);
-    noteHoldings(network);
+    logHeldVersions(network);
     BOOST_TEST(network.versions("b2").counters().conflictingOffers == 1U);
     BOOST_TEST(*network.versions("b2").find({ItemKind::Contract, contractName})->body
                == "rate: 20");
@@ -158,14 +158,14 @@
     network.start({"b1", "b", "flanders"}, {"a1", "b2"}, 200);
     network.deliver("b1", {network.membership("a1").self(), Items{{contract(1, "rate: 10")}}});
     network.runFor(20s);
-    noteHoldings(network);
+    logHeldVersions(network);
     BOOST_TEST(!network.versions("b1").currentAsOf().has_value());
     BOOST_TEST((network.versions("b1").unsureFor(network.now()) == 20s));
 
     network.note("b is back, the platform is not");
     network.heal("b");
     network.runFor(10s);
-    noteHoldings(network);
+    logHeldVersions(network);
     BOOST_TEST(network.versions("b1").currentAsOf().has_value());
     BOOST_TEST((network.versions("b1").unsureFor(network.now()) > 30s));
     checkGolden("versionstore/fresh.txt", network);
@@ -182,10 +182,10 @@
     BOOST_TEST(network.holdersOf(contractName, 2) == 5);
 
     network.note("a1 thaws");
-    network.thaw("a1");
+    network.resume("a1");
     BOOST_TEST((network.versions("a1").unsureFor(network.now()) > 20s));
     network.runFor(3s);
-    noteHoldings(network);
+    logHeldVersions(network);
     BOOST_TEST(network.holdersOf(contractName, 2) == 6);
     checkGolden("versionstore/thaw.txt", network);
 }
@@ -215,12 +215,12 @@
     network.note("the platform answers b1 and goes down");
     network.answerListing("b1", askedAt, listing);
     network.runFor(2s);
-    noteHoldings(network);
+    logHeldVersions(network);
     BOOST_TEST(network.holdersOf(contractName, 2) == 6);
 
     network.runFor(40s);
     network.note("the platform is still down");
-    noteHoldings(network);
+    logHeldVersions(network);
     for (const std::string &host : network.hosts())
         BOOST_TEST((network.versions(host).unsureFor(network.now()) > 41s));
     checkGolden("versionstore/platform_down.txt", network);
@@ -234,20 +234,20 @@
     network.runFor(20s);
     BOOST_REQUIRE(network.platform.put(contractName, 1, "rate: 20"));
     network.runFor(20s);
-    noteHoldings(network);
+    logHeldVersions(network);
     BOOST_TEST(network.holdersOf(contractName, 2) == 3);
     BOOST_TEST((network.versions("b2").unsureFor(network.now()) > 39s));
 
     network.note("b is back");
     network.heal("b");
     network.runFor(5s);
-    noteHoldings(network);
+    logHeldVersions(network);
     BOOST_TEST(network.holdersOf(contractName, 2) == 6);
     BOOST_TEST((network.versions("b2").unsureFor(network.now()) < 6s));
     checkGolden("versionstore/domain_cut.txt", network);
 }
 
-BOOST_AUTO_TEST_CASE(assignmentSpreadsWithoutThePlatformAndNeverGoesBack)
+BOOST_AUTO_TEST_CASE(assignmentIsDistributedWithoutThePlatformAndNeverReverted)
 {
     SixDaemons network;
     network.platform.isUp = false;
@@ -281,7 +281,7 @@
         BOOST_TEST(network.versions(host).find(item.header.key));
 }
 
-BOOST_AUTO_TEST_CASE(peerProvesOnlyWhatItHoldsToo)
+BOOST_AUTO_TEST_CASE(peerConfirmsOnlyEqualItems)
 {
     VersionStore versions(Instant{});
     MemberRecord self;
@@ -304,12 +304,12 @@
     BOOST_TEST(!versions.currentAsOf().has_value());
     pingAndAnswer(Instant{20s}, held);
     BOOST_REQUIRE(versions.currentAsOf().has_value());
-    // Reckoned from before the question, with the bound on drift: never later than the truth.
+    // Computed from the time of the request and the drift bound, so it is never too late.
     BOOST_TEST((*versions.currentAsOf() <= Instant{13s}));
     BOOST_TEST((*versions.currentAsOf() > Instant{12s}));
 }
 
-BOOST_AUTO_TEST_CASE(unansweredFetchIsAskedAgainButNotForEver)
+BOOST_AUTO_TEST_CASE(unansweredFetchIsRetriedALimitedNumberOfTimes)
 {
     VersionStore versions(Instant{});
     MemberRecord self;
