--- a/src/libbulrush/process/shareledger.cpp
+++ b/src/libbulrush/process/shareledger.cpp
@@ -20,23 +20,24 @@
 
 } // namespace
 
-ShareLedger::ShareLedger(double own, std::uint64_t epoch, ShareTerms terms)
-    : m_own(own)
+ShareLedger::ShareLedger(double ownPart, std::uint64_t epoch, ShareTerms terms)
+    : m_ownPart(ownPart)
     , m_terms(terms)
     , m_lastSequence{epoch, 0}
 { }
 
-ShareLedger ShareLedger::successor(double own, std::uint64_t epoch, ShareTerms terms, Instant now)
+ShareLedger ShareLedger::successor(double ownPart, std::uint64_t epoch, ShareTerms terms,
+                                   Instant now)
 {
-    ShareLedger result{own, epoch, terms};
+    ShareLedger result{ownPart, epoch, terms};
     const Duration longest = std::max(terms.length, terms.loanLength);
     result.m_confirmOnlyUntil = now + stretched(longest, terms.driftPpm);
     return result;
 }
 
-void ShareLedger::setOwn(double own)
+void ShareLedger::setOwn(double ownPart)
 {
-    m_own = own;
+    m_ownPart = ownPart;
 }
 
 void ShareLedger::endConfirmOnlyPeriod()
@@ -80,8 +81,8 @@
     const double fromLender = hasLoan ? found->second.amount : 0.0;
     const double fromOthers = borrowed(now) - fromLender;
     ShareDemand demand;
-    demand.wanted = std::max(0.0, totalWanted() - m_own - fromOthers);
-    if (hasLoan && outstanding(now) <= m_own + borrowed(now))
+    demand.wanted = std::max(0.0, totalWanted() - m_ownPart - fromOthers);
+    if (hasLoan && outstanding(now) <= m_ownPart + borrowed(now))
         demand.acknowledged = found->second.sequence;
     return demand;
 }
@@ -139,7 +140,7 @@
 /** \returns the amount that can be issued for the duration of a share from \a now. */
 double ShareLedger::available(Instant now) const
 {
-    return m_own + borrowed(now + stretched(m_terms.length, m_terms.driftPpm));
+    return m_ownPart + borrowed(now + stretched(m_terms.length, m_terms.driftPpm));
 }
 
 double ShareLedger::totalWanted() const
@@ -155,7 +156,7 @@
 /** Borrowed amounts are not lent: such a loan could outlast the one that covers it. */
 double ShareLedger::lendable() const
 {
-    return std::max(0.0, m_own - totalWanted());
+    return std::max(0.0, m_ownPart - totalWanted());
 }
 
 /** \returns the amount reserved for borrowers: what they hold, and what they are to receive. */
--- a/src/libbulrush/process/shareledger.h
+++ b/src/libbulrush/process/shareledger.h
@@ -59,16 +59,17 @@
 {
 public:
     /**
-     * \a own is the domain's part of the limit, \a epoch the epoch of the domain leader.
+     * \a ownPart is the domain's part of the limit, \a epoch the epoch of the domain leader.
      */
-    ShareLedger(double own, std::uint64_t epoch, ShareTerms terms);
+    ShareLedger(double ownPart, std::uint64_t epoch, ShareTerms terms);
 
     /**
      * Creates the successor of another instance at \a now. It has no record of the grants of its
      * predecessor: until the longest of these has expired, it only confirms the shares that holders
      * report, and issues nothing new.
      */
-    static ShareLedger successor(double own, std::uint64_t epoch, ShareTerms terms, Instant now);
+    static ShareLedger successor(double ownPart, std::uint64_t epoch, ShareTerms terms,
+                                 Instant now);
 
     /**
      * Ends the successor's confirm-only period early. \pre Every daemon and domain to which the
@@ -77,7 +78,7 @@
     void endConfirmOnlyPeriod();
 
     /** Changes the domain's part, after a new version of the contract. */
-    void setOwn(double own);
+    void setOwn(double ownPart);
 
     /**
      * Renews the share of a daemon; \a held is its current share, by whichever leader it was
@@ -144,7 +145,7 @@
 
     static double heldBy(const Holder &holder, Instant now);
 
-    double m_own;
+    double m_ownPart;
     ShareTerms m_terms;
     std::map<DomainName, Loan> m_loans;
     Holders m_holders;
--- a/tests/requestlife/claimsimulation.cpp
+++ b/tests/requestlife/claimsimulation.cpp
@@ -120,7 +120,7 @@
     : m_session(session)
 { }
 
-void ClaimSimulation::ask(const std::string &daemon, bool isRepeat)
+void ClaimSimulation::startRequest(const std::string &daemon, bool isRepeat)
 {
     ++m_requestCount;
     const AttemptId attempt{daemon + "/" + std::to_string(m_requestCount)};
@@ -153,14 +153,14 @@
     send(daemon, ClaimWriteLost{});
 }
 
-void ClaimSimulation::readAnswered(const std::string &daemon)
+void ClaimSimulation::completeRead(const std::string &daemon)
 {
     m_claimingDaemons.at(daemon).isReading = false;
     note(daemon + " has read " + textOf(m_row));
     send(daemon, ClaimRowRead{m_row});
 }
 
-void ClaimSimulation::readFailed(const std::string &daemon)
+void ClaimSimulation::failRead(const std::string &daemon)
 {
     m_claimingDaemons.at(daemon).isReading = false;
     note("the read of " + daemon + " fails");
@@ -173,7 +173,7 @@
         apply(write);
 }
 
-void ClaimSimulation::workEnded(const std::string &daemon, const Outcome &outcome)
+void ClaimSimulation::completeWork(const std::string &daemon, const Outcome &outcome)
 {
     ClaimingDaemon &claimingDaemon = m_claimingDaemons.at(daemon);
     claimingDaemon.isDispatched = false;
@@ -220,7 +220,7 @@
     return m_claimingDaemons.at(daemon).isReading;
 }
 
-bool ClaimSimulation::isWaitingToSettle(const std::string &daemon) const
+bool ClaimSimulation::isWaitingToRetry(const std::string &daemon) const
 {
     return m_claimingDaemons.at(daemon).isWaiting;
 }
--- a/tests/requestlife/claimsimulation.h
+++ b/tests/requestlife/claimsimulation.h
@@ -25,14 +25,14 @@
     explicit ClaimSimulation(GoldenSession *session = nullptr);
 
     /** A caller sends a request to \a daemon; all requests have the same key. */
-    void ask(const std::string &daemon, bool isRepeat = false);
+    void startRequest(const std::string &daemon, bool isRepeat = false);
     /** Completes the first pending write of \a daemon with the result \a writeResult. */
     void completeWrite(const std::string &daemon, WriteResult writeResult);
-    void readAnswered(const std::string &daemon);
-    void readFailed(const std::string &daemon);
+    void completeRead(const std::string &daemon);
+    void failRead(const std::string &daemon);
     /** Processes the writes that were delayed. */
     void processDelayedWrites();
-    void workEnded(const std::string &daemon, const bulrush::Outcome &outcome);
+    void completeWork(const std::string &daemon, const bulrush::Outcome &outcome);
     void send(const std::string &daemon, const bulrush::ClaimEvent &event);
     /** Stops the daemon; writes that it has sent are still processed later. */
     void kill(const std::string &daemon);
@@ -40,7 +40,7 @@
 
     bool isWriting(const std::string &daemon) const;
     bool isReading(const std::string &daemon) const;
-    bool isWaitingToSettle(const std::string &daemon) const;
+    bool isWaitingToRetry(const std::string &daemon) const;
     bool isDispatched(const std::string &daemon) const;
     bool isOver(const std::string &daemon) const;
     /** The last answer to the caller at \a daemon. */
--- a/tests/requestlife/test_attendant.cpp
+++ b/tests/requestlife/test_attendant.cpp
@@ -30,7 +30,7 @@
         perform(m_serverManager.submit({id, {requestClass, true, m_now + wait}, false}, m_now));
     }
 
-    void ended(WorkId id, WorkEnd end, std::string_view what)
+    void complete(WorkId id, WorkEnd end, std::string_view what)
     {
         note("work " + std::to_string(id) + " " + std::string{what});
         perform(m_serverManager.workEnded(id, end, m_now));
@@ -121,13 +121,13 @@
         for (int step = 0; step < 400; ++step) {
             m_now += m_random() % 20 * 1ms;
             randomStep();
-            BOOST_TEST_REQUIRE(m_sent.size() <= 3U);
+            BOOST_TEST_REQUIRE(m_dispatched.size() <= 3U);
             BOOST_TEST_REQUIRE(m_queued.size() <= 8U);
         }
         m_now += 10s;
         perform(m_serverManager.advance(m_now));
-        while (!m_sent.empty())
-            end(m_sent.begin()->first, WorkEnd::Answered);
+        while (!m_dispatched.empty())
+            end(m_dispatched.begin()->first, WorkEnd::Answered);
         BOOST_TEST_REQUIRE(m_queued.empty());
         BOOST_TEST_REQUIRE(m_serverManager.load(RequestClass::Ordinary).inFlight == 0);
     }
@@ -145,8 +145,8 @@
         const auto choice = m_random() % 10;
         if (choice < 5)
             submit();
-        else if (choice < 8 && !m_sent.empty())
-            end(m_sent.begin()->first, static_cast<WorkEnd>(m_random() % 4));
+        else if (choice < 8 && !m_dispatched.empty())
+            end(m_dispatched.begin()->first, static_cast<WorkEnd>(m_random() % 4));
         else if (choice == 8)
             perform(m_serverManager.serverAnswered(false, m_now));
         else
@@ -165,7 +165,7 @@
 
     void end(WorkId id, WorkEnd workEnd)
     {
-        m_sent.erase(id);
+        m_dispatched.erase(id);
         perform(m_serverManager.workEnded(id, workEnd, m_now));
     }
 
@@ -180,7 +180,7 @@
     {
         BOOST_TEST_REQUIRE(m_queued.contains(action.id));
         BOOST_TEST_REQUIRE((m_now <= m_queued[action.id]));
-        m_sent.insert(m_queued.extract(action.id));
+        m_dispatched.insert(m_queued.extract(action.id));
     }
 
     void perform(const RefuseWork &action)
@@ -203,7 +203,7 @@
     std::mt19937 m_random;
     Attendant m_serverManager{limits()};
     std::map<WorkId, Instant> m_queued;
-    std::map<WorkId, Instant> m_sent;
+    std::map<WorkId, Instant> m_dispatched;
     WorkId m_nextId = 1;
     Instant m_now = start;
 };
@@ -251,7 +251,7 @@
     session.submit(10, RequestClass::Priority, 125ms);
     session.submit(11, RequestClass::Priority, 125ms);
     session.advance(20ms);
-    session.ended(1, WorkEnd::Answered, "is answered");
+    session.complete(1, WorkEnd::Answered, "is answered");
     session.submit(12, RequestClass::Ordinary, 10ms);
     session.advance(90ms);
     session.check();
@@ -267,12 +267,12 @@
     BOOST_TEST(session.serverManager().isSuspected());
     session.submit(6, RequestClass::Priority, 2s);
     session.serverAnswered();
-    session.ended(1, WorkEnd::Lost, "is given up on");
-    session.ended(2, WorkEnd::Lost, "is given up on");
+    session.complete(1, WorkEnd::Lost, "is given up on");
+    session.complete(2, WorkEnd::Lost, "is given up on");
     session.submit(7, RequestClass::Priority, 4s);
     session.advance(1700ms);
-    session.ended(3, WorkEnd::Answered, "is answered");
-    session.ended(7, WorkEnd::Answered, "is answered");
+    session.complete(3, WorkEnd::Answered, "is answered");
+    session.complete(7, WorkEnd::Answered, "is answered");
     BOOST_TEST(!session.serverManager().isSuspected());
     session.check();
 }
@@ -282,12 +282,12 @@
     ServerManagerSession session{"attendant-shed"};
     for (WorkId id = 1; id <= 9; ++id)
         session.submit(id, RequestClass::Ordinary, 5s);
-    session.ended(1, WorkEnd::Shed, "is shed by the server");
-    session.ended(2, WorkEnd::Cold, "is refused by the cold server");
-    session.ended(3, WorkEnd::Answered, "is answered");
-    session.ended(4, WorkEnd::Answered, "is answered");
-    session.ended(5, WorkEnd::Answered, "is answered");
-    session.ended(6, WorkEnd::Answered, "is answered");
+    session.complete(1, WorkEnd::Shed, "is shed by the server");
+    session.complete(2, WorkEnd::Cold, "is refused by the cold server");
+    session.complete(3, WorkEnd::Answered, "is answered");
+    session.complete(4, WorkEnd::Answered, "is answered");
+    session.complete(5, WorkEnd::Answered, "is answered");
+    session.complete(6, WorkEnd::Answered, "is answered");
     session.check();
 }
 
@@ -298,9 +298,9 @@
         session.submit(id, RequestClass::Ordinary, 5s);
     session.serverAnswered(true);
     session.submit(5, RequestClass::Priority, 5s);
-    session.ended(1, WorkEnd::Answered, "is answered");
-    session.ended(2, WorkEnd::Answered, "is answered");
-    session.ended(3, WorkEnd::Answered, "is answered");
+    session.complete(1, WorkEnd::Answered, "is answered");
+    session.complete(2, WorkEnd::Answered, "is answered");
+    session.complete(3, WorkEnd::Answered, "is answered");
     session.check();
 }
 
--- a/tests/requestlife/test_claim.cpp
+++ b/tests/requestlife/test_claim.cpp
@@ -13,7 +13,7 @@
 
 const Outcome completeAnswer = WholeAnswer{};
 const Outcome noAnswer = Unknown{FailurePoint::WrittenAndSilent, 1s};
-const Outcome shed = NotRun{FailurePoint::ServerShed, 1s};
+const Outcome refused = NotRun{FailurePoint::ServerShed, 1s};
 
 /** Three daemons claim one key, with random faults, until all claims have finished. */
 class ClaimSearch
@@ -31,10 +31,10 @@
     void run()
     {
         for (const std::string &daemon : m_daemons)
-            m_simulation.ask(daemon);
+            m_simulation.startRequest(daemon);
         for (int step = 0; step < 60; ++step)
             stepAt(m_daemons[pick(m_daemons.size())]);
-        settle();
+        finishAll();
     }
 
     /** \returns whether a caller received "not run" for a request that was sent to the server. */
@@ -58,19 +58,19 @@
     void stepAt(const std::string &daemon)
     {
         if (m_simulation.isOver(daemon) && pick(4) == 0)
-            ask(daemon);
+            startRequest(daemon);
         checkedStep(daemon, [&] { randomStepAt(daemon); });
         if (pick(40) == 0) {
             m_simulation.kill(daemon);
-            ask(daemon);
+            startRequest(daemon);
         }
     }
 
     /** The caller repeats the request; each attempt of a daemon has an id of its own. */
-    void ask(const std::string &daemon)
+    void startRequest(const std::string &daemon)
     {
         m_isRepeat[daemon] = true;
-        m_simulation.ask(daemon, true);
+        m_simulation.startRequest(daemon, true);
     }
 
     /** Runs a step and checks that an answer "not run" was correct when it was given. */
@@ -99,33 +99,33 @@
         else if (m_simulation.isWriting(daemon))
             m_simulation.completeWrite(daemon, static_cast<WriteResult>(pick(4)));
         else if (m_simulation.isReading(daemon))
-            pick(3) == 0 ? m_simulation.readFailed(daemon) : m_simulation.readAnswered(daemon);
-        else if (m_simulation.isWaitingToSettle(daemon))
+            pick(3) == 0 ? m_simulation.failRead(daemon) : m_simulation.completeRead(daemon);
+        else if (m_simulation.isWaitingToRetry(daemon))
             m_simulation.send(daemon, ClaimSettleDue{});
         else if (m_simulation.isDispatched(daemon))
-            m_simulation.workEnded(
-                daemon, pick(3) == 0 ? shed : (pick(2) == 0 ? noAnswer : completeAnswer));
+            m_simulation.completeWork(
+                daemon, pick(3) == 0 ? refused : (pick(2) == 0 ? noAnswer : completeAnswer));
     }
 
-    void settle()
+    void finishAll()
     {
         m_simulation.processDelayedWrites();
         for (const std::string &daemon : m_daemons) {
             for (int step = 0; step < 20 && !m_simulation.isOver(daemon); ++step)
-                checkedStep(daemon, [&] { settleStep(daemon); });
+                checkedStep(daemon, [&] { finishStep(daemon); });
         }
     }
 
-    void settleStep(const std::string &daemon)
+    void finishStep(const std::string &daemon)
     {
         if (m_simulation.isWriting(daemon))
             m_simulation.completeWrite(daemon, WriteResult::Answered);
         else if (m_simulation.isReading(daemon))
-            m_simulation.readAnswered(daemon);
-        else if (m_simulation.isWaitingToSettle(daemon))
+            m_simulation.completeRead(daemon);
+        else if (m_simulation.isWaitingToRetry(daemon))
             m_simulation.send(daemon, ClaimSettleDue{});
         else if (m_simulation.isDispatched(daemon))
-            m_simulation.workEnded(daemon, completeAnswer);
+            m_simulation.completeWork(daemon, completeAnswer);
     }
 
     std::mt19937 m_random;
@@ -143,13 +143,13 @@
 {
     GoldenSession session{"claim-two-daemons"};
     ClaimSimulation simulation{&session};
-    simulation.ask("first");
-    simulation.ask("second");
+    simulation.startRequest("first");
+    simulation.startRequest("second");
     simulation.completeWrite("first", WriteResult::Answered);
     simulation.completeWrite("second", WriteResult::Answered);
-    simulation.workEnded("first", completeAnswer);
+    simulation.completeWork("first", completeAnswer);
     simulation.completeWrite("first", WriteResult::Answered);
-    simulation.ask("second", true);
+    simulation.startRequest("second", true);
     simulation.completeWrite("second", WriteResult::Answered);
     BOOST_TEST(simulation.runs() == 1);
     BOOST_TEST(simulation.answerAt("second") == "stored answer of first");
@@ -160,12 +160,12 @@
 {
     GoldenSession session{"claim-answer-lost"};
     ClaimSimulation simulation{&session};
-    simulation.ask("first");
+    simulation.startRequest("first");
     simulation.completeWrite("first", WriteResult::AnswerLost);
-    simulation.readAnswered("first");
-    simulation.workEnded("first", completeAnswer);
+    simulation.completeRead("first");
+    simulation.completeWork("first", completeAnswer);
     simulation.completeWrite("first", WriteResult::AnswerLost);
-    simulation.readAnswered("first");
+    simulation.completeRead("first");
     BOOST_TEST(simulation.runs() == 1);
     BOOST_TEST(simulation.isOver("first"));
     session.check();
@@ -175,18 +175,18 @@
 {
     GoldenSession session{"claim-write-late"};
     ClaimSimulation simulation{&session};
-    simulation.ask("first");
+    simulation.startRequest("first");
     simulation.completeWrite("first", WriteResult::Delayed);
-    simulation.readFailed("first");
+    simulation.failRead("first");
     BOOST_TEST(simulation.answerAt("first") == "503 ran=no claim-answer-lost");
     simulation.processDelayedWrites();
-    simulation.ask("second");
+    simulation.startRequest("second");
     simulation.completeWrite("second", WriteResult::Answered);
     BOOST_TEST(simulation.answerAt("second") == "409 ran=unknown in-progress");
     simulation.send("first", ClaimSettleDue{});
-    simulation.readAnswered("first");
+    simulation.completeRead("first");
     simulation.completeWrite("first", WriteResult::Answered);
-    simulation.ask("second");
+    simulation.startRequest("second");
     simulation.completeWrite("second", WriteResult::Answered);
     simulation.completeWrite("second", WriteResult::Answered);
     BOOST_TEST(simulation.isDispatched("second"));
@@ -198,11 +198,11 @@
 {
     GoldenSession session{"claim-write-shut-out"};
     ClaimSimulation simulation{&session};
-    simulation.ask("first");
+    simulation.startRequest("first");
     simulation.completeWrite("first", WriteResult::Delayed);
-    simulation.readFailed("first");
+    simulation.failRead("first");
     simulation.send("first", ClaimSettleDue{});
-    simulation.readAnswered("first");
+    simulation.completeRead("first");
     simulation.completeWrite("first", WriteResult::Answered);
     simulation.processDelayedWrites();
     BOOST_TEST((simulation.rowState() == ClaimState::NotRun));
@@ -215,11 +215,11 @@
 {
     GoldenSession session{"claim-daemon-killed"};
     ClaimSimulation simulation{&session};
-    simulation.ask("first");
+    simulation.startRequest("first");
     simulation.completeWrite("first", WriteResult::Answered);
     simulation.kill("first");
     simulation.advance(3600s);
-    simulation.ask("second", true);
+    simulation.startRequest("second", true);
     simulation.completeWrite("second", WriteResult::Answered);
     BOOST_TEST(simulation.runs() == 1);
     BOOST_TEST((outcomeOfHeldClaim(HolderState::Gone, 1s)
@@ -231,7 +231,7 @@
 {
     GoldenSession session{"claim-daemon-frozen"};
     ClaimSimulation simulation{&session};
-    simulation.ask("first");
+    simulation.startRequest("first");
     simulation.advance(5s);
     simulation.completeWrite("first", WriteResult::Answered);
     simulation.completeWrite("first", WriteResult::Answered);
@@ -245,9 +245,9 @@
 {
     GoldenSession session{"claim-platform-down"};
     ClaimSimulation simulation{&session};
-    simulation.ask("first");
+    simulation.startRequest("first");
     simulation.completeWrite("first", WriteResult::NotSent);
-    simulation.ask("second", true);
+    simulation.startRequest("second", true);
     simulation.completeWrite("second", WriteResult::NotSent);
     BOOST_TEST(simulation.answerAt("first") == "503 ran=no claim-unavailable");
     BOOST_TEST(simulation.answerAt("second") == "504 ran=unknown repeat-not-checked");
@@ -259,7 +259,7 @@
 {
     GoldenSession session{"claim-platform-slow"};
     ClaimSimulation simulation{&session};
-    simulation.ask("first");
+    simulation.startRequest("first");
     simulation.advance(2100ms);
     simulation.send("first", ClaimGivenUp{});
     BOOST_TEST(simulation.answerAt("first") == "503 ran=no deadline");
@@ -274,11 +274,11 @@
 {
     GoldenSession session{"claim-released"};
     ClaimSimulation simulation{&session};
-    simulation.ask("first");
+    simulation.startRequest("first");
     simulation.completeWrite("first", WriteResult::Answered);
-    simulation.workEnded("first", shed);
+    simulation.completeWork("first", refused);
     simulation.completeWrite("first", WriteResult::Answered);
-    simulation.ask("second", true);
+    simulation.startRequest("second", true);
     simulation.completeWrite("second", WriteResult::Answered);
     simulation.completeWrite("second", WriteResult::Answered);
     BOOST_TEST(simulation.isDispatched("second"));
@@ -290,11 +290,11 @@
 {
     GoldenSession session{"claim-unknown"};
     ClaimSimulation simulation{&session};
-    simulation.ask("first");
+    simulation.startRequest("first");
     simulation.completeWrite("first", WriteResult::Answered);
-    simulation.workEnded("first", noAnswer);
+    simulation.completeWork("first", noAnswer);
     simulation.completeWrite("first", WriteResult::Answered);
-    simulation.ask("second", true);
+    simulation.startRequest("second", true);
     simulation.completeWrite("second", WriteResult::Answered);
     BOOST_TEST(simulation.answerAt("second") == "504 ran=unknown claim-unknown");
     BOOST_TEST(simulation.runs() == 1);
--- a/tests/requestlife/test_sessions.cpp
+++ b/tests/requestlife/test_sessions.cpp
@@ -48,7 +48,7 @@
         std::size_t i = 0;
         for (const double amount : wanted) {
             if (i != 0 || !isFirstCutOff)
-                ask(i, amount);
+                renewShare(i, amount);
             ++i;
         }
         note();
@@ -70,7 +70,7 @@
         Instant validUntil;
     };
 
-    void ask(std::size_t place, double wanted)
+    void renewShare(std::size_t place, double wanted)
     {
         Daemon &daemon = m_daemons[place];
         const Incarnation name{std::to_string(place)};
--- a/tests/requestlife/test_shares.cpp
+++ b/tests/requestlife/test_shares.cpp
@@ -22,7 +22,7 @@
     ShareGrant grant;
     Instant validUntil;
 
-    double ask(ShareLedger &allocator, double wanted, Instant now)
+    double renewShare(ShareLedger &allocator, double wanted, Instant now)
     {
         grant = allocator.renew(name, {wanted, 0.0, grant.sequence}, grant.amount, now);
         validUntil = now + shortened(grant.length, defaultDriftPpm);
@@ -39,14 +39,14 @@
     ShareLedger allocator{100.0, 1, {}};
     ShareHolder first{one, {}, {}};
     ShareHolder second{two, {}, {}};
-    BOOST_TEST(first.ask(allocator, 80.0, start) == 100.0);
-    BOOST_TEST(second.ask(allocator, 60.0, start) == 0.0);
-    BOOST_TEST(first.ask(allocator, 80.0, start + 1s) == 50.0);
-    BOOST_TEST(second.ask(allocator, 60.0, start + 1s) == 0.0);
-    BOOST_TEST(first.ask(allocator, 80.0, start + 2s) == 50.0);
-    BOOST_TEST(second.ask(allocator, 60.0, start + 2s) == 50.0);
+    BOOST_TEST(first.renewShare(allocator, 80.0, start) == 100.0);
+    BOOST_TEST(second.renewShare(allocator, 60.0, start) == 0.0);
+    BOOST_TEST(first.renewShare(allocator, 80.0, start + 1s) == 50.0);
+    BOOST_TEST(second.renewShare(allocator, 60.0, start + 1s) == 0.0);
+    BOOST_TEST(first.renewShare(allocator, 80.0, start + 2s) == 50.0);
+    BOOST_TEST(second.renewShare(allocator, 60.0, start + 2s) == 50.0);
     BOOST_TEST(allocator.outstanding(start + 2s) <= 100.0);
-    BOOST_TEST(first.ask(allocator, 10.0, start + 3s) < 30.0);
+    BOOST_TEST(first.renewShare(allocator, 10.0, start + 3s) < 30.0);
 }
 
 BOOST_AUTO_TEST_CASE(shareOfADisconnectedDaemonIsReusedOnlyAfterItExpired)
@@ -54,10 +54,10 @@
     ShareLedger allocator{100.0, 1, {}};
     ShareHolder first{one, {}, {}};
     ShareHolder second{two, {}, {}};
-    first.ask(allocator, 100.0, start);
-    BOOST_TEST(second.ask(allocator, 100.0, start + 5s) == 0.0);
-    BOOST_TEST(second.ask(allocator, 100.0, first.validUntil) == 0.0);
-    BOOST_TEST(second.ask(allocator, 100.0, start + 6s + 7ms) == 100.0);
+    first.renewShare(allocator, 100.0, start);
+    BOOST_TEST(second.renewShare(allocator, 100.0, start + 5s) == 0.0);
+    BOOST_TEST(second.renewShare(allocator, 100.0, first.validUntil) == 0.0);
+    BOOST_TEST(second.renewShare(allocator, 100.0, start + 6s + 7ms) == 100.0);
 }
 
 BOOST_AUTO_TEST_CASE(successorOnlyConfirmsSharesUntilOldOnesExpire)
@@ -65,13 +65,13 @@
     ShareLedger old{100.0, 1, {}};
     ShareHolder first{one, {}, {}};
     ShareHolder second{two, {}, {}};
-    first.ask(old, 100.0, start);
+    first.renewShare(old, 100.0, start);
     ShareLedger allocator = ShareLedger::successor(100.0, 2, {}, start + 4s);
-    BOOST_TEST(second.ask(allocator, 100.0, start + 4s) == 0.0);
-    BOOST_TEST(first.ask(allocator, 100.0, start + 5s) == 50.0);
-    BOOST_TEST(second.ask(allocator, 100.0, start + 17s) == 0.0);
-    first.ask(allocator, 100.0, start + 18s);
-    BOOST_TEST(second.ask(allocator, 100.0, start + 18s + 15ms) == 50.0);
+    BOOST_TEST(second.renewShare(allocator, 100.0, start + 4s) == 0.0);
+    BOOST_TEST(first.renewShare(allocator, 100.0, start + 5s) == 50.0);
+    BOOST_TEST(second.renewShare(allocator, 100.0, start + 17s) == 0.0);
+    first.renewShare(allocator, 100.0, start + 18s);
+    BOOST_TEST(second.renewShare(allocator, 100.0, start + 18s + 15ms) == 50.0);
 }
 
 BOOST_AUTO_TEST_CASE(shareOfALeavingDaemonIsReusedAtOnce)
@@ -79,9 +79,9 @@
     ShareLedger allocator{100.0, 1, {}};
     ShareHolder first{one, {}, {}};
     ShareHolder second{two, {}, {}};
-    first.ask(allocator, 100.0, start);
+    first.renewShare(allocator, 100.0, start);
     allocator.release(one);
-    BOOST_TEST(second.ask(allocator, 100.0, start + 1s) == 100.0);
+    BOOST_TEST(second.renewShare(allocator, 100.0, start + 1s) == 100.0);
 }
 
 BOOST_AUTO_TEST_CASE(domainLendsItsUnusedPartAndGetsItBack)
@@ -93,8 +93,8 @@
     ShareHolder first{one, {}, {}};
     ShareHolder second{two, {}, {}};
     const auto round = [&](double wantedNear, double wantedFar, Instant now) {
-        first.ask(lender, wantedNear, now);
-        second.ask(borrower, wantedFar, now);
+        first.renewShare(lender, wantedNear, now);
+        second.renewShare(borrower, wantedFar, now);
         const ShareDemand demand = borrower.loanDemand(near, now);
         borrower.loanGranted(near, lender.lend(far, demand, now), now);
         BOOST_TEST(lender.outstanding(now) <= 50.0 + 1e-9);
@@ -123,7 +123,7 @@
         ShareHolder &daemon = daemons[random() % daemons.size()];
         const bool isCutOff = (step / 400 + random() % 12) % 3 == 0;
         if (!isCutOff)
-            daemon.ask(allocator, static_cast<double>(random() % 100), now);
+            daemon.renewShare(allocator, static_cast<double>(random() % 100), now);
         double sum = 0.0;
         for (const ShareHolder &one : daemons)
             sum += now < one.validUntil ? one.grant.amount : 0.0;
