--- a/tests/contractreader/test_contractreader.cpp
+++ b/tests/contractreader/test_contractreader.cpp
@@ -19,7 +19,7 @@
 Contract example(const std::string &deployment)
 {
     const auto path = sourceFolder / "examples" / deployment / "contract.yaml";
-    const ContractReading reading = readContractFile(path.string());
+    const ContractResult reading = readContractFile(path.string());
     BOOST_REQUIRE_MESSAGE(!reading.error, reading.error.message());
     return reading.contract;
 }
@@ -35,7 +35,7 @@
 {
     const std::string text =
         test::fileText(sourceFolder / "tests/contractreader/wrong" / (name + ".yaml"));
-    const ContractReading reading = readContract(text, name + ".yaml");
+    const ContractResult reading = readContract(text, name + ".yaml");
     BOOST_CHECK_EQUAL(reading.error, make_error_code(error));
     BOOST_TEST(!reading.problems.empty());
 
@@ -108,7 +108,7 @@
     const std::string complete =
         test::fileText(sourceFolder / "examples/leuvensport/contract.yaml");
     for (std::size_t length = 0; length < complete.size(); ++length) {
-        const ContractReading reading = readContract(complete.substr(0, length), "cut.yaml");
+        const ContractResult reading = readContract(complete.substr(0, length), "cut.yaml");
         BOOST_CHECK_EQUAL(static_cast<bool>(reading.error), !reading.problems.empty());
     }
 }
@@ -126,7 +126,7 @@
     std::string many = "operations:\n";
     for (int i = 0; i < 300; ++i)
         many += "  - {}\n";
-    const ContractReading reading = readContract(many, "many");
+    const ContractResult reading = readContract(many, "many");
     BOOST_CHECK_EQUAL(reading.error, make_error_code(ConfigError::Invalid));
     BOOST_TEST(reading.problems.size() < 10u);
 }
--- a/tests/limits/test_sharecodec.cpp
+++ b/tests/limits/test_sharecodec.cpp
@@ -31,7 +31,7 @@
 /** \returns \a json after a round trip through its text form. */
 Json::Value transmitted(const Json::Value &json)
 {
-    return parsedJson(compactText(json));
+    return parseJson(toCompactJson(json));
 }
 
 void checkSame(const LimitDemand &first, const LimitDemand &second)
--- a/tests/requestlife/test_retry.cpp
+++ b/tests/requestlife/test_retry.cpp
@@ -88,7 +88,7 @@
 {
     const ServiceName busy{"busy"};
     const ServiceName quiet{"quiet"};
-    RetryBudgets budgets{RetryTerms{0.2, 56.0}};
+    RetryBudgets budgets{RetryAllowance{0.2, 56.0}};
     budgets.setDaemonCount(8);
     int retries = 0;
     for (int i = 0; i < 400; ++i) {
@@ -104,7 +104,7 @@
 BOOST_AUTO_TEST_CASE(savedRetriesOfAllDaemonsStayBelowTheLimit)
 {
     for (const std::size_t daemons : {1, 8, 12, 77, 89, 145}) {
-        RetryBudgets budgets{RetryTerms{0.2, 194.0}};
+        RetryBudgets budgets{RetryAllowance{0.2, 194.0}};
         budgets.setDaemonCount(daemons);
         const ServiceName service{"s"};
         for (int i = 0; i < 1000; ++i)
@@ -119,7 +119,7 @@
 
 BOOST_AUTO_TEST_CASE(ordinaryRequestMayUseTheOnlySavedRetry)
 {
-    RetryBudgets budgets{RetryTerms{0.2, 100.0}};
+    RetryBudgets budgets{RetryAllowance{0.2, 100.0}};
     budgets.setDaemonCount(75);
     const ServiceName service{"s"};
     for (int i = 0; i < 20; ++i)
