--- a/src/libbulrush/connection/attendant.cpp
+++ b/src/libbulrush/connection/servermanager.cpp
@@ -1,4 +1,4 @@
-#include "connection/attendant.h"
+#include "connection/servermanager.h"
 
 #include <algorithm>
 #include <utility>
@@ -19,15 +19,15 @@
 
 } // namespace
 
-Attendant::Attendant(AttendantLimits limits)
+ServerManager::ServerManager(ServerManagerLimits limits)
     : m_limits(limits)
     , m_serviceTime(limits.firstServiceTime)
     , m_slotLimit(limits.slots)
 { }
 
-AttendantActions Attendant::submit(const ManagedWork &work, Instant now)
+ServerManagerActions ServerManager::submit(const ManagedWork &work, Instant now)
 {
-    AttendantActions actions;
+    ServerManagerActions actions;
     removeExpiredLostWork(now);
     if (const auto reason = stateRefusal()) {
         refuse(work, *reason, actions);
@@ -46,9 +46,9 @@
     return actions;
 }
 
-AttendantActions Attendant::submitStreamed(const ManagedWork &work, Instant now)
+ServerManagerActions ServerManager::submitStreamed(const ManagedWork &work, Instant now)
 {
-    AttendantActions actions;
+    ServerManagerActions actions;
     if (m_streaming >= m_limits.streamedBodyLimit)
         refuse(work, FailurePoint::QueueFull, actions);
     else if (now + m_serviceTime.cautious() > work.policy.deadline)
@@ -58,7 +58,7 @@
     return actions;
 }
 
-void Attendant::bodySent(WorkId id, Instant now)
+void ServerManager::bodySent(WorkId id, Instant now)
 {
     const auto found = m_flights.find(id);
     if (found == m_flights.end() || found->second.isBodySent)
@@ -71,13 +71,13 @@
         m_unansweredSince = now;
 }
 
-AttendantActions Attendant::workEnded(WorkId id, WorkEnd end, Instant now)
+ServerManagerActions ServerManager::workEnded(WorkId id, WorkResult end, Instant now)
 {
-    AttendantActions actions;
+    ServerManagerActions actions;
     const auto found = m_flights.find(id);
     if (found == m_flights.end() || found->second.isLost)
         return actions;
-    if (end == WorkEnd::Lost && found->second.deadline > now) {
+    if (end == WorkResult::Lost && found->second.deadline > now) {
         found->second.isLost = true;
         return actions;
     }
@@ -93,15 +93,15 @@
     return actions;
 }
 
-void Attendant::cancel(WorkId id)
+void ServerManager::cancel(WorkId id)
 {
     if (!eraseWork(m_ordinaryQueue, id))
         eraseWork(m_priorityQueue, id);
 }
 
-AttendantActions Attendant::serverAnswered(bool isDraining, Instant now)
+ServerManagerActions ServerManager::serverAnswered(bool isDraining, Instant now)
 {
-    AttendantActions actions;
+    ServerManagerActions actions;
     if (isDraining) {
         m_state = ServerState::Draining;
         refuseQueued(FailurePoint::ServerDraining, actions);
@@ -116,9 +116,9 @@
     return actions;
 }
 
-AttendantActions Attendant::advance(Instant now)
+ServerManagerActions ServerManager::advance(Instant now)
 {
-    AttendantActions actions;
+    ServerManagerActions actions;
     removeExpiredLostWork(now);
     const bool isSilent = m_unansweredSince && *m_unansweredSince + silenceTimeout() <= now;
     if (isSilent && stateRefusal() == std::nullopt) {
@@ -132,7 +132,7 @@
     return actions;
 }
 
-std::optional<Instant> Attendant::nextDue() const
+std::optional<Instant> ServerManager::nextDue() const
 {
     std::optional<Instant> due;
     const auto consider = [&due](Instant instant) {
@@ -151,11 +151,11 @@
     return due;
 }
 
-AttendantLoad Attendant::load(RequestClass requestClass) const
+ServerManagerLoad ServerManager::load(RequestClass requestClass) const
 {
     const bool isPriority = requestClass == RequestClass::Priority;
     const std::size_t before = isPriority ? m_priorityQueue.size() : queuedCount();
-    AttendantLoad load;
+    ServerManagerLoad load;
     load.inFlight = m_running;
     load.queuedBefore = static_cast<int>(before);
     load.serviceTime = m_serviceTime.mean();
@@ -166,17 +166,17 @@
     return load;
 }
 
-int Attendant::slotLimit() const
+int ServerManager::slotLimit() const
 {
     return m_state == ServerState::Probation ? 1 : m_slotLimit;
 }
 
-std::size_t Attendant::queuedCount() const
+std::size_t ServerManager::queuedCount() const
 {
     return m_priorityQueue.size() + m_ordinaryQueue.size();
 }
 
-Duration Attendant::waitBehind(std::size_t ahead) const
+Duration ServerManager::waitBehind(std::size_t ahead) const
 {
     const int slots = slotLimit();
     const auto before = static_cast<int>(ahead) + m_running;
@@ -185,22 +185,22 @@
     return m_serviceTime.mean() * (before - slots + 1) / slots;
 }
 
-bool Attendant::isInTime(Instant deadline, std::size_t ahead, Instant now) const
+bool ServerManager::isInTime(Instant deadline, std::size_t ahead, Instant now) const
 {
     return now + expectedWaitFactor * waitBehind(ahead) + m_serviceTime.cautious() <= deadline;
 }
 
-bool Attendant::isTooLate(Instant deadline, Instant now) const
+bool ServerManager::isTooLate(Instant deadline, Instant now) const
 {
     return now + m_serviceTime.mean() > deadline;
 }
 
-Duration Attendant::retryAfter() const
+Duration ServerManager::retryAfter() const
 {
     return std::max(minRetryAfter, waitBehind(queuedCount()));
 }
 
-std::optional<FailurePoint> Attendant::stateRefusal() const
+std::optional<FailurePoint> ServerManager::stateRefusal() const
 {
     if (m_state == ServerState::Suspected)
         return FailurePoint::ServerSuspected;
@@ -209,7 +209,8 @@
     return std::nullopt;
 }
 
-std::optional<FailurePoint> Attendant::admissionRefusal(const ManagedWork &work, Instant now) const
+std::optional<FailurePoint> ServerManager::admissionRefusal(const ManagedWork &work,
+                                                            Instant now) const
 {
     const bool isPriority = work.policy.requestClass == RequestClass::Priority;
     if (isTooLate(work.policy.deadline, now))
@@ -226,7 +227,7 @@
     return std::nullopt;
 }
 
-void Attendant::enqueue(const ManagedWork &work, AttendantActions &actions)
+void ServerManager::enqueue(const ManagedWork &work, ServerManagerActions &actions)
 {
     if (queuedCount() >= static_cast<std::size_t>(m_limits.queueLimit)) {
         refuse(m_ordinaryQueue.back(), FailurePoint::Overloaded, actions);
@@ -236,7 +237,7 @@
     (isPriority ? m_priorityQueue : m_ordinaryQueue).push_back(work);
 }
 
-void Attendant::dispatch(const ManagedWork &work, Instant now, AttendantActions &actions)
+void ServerManager::dispatch(const ManagedWork &work, Instant now, ServerManagerActions &actions)
 {
     m_flights.emplace(work.id, Flight{now, work.policy.deadline, !work.hasStreamedBody, false});
     ++(work.hasStreamedBody ? m_streaming : m_running);
@@ -245,7 +246,7 @@
     actions.emplace_back(DispatchWork{work.id});
 }
 
-void Attendant::dispatchQueued(Instant now, AttendantActions &actions)
+void ServerManager::dispatchQueued(Instant now, ServerManagerActions &actions)
 {
     while (m_running < slotLimit() && queuedCount() > 0 && !stateRefusal()) {
         Queue &queue = m_priorityQueue.empty() ? m_ordinaryQueue : m_priorityQueue;
@@ -262,13 +263,13 @@
     }
 }
 
-void Attendant::refuse(const ManagedWork &work, FailurePoint reason,
-                       AttendantActions &actions) const
+void ServerManager::refuse(const ManagedWork &work, FailurePoint reason,
+                           ServerManagerActions &actions) const
 {
     actions.emplace_back(RefuseWork{work.id, reason, retryAfter()});
 }
 
-void Attendant::refuseQueued(FailurePoint reason, AttendantActions &actions)
+void ServerManager::refuseQueued(FailurePoint reason, ServerManagerActions &actions)
 {
     for (Queue *queue : {&m_priorityQueue, &m_ordinaryQueue}) {
         for (const ManagedWork &work : *queue)
@@ -278,7 +279,7 @@
 }
 
 /** Newly queued priority work may delay ordinary work past its deadline. */
-void Attendant::refuseDisplaced(Instant now, AttendantActions &actions)
+void ServerManager::refuseDisplaced(Instant now, ServerManagerActions &actions)
 {
     while (!m_ordinaryQueue.empty()) {
         const ManagedWork &last = m_ordinaryQueue.back();
@@ -290,7 +291,7 @@
 }
 
 /** Refuses only work that would be late even if sent now, since estimates may be too high. */
-void Attendant::refuseExpired(Queue &queue, Instant now, AttendantActions &actions) const
+void ServerManager::refuseExpired(Queue &queue, Instant now, ServerManagerActions &actions) const
 {
     std::erase_if(queue, [&](const ManagedWork &work) {
         const bool isExpired = isTooLate(work.policy.deadline, now);
@@ -300,7 +301,7 @@
     });
 }
 
-void Attendant::removeExpiredLostWork(Instant now)
+void ServerManager::removeExpiredLostWork(Instant now)
 {
     std::erase_if(m_flights, [&](const auto &entry) {
         const Flight &flight = entry.second;
@@ -311,33 +312,33 @@
     });
 }
 
-void Attendant::recordResult(const Flight &flight, WorkEnd end, Instant now)
+void ServerManager::recordResult(const Flight &flight, WorkResult end, Instant now)
 {
     switch (end) {
-    case WorkEnd::Answered:
+    case WorkResult::Answered:
         recordAnswer(flight, now);
         break;
-    case WorkEnd::Shed:
+    case WorkResult::Shed:
         setSlotLimit(std::max(1, m_running));
         break;
-    case WorkEnd::Cold:
+    case WorkResult::Cold:
         setSlotLimit(1);
         break;
-    case WorkEnd::Draining:
+    case WorkResult::Draining:
         m_state = ServerState::Draining;
         break;
-    case WorkEnd::Refused:
-    case WorkEnd::NotSent:
-    case WorkEnd::Lost:
+    case WorkResult::Refused:
+    case WorkResult::NotSent:
+    case WorkResult::Lost:
         break;
     }
     // Lost work leaves its answer outstanding; any other result restarts the measurement of
     // silence.
-    if (end != WorkEnd::Lost)
+    if (end != WorkResult::Lost)
         m_unansweredSince = m_running > 0 ? std::optional{now} : std::nullopt;
 }
 
-void Attendant::recordAnswer(const Flight &flight, Instant now)
+void ServerManager::recordAnswer(const Flight &flight, Instant now)
 {
     if (flight.isBodySent)
         m_serviceTime.record(now - flight.sentAt);
@@ -349,12 +350,12 @@
     setSlotLimit(m_slotLimit + 1);
 }
 
-Duration Attendant::silenceTimeout() const
+Duration ServerManager::silenceTimeout() const
 {
     return std::max(m_limits.minSilenceTimeout, m_serviceTime.cautious() * m_limits.silenceFactor);
 }
 
-void Attendant::setSlotLimit(int limit)
+void ServerManager::setSlotLimit(int limit)
 {
     m_slotLimit = std::clamp(limit, 1, m_limits.slots);
     m_answersSinceLimitChange = 0;
--- a/src/libbulrush/connection/attendant.h
+++ b/src/libbulrush/connection/servermanager.h
@@ -27,7 +27,7 @@
 };
 
 /** Limits on the work for one backend server. */
-struct AttendantLimits
+struct ServerManagerLimits
 {
     int slots = 3;
     /** Maximum number of concurrent streamed bodies; a part of the server's connection limit. */
@@ -69,11 +69,12 @@
     bool operator==(const ReportRecovered &) const = default;
 };
 
-using AttendantAction = std::variant<DispatchWork, RefuseWork, ReportSuspected, ReportRecovered>;
-using AttendantActions = std::vector<AttendantAction>;
+using ServerManagerAction =
+    std::variant<DispatchWork, RefuseWork, ReportSuspected, ReportRecovered>;
+using ServerManagerActions = std::vector<ServerManagerAction>;
 
 /** Result of dispatched work with respect to the server's load. */
-enum class WorkEnd {
+enum class WorkResult {
     Answered, ///< the server completed it
     Refused,  ///< the server stated that it did not start, for a reason other than its own state
     Shed,     ///< the server is overloaded
@@ -84,7 +85,7 @@
 };
 
 /** Load that work of one class would encounter now. */
-struct AttendantLoad
+struct ServerManagerLoad
 {
     int inFlight = 0;
     /** Queued work that would be sent first. */
@@ -94,7 +95,7 @@
     /** Mean time that work occupies a slot. */
     Duration serviceTime{};
 
-    bool operator==(const AttendantLoad &) const = default;
+    bool operator==(const ServerManagerLoad &) const = default;
 };
 
 /**
@@ -105,19 +106,19 @@
  *
  * Not thread safe.
  */
-class Attendant
+class ServerManager
 {
 public:
-    explicit Attendant(AttendantLimits limits);
+    explicit ServerManager(ServerManagerLimits limits);
 
     /** Submits work. \pre The id is new. */
-    AttendantActions submit(const ManagedWork &work, Instant now);
+    ServerManagerActions submit(const ManagedWork &work, Instant now);
 
     /** The streamed body of \a id has been sent completely: it takes a slot from now on. */
     void bodySent(WorkId id, Instant now);
 
     /** Records the result of dispatched work. An unknown id is ignored. */
-    AttendantActions workEnded(WorkId id, WorkEnd end, Instant now);
+    ServerManagerActions workEnded(WorkId id, WorkResult end, Instant now);
 
     /**
      * Removes queued work whose caller has disconnected. Dispatched work has to be completed with
@@ -126,16 +127,16 @@
     void cancel(WorkId id);
 
     /** The server answered a control call, which shows that it is not frozen. */
-    AttendantActions serverAnswered(bool isDraining, Instant now);
+    ServerManagerActions serverAnswered(bool isDraining, Instant now);
 
     /** Refuses expired work and detects an unresponsive server. To be called at nextDue(). */
-    AttendantActions advance(Instant now);
+    ServerManagerActions advance(Instant now);
 
     /** \returns when advance() has to be called next, or nothing. */
     std::optional<Instant> nextDue() const;
 
     /** \returns the load that work of \a requestClass would encounter. */
-    AttendantLoad load(RequestClass requestClass) const;
+    ServerManagerLoad load(RequestClass requestClass) const;
 
     bool isSuspected() const;
     bool isDraining() const;
@@ -167,21 +168,21 @@
     Duration retryAfter() const;
     std::optional<FailurePoint> stateRefusal() const;
     std::optional<FailurePoint> admissionRefusal(const ManagedWork &work, Instant now) const;
-    AttendantActions submitStreamed(const ManagedWork &work, Instant now);
-    void enqueue(const ManagedWork &work, AttendantActions &actions);
-    void dispatch(const ManagedWork &work, Instant now, AttendantActions &actions);
-    void dispatchQueued(Instant now, AttendantActions &actions);
-    void refuse(const ManagedWork &work, FailurePoint reason, AttendantActions &actions) const;
-    void refuseQueued(FailurePoint reason, AttendantActions &actions);
-    void refuseDisplaced(Instant now, AttendantActions &actions);
-    void refuseExpired(Queue &queue, Instant now, AttendantActions &actions) const;
+    ServerManagerActions submitStreamed(const ManagedWork &work, Instant now);
+    void enqueue(const ManagedWork &work, ServerManagerActions &actions);
+    void dispatch(const ManagedWork &work, Instant now, ServerManagerActions &actions);
+    void dispatchQueued(Instant now, ServerManagerActions &actions);
+    void refuse(const ManagedWork &work, FailurePoint reason, ServerManagerActions &actions) const;
+    void refuseQueued(FailurePoint reason, ServerManagerActions &actions);
+    void refuseDisplaced(Instant now, ServerManagerActions &actions);
+    void refuseExpired(Queue &queue, Instant now, ServerManagerActions &actions) const;
     void removeExpiredLostWork(Instant now);
-    void recordResult(const Flight &flight, WorkEnd end, Instant now);
+    void recordResult(const Flight &flight, WorkResult end, Instant now);
     void recordAnswer(const Flight &flight, Instant now);
     Duration silenceTimeout() const;
     void setSlotLimit(int limit);
 
-    AttendantLimits m_limits;
+    ServerManagerLimits m_limits;
     ServiceTimeEstimate m_serviceTime;
     ServerState m_state = ServerState::Serving;
     std::unordered_map<WorkId, Flight> m_flights;
@@ -197,12 +198,12 @@
     bool m_hasRecovered = false;
 };
 
-inline bool Attendant::isSuspected() const
+inline bool ServerManager::isSuspected() const
 {
     return m_state == ServerState::Suspected;
 }
 
-inline bool Attendant::isDraining() const
+inline bool ServerManager::isDraining() const
 {
     return m_state == ServerState::Draining;
 }
--- a/src/libbulrush/process/burnrate.cpp
+++ b/src/libbulrush/process/burnrate.cpp
@@ -214,9 +214,9 @@
     report.rows = rowsOf(counted);
     for (const BurnSnapshot *snapshot : counted) {
         const bool isFirst = report.reported.empty();
-        report.shortestObserved = isFirst
+        report.minObservedDuration = isFirst
             ? snapshot->observedFor
-            : std::min(report.shortestObserved, snapshot->observedFor);
+            : std::min(report.minObservedDuration, snapshot->observedFor);
         report.partlyObserved += snapshot->observedFor < burnWindows.back().window ? 1 : 0;
         report.reported.push_back(snapshot->host);
     }
--- a/src/libbulrush/process/burnrate.h
+++ b/src/libbulrush/process/burnrate.h
@@ -191,7 +191,7 @@
     /** Expected daemons that did not report; their requests are not in the counts. */
     std::vector<HostName> missing;
     /** The shortest time for which any reporting daemon has been counting. */
-    Duration shortestObserved{};
+    Duration minObservedDuration{};
     /** Number of daemons that have been counting for less than the longest window. */
     std::size_t partlyObserved = 0;
 };
--- a/src/libbulrush/process/claimbatcher.cpp
+++ b/src/libbulrush/process/claimbatcher.cpp
@@ -23,7 +23,7 @@
 {
     ClaimBatchActions actions;
     if (m_waiting.size() >= m_limits.waitingLimit) {
-        actions.emplace_back(ClaimWriteEnded{write.id, ClaimWriteNotSent{}});
+        actions.emplace_back(ClaimWriteResult{write.id, ClaimWriteNotSent{}});
         return actions;
     }
     if (m_waiting.empty())
@@ -48,9 +48,9 @@
     for (std::size_t i = 0; i < writes.size(); ++i) {
         // If the answer does not cover a write, the result of that write is unknown.
         if (i < versions.size())
-            actions.emplace_back(ClaimWriteEnded{writes[i].id, ClaimWriteCommitted{versions[i]}});
+            actions.emplace_back(ClaimWriteResult{writes[i].id, ClaimWriteCommitted{versions[i]}});
         else
-            actions.emplace_back(ClaimWriteEnded{writes[i].id, ClaimWriteLost{}});
+            actions.emplace_back(ClaimWriteResult{writes[i].id, ClaimWriteLost{}});
     }
     sendDue(now, actions);
     return actions;
@@ -69,7 +69,7 @@
             rest.push_back(std::move(write));
         else
             actions.emplace_back(
-                ClaimWriteEnded{write.id, ClaimWriteConflicted{conflict->current}});
+                ClaimWriteResult{write.id, ClaimWriteConflicted{conflict->current}});
     }
     const bool hasConflict = rest.size() < count;
     resend(std::move(rest), hasConflict, actions);
@@ -145,7 +145,7 @@
 {
     ClaimBatchActions actions;
     for (const KeyedClaimWrite &write : takeBatch(id))
-        actions.emplace_back(ClaimWriteEnded{write.id, event});
+        actions.emplace_back(ClaimWriteResult{write.id, event});
     sendDue(now, actions);
     return actions;
 }
@@ -160,7 +160,7 @@
         return;
     }
     if (writes.size() == 1) {
-        actions.emplace_back(ClaimWriteEnded{writes.front().id, ClaimWriteLost{}});
+        actions.emplace_back(ClaimWriteResult{writes.front().id, ClaimWriteLost{}});
         return;
     }
     const auto middle = writes.begin() + static_cast<std::ptrdiff_t>(writes.size() / 2);
--- a/src/libbulrush/process/claimbatcher.h
+++ b/src/libbulrush/process/claimbatcher.h
@@ -38,13 +38,13 @@
 };
 
 /** Pass this event to the claim that requested the write. */
-struct ClaimWriteEnded
+struct ClaimWriteResult
 {
     ClaimWriteId id;
     ClaimEvent event;
 };
 
-using ClaimBatchAction = std::variant<SendClaimBatch, ClaimWriteEnded>;
+using ClaimBatchAction = std::variant<SendClaimBatch, ClaimWriteResult>;
 using ClaimBatchActions = std::vector<ClaimBatchAction>;
 
 /** A row that prevented a transaction from taking effect. */
--- a/src/libbulrush/process/counters.h
+++ b/src/libbulrush/process/counters.h
@@ -12,7 +12,7 @@
 enum class Counter {
     RequestsAccepted,
     RequestsRelayed,
-    RequestsWhole,
+    RequestsCompleted,
     RequestsNotRun,
     RequestsUnknown,
     RequestsRejected,
--- a/src/libbulrush/process/membership.cpp
+++ b/src/libbulrush/process/membership.cpp
@@ -248,11 +248,11 @@
     if (!pending.requester.empty())
         send(context, pending.requester, IndirectAck{pending.requesterSequence, sender});
     if (ack.summary.age && ack.summary.items == m_versions.digest().combined())
-        m_versions.confirmSameAsPeer(pending.askedAt, *ack.summary.age);
+        m_versions.confirmSameAsPeer(pending.requestedAt, *ack.summary.age);
     compareWith(context, sender, ack.summary);
 }
 
-void Membership::handle(CallContext &context, const MemberRecord &sender, const NewsPush &push)
+void Membership::handle(CallContext &context, const MemberRecord &sender, const GossipPush &push)
 {
     applyGossip(context, sender, push.news);
 }
@@ -264,7 +264,7 @@
         return;
 
     PendingPing pending{.target = target->host,
-                        .askedAt = context.now,
+                        .requestedAt = context.now,
                         .due = context.now + m_settings.ackTimeout,
                         .requester = sender.address,
                         .requesterSequence = ping.sequence};
@@ -337,7 +337,7 @@
         if (!target || target->state == MemberState::Gone)
             continue;
         PendingPing pending{.target = target->host,
-                            .askedAt = context.now,
+                            .requestedAt = context.now,
                             .due = context.now + m_settings.ackTimeout};
         sendPing(context, target->address, std::move(pending));
         return;
@@ -403,8 +403,9 @@
     m_nextReconnect =
         context.now + (hasPresentPeer() ? m_settings.reconnectPeriod : m_settings.pingPeriod);
     const auto ping = [&](const std::string &address, const HostName &target) {
-        PendingPing pending{
-            .target = target, .askedAt = context.now, .due = context.now + m_settings.ackTimeout};
+        PendingPing pending{.target = target,
+                            .requestedAt = context.now,
+                            .due = context.now + m_settings.ackTimeout};
         sendPing(context, address, std::move(pending));
     };
 
@@ -421,12 +422,12 @@
 
 void Membership::sendGossipRound(CallContext &context)
 {
-    const News news = gossipOf(m_gossipQueue.take(m_settings.gossipLimit));
+    const GossipUpdate news = gossipOf(m_gossipQueue.take(m_settings.gossipLimit));
     m_lastGossip = context.now;
     m_nextGossip =
         m_gossipQueue.isEmpty() ? Instant::max() : context.now + m_settings.gossipInterval;
     for (const MemberRecord &member : chooseMembers(m_settings.fanOut, m_self.host))
-        send(context, member.address, NewsPush{news});
+        send(context, member.address, GossipPush{news});
 }
 
 void Membership::readPlatformIfDue(CallContext &context)
@@ -447,7 +448,7 @@
 std::optional<Duration> Membership::readInterval(Instant now) const
 {
     const std::size_t rank = readerRank();
-    const Duration unconfirmed = m_versions.unsureFor(now);
+    const Duration unconfirmed = m_versions.unconfirmedDuration(now);
     const Duration delay = m_settings.backupReaderDelay;
     const bool isBackupReader = rank <= maxBackupReaders
         && (unconfirmed > delay * static_cast<int>(rank) || now < m_backupReaderUntil);
@@ -580,7 +581,8 @@
     queueMemberGossip(context.now, m_self.host);
 }
 
-void Membership::applyGossip(CallContext &context, const MemberRecord &sender, const News &news)
+void Membership::applyGossip(CallContext &context, const MemberRecord &sender,
+                             const GossipUpdate &news)
 {
     for (const MemberRecord &member : news.members)
         mergeMember(context, member);
@@ -662,9 +664,9 @@
     return 2 + static_cast<unsigned>(std::ceil(std::log10(known + 1)));
 }
 
-News Membership::gossipOf(std::span<const GossipQueue::Subject> subjects) const
+GossipUpdate Membership::gossipOf(std::span<const GossipQueue::Subject> subjects) const
 {
-    News news;
+    GossipUpdate news;
     for (const GossipQueue::Subject &subject : subjects) {
         if (const auto *key = std::get_if<ItemKey>(&subject)) {
             if (const VersionedItem *item = m_versions.find(*key))
@@ -680,7 +682,7 @@
  * Adds the recorded state of a member if it differs from what the member sent, so that the member
  * can refute it or detect that it was replaced.
  */
-void Membership::addCorrection(News &news, const MemberRecord &of) const
+void Membership::addCorrection(GossipUpdate &news, const MemberRecord &of) const
 {
     const MemberRecord *held = m_table.find(of.host);
     if (held && *held != of && std::ranges::find(news.members, *held) == news.members.end())
@@ -691,7 +693,7 @@
 {
     Summary result{m_table.digest().combined(), m_versions.digest().combined(), std::nullopt};
     if (m_versions.currentAsOf())
-        result.age = m_versions.unsureFor(now);
+        result.age = m_versions.unconfirmedDuration(now);
     return result;
 }
 
--- a/src/libbulrush/process/membership.h
+++ b/src/libbulrush/process/membership.h
@@ -203,7 +203,7 @@
     struct PendingPing
     {
         HostName target;
-        Instant askedAt;
+        Instant requestedAt;
         Instant due;
         bool isIndirect = false;
         /** Set if the ping was sent on behalf of another daemon. */
@@ -230,7 +230,7 @@
 
     void handle(CallContext &context, const MemberRecord &sender, const Ping &ping);
     void handle(CallContext &context, const MemberRecord &sender, const Ack &ack);
-    void handle(CallContext &context, const MemberRecord &sender, const NewsPush &push);
+    void handle(CallContext &context, const MemberRecord &sender, const GossipPush &push);
     void handle(CallContext &context, const MemberRecord &sender, const IndirectPing &ping);
     void handle(CallContext &context, const MemberRecord &sender, const IndirectAck &ack);
     void handle(CallContext &context, const MemberRecord &sender, const Exchange &exchange);
@@ -257,7 +257,7 @@
     void applyState(CallContext &context, const HostName &host, MemberState state);
     void raiseCounter(CallContext &context, std::uint64_t above);
     void announceSelf(CallContext &context);
-    void applyGossip(CallContext &context, const MemberRecord &sender, const News &news);
+    void applyGossip(CallContext &context, const MemberRecord &sender, const GossipUpdate &news);
     void fetchMissing(CallContext &context, const std::string &from,
                       std::span<const ItemHeader> headers);
     void retryFetches(CallContext &context);
@@ -266,8 +266,8 @@
     void queueMemberGossip(Instant now, const HostName &host);
     unsigned gossipRepeats() const;
 
-    News gossipOf(std::span<const GossipQueue::Subject> subjects) const;
-    void addCorrection(News &news, const MemberRecord &of) const;
+    GossipUpdate gossipOf(std::span<const GossipQueue::Subject> subjects) const;
+    void addCorrection(GossipUpdate &news, const MemberRecord &of) const;
     Summary summary(Instant now) const;
     void compareWith(CallContext &context, const MemberRecord &sender, const Summary &theirs);
     void send(CallContext &context, const std::string &to, PeerMessage::Body body) const;
--- a/src/libbulrush/process/peermessage.h
+++ b/src/libbulrush/process/peermessage.h
@@ -16,7 +16,7 @@
 /**
  * Changes sent by gossip: complete records of members, but only headers of items.
  */
-struct News
+struct GossipUpdate
 {
     std::vector<MemberRecord> members;
     std::vector<ItemHeader> items;
@@ -38,7 +38,7 @@
 {
     std::uint64_t sequence = 0;
     Summary summary;
-    News news;
+    GossipUpdate news;
 };
 
 /** Answers a ping. */
@@ -46,13 +46,13 @@
 {
     std::uint64_t sequence = 0;
     Summary summary;
-    News news;
+    GossipUpdate news;
 };
 
 /** Sends changes; it is not answered. */
-struct NewsPush
+struct GossipPush
 {
-    News news;
+    GossipUpdate news;
 };
 
 /** Requests that a member pings another one, which the sender cannot reach. */
@@ -79,7 +79,7 @@
 /** Answers an exchange, within the limits of a message. */
 struct Delta
 {
-    News news;
+    GossipUpdate news;
 };
 
 /** Requests the bodies of items. */
@@ -99,8 +99,8 @@
  */
 struct PeerMessage
 {
-    using Body =
-        std::variant<Ping, Ack, NewsPush, IndirectPing, IndirectAck, Exchange, Delta, Fetch, Items>;
+    using Body = std::variant<Ping, Ack, GossipPush, IndirectPing, IndirectAck, Exchange, Delta,
+                              Fetch, Items>;
 
     /** The sender's record of itself. */
     MemberRecord sender;
--- a/src/libbulrush/process/ratelimiter.cpp
+++ b/src/libbulrush/process/ratelimiter.cpp
@@ -41,13 +41,13 @@
     return {m_arrivalRate, 0.0, m_sequence};
 }
 
-void RateLimiter::shareGranted(const ShareGrant &grant, Instant askedAt, Instant now)
+void RateLimiter::applyShareGrant(const ShareGrant &grant, Instant requestedAt, Instant now)
 {
     expire(now);
     if (grant.sequence <= m_sequence)
         return;
     m_sequence = grant.sequence;
-    m_validUntil = askedAt + shortened(grant.length, m_driftPpm);
+    m_validUntil = requestedAt + shortened(grant.length, m_driftPpm);
     m_bucket.setRate(now < m_validUntil ? grant.amount : 0.0, now);
 }
 
@@ -111,13 +111,13 @@
             m_sequence};
 }
 
-void ConcurrencyLimiter::shareGranted(const ShareGrant &grant, Instant askedAt)
+void ConcurrencyLimiter::applyShareGrant(const ShareGrant &grant, Instant requestedAt)
 {
     if (grant.sequence <= m_sequence)
         return;
     m_sequence = grant.sequence;
     m_share = grant.amount;
-    m_validUntil = askedAt + shortened(grant.length, m_driftPpm);
+    m_validUntil = requestedAt + shortened(grant.length, m_driftPpm);
 }
 
 } // namespace bulrush
--- a/src/libbulrush/process/ratelimiter.h
+++ b/src/libbulrush/process/ratelimiter.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "process/clock.h"
-#include "process/shareledger.h"
+#include "process/shareallocator.h"
 #include "process/tokenbucket.h"
 
 namespace bulrush {
@@ -22,8 +22,9 @@
     /** \returns the demand to report to the domain leader; the share counts from \a now. */
     ShareDemand demand(Instant now);
 
-    /** Applies a share for a demand made at \a askedAt. A share older than the last is ignored. */
-    void shareGranted(const ShareGrant &grant, Instant askedAt, Instant now);
+    /** Applies a share for a demand made at \a requestedAt. A share older than the last is ignored.
+     */
+    void applyShareGrant(const ShareGrant &grant, Instant requestedAt, Instant now);
 
     /** \returns the delay after which a refused caller may retry. */
     Duration retryAfter() const;
@@ -61,8 +62,8 @@
     /** \returns the demand to report to the domain leader. */
     ShareDemand demand();
 
-    /** Applies a share for a demand made at \a askedAt. */
-    void shareGranted(const ShareGrant &grant, Instant askedAt);
+    /** Applies a share for a demand made at \a requestedAt. */
+    void applyShareGrant(const ShareGrant &grant, Instant requestedAt);
 
     int inFlight() const;
 
--- a/src/libbulrush/process/attendancetable.cpp
+++ b/src/libbulrush/process/servermanagertable.cpp
@@ -1,4 +1,4 @@
-#include "process/attendancetable.h"
+#include "process/servermanagertable.h"
 
 #include "process/ownershipmap.h"
 
@@ -49,11 +49,12 @@
 
 } // namespace
 
-AttendanceTable::AttendanceTable(std::vector<Attendance> attendances)
+ServerManagerTable::ServerManagerTable(std::vector<Attendance> attendances)
     : m_attendances(std::move(attendances))
 { }
 
-void AttendanceTable::fit(const std::set<ServerName> &servers, const std::set<Incarnation> &daemons)
+void ServerManagerTable::fit(const std::set<ServerName> &servers,
+                             const std::set<Incarnation> &daemons)
 {
     if (daemons.empty())
         return;
--- a/src/libbulrush/process/attendancetable.h
+++ b/src/libbulrush/process/servermanagertable.h
@@ -14,11 +14,11 @@
  *
  * Not thread safe.
  */
-class AttendanceTable
+class ServerManagerTable
 {
 public:
     /** Starts with the assignments in force, sorted by server. */
-    explicit AttendanceTable(std::vector<Attendance> attendances = {});
+    explicit ServerManagerTable(std::vector<Attendance> attendances = {});
 
     /**
      * Adapts the table to the servers that need a server manager and the daemons that can be one;
@@ -35,7 +35,7 @@
     std::vector<Attendance> m_attendances;
 };
 
-inline std::span<const Attendance> AttendanceTable::attendances() const
+inline std::span<const Attendance> ServerManagerTable::attendances() const
 {
     return m_attendances;
 }
--- a/src/libbulrush/process/shareledger.cpp
+++ b/src/libbulrush/process/shareallocator.cpp
@@ -1,4 +1,4 @@
-#include "process/shareledger.h"
+#include "process/shareallocator.h"
 
 #include <algorithm>
 #include <cmath>
@@ -20,33 +20,33 @@
 
 } // namespace
 
-ShareLedger::ShareLedger(double ownPart, std::uint64_t epoch, ShareTerms terms)
+ShareAllocator::ShareAllocator(double ownPart, std::uint64_t epoch, ShareTerms terms)
     : m_ownPart(ownPart)
     , m_terms(terms)
     , m_lastSequence{epoch, 0}
 { }
 
-ShareLedger ShareLedger::successor(double ownPart, std::uint64_t epoch, ShareTerms terms,
-                                   Instant now)
+ShareAllocator ShareAllocator::successor(double ownPart, std::uint64_t epoch, ShareTerms terms,
+                                         Instant now)
 {
-    ShareLedger result{ownPart, epoch, terms};
+    ShareAllocator result{ownPart, epoch, terms};
     const Duration longest = std::max(terms.length, terms.loanLength);
     result.m_confirmOnlyUntil = now + stretched(longest, terms.driftPpm);
     return result;
 }
 
-void ShareLedger::setOwn(double ownPart)
+void ShareAllocator::setOwn(double ownPart)
 {
     m_ownPart = ownPart;
 }
 
-void ShareLedger::endConfirmOnlyPeriod()
+void ShareAllocator::endConfirmOnlyPeriod()
 {
     m_confirmOnlyUntil = Instant{};
 }
 
-ShareGrant ShareLedger::renew(const Incarnation &holder, const ShareDemand &demand, double held,
-                              Instant now)
+ShareGrant ShareAllocator::renew(const Incarnation &holder, const ShareDemand &demand, double held,
+                                 Instant now)
 {
     Holder &requester = recordDemand(nameOfHolder(holder), demand, now);
     if (now < m_confirmOnlyUntil)
@@ -54,12 +54,12 @@
     return issueGrant(requester, target(requester, now), m_terms.length, now);
 }
 
-void ShareLedger::release(const Incarnation &holder)
+void ShareAllocator::release(const Incarnation &holder)
 {
     m_holders.erase(nameOfHolder(holder));
 }
 
-ShareGrant ShareLedger::lend(const DomainName &borrower, const ShareDemand &demand, Instant now)
+ShareGrant ShareAllocator::lend(const DomainName &borrower, const ShareDemand &demand, Instant now)
 {
     Holder &requester = recordDemand(nameOfHolder(borrower), demand, now);
     requester.isBorrower = true;
@@ -74,7 +74,7 @@
     return issueGrant(requester, std::min(left, demand.wanted), m_terms.loanLength, now);
 }
 
-ShareDemand ShareLedger::loanDemand(const DomainName &lender, Instant now) const
+ShareDemand ShareAllocator::loanDemand(const DomainName &lender, Instant now) const
 {
     const auto found = m_loans.find(lender);
     const bool hasLoan = found != m_loans.end() && found->second.validUntil > now;
@@ -87,14 +87,16 @@
     return demand;
 }
 
-void ShareLedger::loanGranted(const DomainName &lender, const ShareGrant &grant, Instant askedAt)
+void ShareAllocator::applyLoanGrant(const DomainName &lender, const ShareGrant &grant,
+                                    Instant requestedAt)
 {
     Loan &loan = m_loans[lender];
     if (grant.sequence > loan.sequence)
-        loan = {grant.sequence, grant.amount, askedAt + shortened(grant.length, m_terms.driftPpm)};
+        loan = {grant.sequence, grant.amount,
+                requestedAt + shortened(grant.length, m_terms.driftPpm)};
 }
 
-double ShareLedger::outstanding(Instant now) const
+double ShareAllocator::outstanding(Instant now) const
 {
     double sum = 0.0;
     for (const auto &[name, holder] : m_holders)
@@ -102,8 +104,8 @@
     return sum;
 }
 
-ShareLedger::Holder &ShareLedger::recordDemand(const std::string &name, const ShareDemand &demand,
-                                               Instant now)
+ShareAllocator::Holder &ShareAllocator::recordDemand(const std::string &name,
+                                                     const ShareDemand &demand, Instant now)
 {
     removeExpired(now);
     Holder &holder = m_holders[name];
@@ -115,7 +117,7 @@
     return holder;
 }
 
-ShareGrant ShareLedger::issueGrant(Holder &holder, double target, Duration length, Instant now)
+ShareGrant ShareAllocator::issueGrant(Holder &holder, double target, Duration length, Instant now)
 {
     const double others = outstanding(now) - heldBy(holder, now);
     const double limit = std::max(0.0, available(now) - others);
@@ -127,7 +129,7 @@
 }
 
 /** \returns the sum of the loans that are valid beyond \a until. */
-double ShareLedger::borrowed(Instant until) const
+double ShareAllocator::borrowed(Instant until) const
 {
     double sum = 0.0;
     for (const auto &[lender, loan] : m_loans) {
@@ -138,12 +140,12 @@
 }
 
 /** \returns the amount that can be issued for the duration of a share from \a now. */
-double ShareLedger::available(Instant now) const
+double ShareAllocator::available(Instant now) const
 {
     return m_ownPart + borrowed(now + stretched(m_terms.length, m_terms.driftPpm));
 }
 
-double ShareLedger::totalWanted() const
+double ShareAllocator::totalWanted() const
 {
     double sum = 0.0;
     for (const auto &[name, holder] : m_holders) {
@@ -154,13 +156,13 @@
 }
 
 /** Borrowed amounts are not lent: such a loan could outlast the one that covers it. */
-double ShareLedger::lendable() const
+double ShareAllocator::lendable() const
 {
     return std::max(0.0, m_ownPart - totalWanted());
 }
 
 /** \returns the amount reserved for borrowers: what they hold, and what they are to receive. */
-double ShareLedger::reservedForBorrowers(Instant now) const
+double ShareAllocator::reservedForBorrowers(Instant now) const
 {
     double held = 0.0;
     double wanted = 0.0;
@@ -174,7 +176,7 @@
 }
 
 /** \returns the share of a daemon: its demand if the amount suffices, otherwise a fair part. */
-double ShareLedger::target(const Holder &holder, Instant now) const
+double ShareAllocator::target(const Holder &holder, Instant now) const
 {
     const double amount = std::max(0.0, available(now) - reservedForBorrowers(now));
     const auto daemons = std::ranges::count_if(
@@ -186,7 +188,7 @@
 }
 
 /** \returns the level at which demands, capped at that level, sum up to \a amount. */
-double ShareLedger::fairShareLevel(double amount) const
+double ShareAllocator::fairShareLevel(double amount) const
 {
     std::vector<double> demands;
     for (const auto &[name, holder] : m_holders) {
@@ -203,7 +205,7 @@
     return demands.empty() ? 0.0 : demands.back();
 }
 
-double ShareLedger::rounded(double amount, double limit) const
+double ShareAllocator::rounded(double amount, double limit) const
 {
     if (m_terms.unit <= 0.0)
         return amount;
@@ -211,7 +213,7 @@
     return up <= limit ? up : std::floor(amount / m_terms.unit) * m_terms.unit;
 }
 
-void ShareLedger::removeExpired(Instant now)
+void ShareAllocator::removeExpired(Instant now)
 {
     for (auto &[name, holder] : m_holders)
         std::erase_if(holder.issuedGrants,
@@ -222,7 +224,7 @@
     });
 }
 
-double ShareLedger::heldBy(const Holder &holder, Instant now)
+double ShareAllocator::heldBy(const Holder &holder, Instant now)
 {
     double maximum = holder.inUse;
     for (const IssuedGrant &grant : holder.issuedGrants) {
--- a/src/libbulrush/process/shareledger.h
+++ b/src/libbulrush/process/shareallocator.h
@@ -55,21 +55,21 @@
  * A domain that is cut off continues with its own part, and gets back what it lent when the loan
  * has expired. Not thread safe.
  */
-class ShareLedger
+class ShareAllocator
 {
 public:
     /**
      * \a ownPart is the domain's part of the limit, \a epoch the epoch of the domain leader.
      */
-    ShareLedger(double ownPart, std::uint64_t epoch, ShareTerms terms);
+    ShareAllocator(double ownPart, std::uint64_t epoch, ShareTerms terms);
 
     /**
      * Creates the successor of another instance at \a now. It has no record of the grants of its
      * predecessor: until the longest of these has expired, it only confirms the shares that holders
      * report, and issues nothing new.
      */
-    static ShareLedger successor(double ownPart, std::uint64_t epoch, ShareTerms terms,
-                                 Instant now);
+    static ShareAllocator successor(double ownPart, std::uint64_t epoch, ShareTerms terms,
+                                    Instant now);
 
     /**
      * Ends the successor's confirm-only period early. \pre Every daemon and domain to which the
@@ -99,8 +99,9 @@
      */
     ShareDemand loanDemand(const DomainName &lender, Instant now) const;
 
-    /** Applies a loan for a demand made at \a askedAt. A loan older than the last is ignored. */
-    void loanGranted(const DomainName &lender, const ShareGrant &grant, Instant askedAt);
+    /** Applies a loan for a demand made at \a requestedAt. A loan older than the last is ignored.
+     */
+    void applyLoanGrant(const DomainName &lender, const ShareGrant &grant, Instant requestedAt);
 
     /** \returns the sum of the shares that may be in effect at \a now. */
     double outstanding(Instant now) const;
--- a/src/libbulrush/process/sharemessages.h
+++ b/src/libbulrush/process/sharemessages.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "process/shareledger.h"
+#include "process/shareallocator.h"
 #include "version/identifier.h"
 
 #include <vector>
--- a/src/libbulrush/process/versionstore.cpp
+++ b/src/libbulrush/process/versionstore.cpp
@@ -81,13 +81,13 @@
     if (outcome.isOutdated)
         ++m_counters.outdatedListings;
     else if (!hasConflict)
-        confirm(listing.askedAt);
+        confirm(listing.requestedAt);
     return outcome;
 }
 
-void VersionStore::confirmSameAsPeer(Instant askedAt, Duration peerAge)
+void VersionStore::confirmSameAsPeer(Instant requestedAt, Duration peerAge)
 {
-    confirm(askedAt - stretched(peerAge, defaultDriftPpm));
+    confirm(requestedAt - stretched(peerAge, defaultDriftPpm));
 }
 
 bool VersionStore::isNewer(const ItemHeader &header) const
@@ -121,7 +121,7 @@
     return result;
 }
 
-Duration VersionStore::unsureFor(Instant now) const
+Duration VersionStore::unconfirmedDuration(Instant now) const
 {
     return now - m_currentAsOf.value_or(m_startedAt);
 }
--- a/src/libbulrush/process/versionstore.h
+++ b/src/libbulrush/process/versionstore.h
@@ -27,7 +27,7 @@
 struct PlatformListing
 {
     /** When the read was requested, not when it was answered. */
-    Instant askedAt;
+    Instant requestedAt;
     std::vector<VersionedItem> items;
 };
 
@@ -82,10 +82,10 @@
 
     /**
      * Records that a peer held the same items as this store.
-     * \param askedAt when the request was sent to the peer
+     * \param requestedAt when the request was sent to the peer
      * \param peerAge time since the peer's items were confirmed to be current
      */
-    void confirmSameAsPeer(Instant askedAt, Duration peerAge);
+    void confirmSameAsPeer(Instant requestedAt, Duration peerAge);
 
     /**
      * \returns whether \a header is newer than the stored version.
@@ -121,7 +121,7 @@
      * \returns the time since the items were last confirmed to be current: since currentAsOf(), or
      * since the start of the process.
      */
-    Duration unsureFor(Instant now) const;
+    Duration unconfirmedDuration(Instant now) const;
 
     const VersionStoreCounters &counters() const;
 
--- a/src/libbulrush/request/claim.cpp
+++ b/src/libbulrush/request/claim.cpp
@@ -44,17 +44,17 @@
         return m_claim.onReadFailed();
     }
 
-    ClaimActions operator()(const ClaimGivenUp &event) const
+    ClaimActions operator()(const ClaimAbandoned &event) const
     {
         return m_claim.onAbandoned(event.reason);
     }
 
-    ClaimActions operator()(const ClaimSettleDue &) const
+    ClaimActions operator()(const ClaimRecheckDue &) const
     {
         return m_claim.onRecheckDue();
     }
 
-    ClaimActions operator()(const ClaimedWorkEnded &event) const
+    ClaimActions operator()(const ClaimedRequestFinished &event) const
     {
         return m_claim.onRequestFinished(event);
     }
@@ -169,7 +169,7 @@
         return {};
     const Duration delay = m_settleDelay;
     m_settleDelay = std::min(m_settleDelay * 2, maxSettleDelay);
-    return {SettleLater{delay}};
+    return {ScheduleClaimRecheck{delay}};
 }
 
 ClaimActions Claim::onAbandoned(FailurePoint reason)
@@ -187,11 +187,11 @@
     return {ReadClaim{}};
 }
 
-ClaimActions Claim::onRequestFinished(const ClaimedWorkEnded &ended)
+ClaimActions Claim::onRequestFinished(const ClaimedRequestFinished &ended)
 {
     if (m_phase != Phase::Dispatched)
         return {};
-    if (std::holds_alternative<WholeAnswer>(ended.outcome))
+    if (std::holds_alternative<CompleteAnswer>(ended.outcome))
         return record(ClaimState::Done, ended.storedAnswer);
     if (std::holds_alternative<NotRun>(ended.outcome))
         return record(ClaimState::NotRun, {});
@@ -210,7 +210,7 @@
         return actions;
     }
     m_phase = Phase::Dispatched;
-    return {DispatchClaimed{}};
+    return {DispatchClaimedRequest{}};
 }
 
 ClaimActions Claim::answerFromOtherClaim(const ClaimRow &row)
@@ -218,7 +218,7 @@
     if (row.state == ClaimState::Done)
         return finish({AnswerStored{row.storedAnswer}});
     if (row.state == ClaimState::Claimed)
-        return finish({AnswerByHolder{row.holder}});
+        return finish({AnswerForHeldClaim{row.holder}});
     return finish({AnswerCaller{Unknown{FailurePoint::ClaimUnknown, m_request.retryAfter}}});
 }
 
@@ -249,7 +249,7 @@
 ClaimActions Claim::finish(ClaimActions actions)
 {
     m_phase = Phase::Over;
-    actions.emplace_back(ForgetClaim{});
+    actions.emplace_back(DiscardClaim{});
     return actions;
 }
 
--- a/src/libbulrush/request/claim.h
+++ b/src/libbulrush/request/claim.h
@@ -80,26 +80,26 @@
 { };
 
 /** The caller has disconnected or stopped waiting: it is answered even if a call is pending. */
-struct ClaimGivenUp
+struct ClaimAbandoned
 {
     FailurePoint reason = FailurePoint::DeadlineBeforeDispatch;
 };
 
-/** The time requested with SettleLater has passed. */
-struct ClaimSettleDue
+/** The time requested with ScheduleClaimRecheck has passed. */
+struct ClaimRecheckDue
 { };
 
 /** The dispatched request has completed. */
-struct ClaimedWorkEnded
+struct ClaimedRequestFinished
 {
     Outcome outcome;
     /** The answer for repeated requests; only for a complete answer. */
     std::string storedAnswer;
 };
 
-using ClaimEvent =
-    std::variant<ClaimWriteCommitted, ClaimWriteConflicted, ClaimWriteNotSent, ClaimWriteLost,
-                 ClaimRowRead, ClaimReadFailed, ClaimGivenUp, ClaimSettleDue, ClaimedWorkEnded>;
+using ClaimEvent = std::variant<ClaimWriteCommitted, ClaimWriteConflicted, ClaimWriteNotSent,
+                                ClaimWriteLost, ClaimRowRead, ClaimReadFailed, ClaimAbandoned,
+                                ClaimRecheckDue, ClaimedRequestFinished>;
 
 // Actions of a claim.
 
@@ -119,9 +119,9 @@
 };
 
 /** Send the request to a backend server; issued at most once. */
-struct DispatchClaimed
+struct DispatchClaimedRequest
 {
-    bool operator==(const DispatchClaimed &) const = default;
+    bool operator==(const DispatchClaimedRequest &) const = default;
 };
 
 /** Send the outcome to the caller now. */
@@ -141,29 +141,30 @@
 };
 
 /** Send the caller outcomeOfHeldClaim(): another request with its key holds the claim. */
-struct AnswerByHolder
+struct AnswerForHeldClaim
 {
     Incarnation holder;
 
-    bool operator==(const AnswerByHolder &) const = default;
+    bool operator==(const AnswerForHeldClaim &) const = default;
 };
 
-/** Send ClaimSettleDue after the delay; the caller has been answered already. */
-struct SettleLater
+/** Send ClaimRecheckDue after the delay; the caller has been answered already. */
+struct ScheduleClaimRecheck
 {
     Duration delay;
 
-    bool operator==(const SettleLater &) const = default;
+    bool operator==(const ScheduleClaimRecheck &) const = default;
 };
 
 /** The claim is finished and can be removed. */
-struct ForgetClaim
+struct DiscardClaim
 {
-    bool operator==(const ForgetClaim &) const = default;
+    bool operator==(const DiscardClaim &) const = default;
 };
 
-using ClaimAction = std::variant<WriteClaim, ReadClaim, DispatchClaimed, AnswerCaller, AnswerStored,
-                                 AnswerByHolder, SettleLater, ForgetClaim>;
+using ClaimAction =
+    std::variant<WriteClaim, ReadClaim, DispatchClaimedRequest, AnswerCaller, AnswerStored,
+                 AnswerForHeldClaim, ScheduleClaimRecheck, DiscardClaim>;
 using ClaimActions = std::vector<ClaimAction>;
 
 /** State of the daemon that holds a claim. */
@@ -245,7 +246,7 @@
     ClaimActions onReadFailed();
     ClaimActions onAbandoned(FailurePoint reason);
     ClaimActions onRecheckDue();
-    ClaimActions onRequestFinished(const ClaimedWorkEnded &ended);
+    ClaimActions onRequestFinished(const ClaimedRequestFinished &ended);
     ClaimActions dispatchIfInTime(std::uint64_t version, Instant now);
     ClaimActions answerFromOtherClaim(const ClaimRow &row);
     ClaimActions refuse(FailurePoint point);
--- a/src/libbulrush/request/outcome.cpp
+++ b/src/libbulrush/request/outcome.cpp
@@ -91,7 +91,7 @@
 /** Converts each outcome to the response for the caller, if nothing was forwarded before. */
 struct ResponseMaker
 {
-    CallerResponse operator()(const WholeAnswer &) const
+    CallerResponse operator()(const CompleteAnswer &) const
     {
         return ForwardAnswer{};
     }
@@ -160,12 +160,12 @@
         return outcomeOf(failurePointOfRefusal(reason), retryAfter);
     if (ran == RanStatement::Missing && status >= firstServerError)
         return outcomeOf(FailurePoint::AnswerWithoutRan, retryAfter);
-    return WholeAnswer{};
+    return CompleteAnswer{};
 }
 
 CallerResponse callerResponse(const Outcome &outcome, bool hasAnswerBegun)
 {
-    if (hasAnswerBegun && !std::holds_alternative<WholeAnswer>(outcome))
+    if (hasAnswerBegun && !std::holds_alternative<CompleteAnswer>(outcome))
         return AbortCallerConnection{};
     return std::visit(ResponseMaker{}, outcome);
 }
--- a/src/libbulrush/request/outcome.h
+++ b/src/libbulrush/request/outcome.h
@@ -50,9 +50,9 @@
 };
 
 /** The complete answer to the request itself. */
-struct WholeAnswer
+struct CompleteAnswer
 {
-    bool operator==(const WholeAnswer &) const = default;
+    bool operator==(const CompleteAnswer &) const = default;
 };
 
 /** The request did not run and will not run. */
@@ -78,7 +78,7 @@
 /**
  * The three possible outcomes of a request.
  */
-using Outcome = std::variant<WholeAnswer, NotRun, Unknown>;
+using Outcome = std::variant<CompleteAnswer, NotRun, Unknown>;
 
 /**
  * \returns every failure point, in the order of the enumeration. Thread safe.
--- a/src/libbulrush/version/loadledger.cpp
+++ b/src/libbulrush/version/loadreporttable.cpp
@@ -1,28 +1,28 @@
-#include "version/loadledger.h"
+#include "version/loadreporttable.h"
 
 #include <utility>
 #include <vector>
 
 namespace bulrush {
 
-LoadLedger::LoadLedger(Duration lifetime)
+LoadReportTable::LoadReportTable(Duration lifetime)
     : m_lifetime(lifetime)
 { }
 
-void LoadLedger::note(const Incarnation &daemon, std::map<ServiceName, LoadReport> reports,
-                      Instant now)
+void LoadReportTable::note(const Incarnation &daemon, std::map<ServiceName, LoadReport> reports,
+                           Instant now)
 {
     m_entries.insert_or_assign(daemon, Entry{std::move(reports), now});
 }
 
-void LoadLedger::expire(Instant now)
+void LoadReportTable::expire(Instant now)
 {
     std::erase_if(m_entries,
                   [&](const auto &entry) { return now - entry.second.recordedAt >= m_lifetime; });
 }
 
-LoadReport LoadLedger::merged(const ServiceName &service, std::span<const SliceRange> slices,
-                              double minLoad) const
+LoadReport LoadReportTable::merged(const ServiceName &service, std::span<const SliceRange> slices,
+                                   double minLoad) const
 {
     std::vector<LoadReport> reports;
     for (const auto &[daemon, entry] : m_entries) {
--- a/src/libbulrush/version/loadledger.h
+++ b/src/libbulrush/version/loadreporttable.h
@@ -15,11 +15,11 @@
  *
  * Not thread safe.
  */
-class LoadLedger
+class LoadReportTable
 {
 public:
     /** \pre \a lifetime is above 0. */
-    explicit LoadLedger(Duration lifetime);
+    explicit LoadReportTable(Duration lifetime);
 
     /** Replaces the previous reports of \a daemon by \a reports. */
     void note(const Incarnation &daemon, std::map<ServiceName, LoadReport> reports, Instant now);
--- a/src/libbulrush/version/slicepiece.h
+++ b/src/libbulrush/version/servicekeyrange.h
@@ -10,22 +10,22 @@
 /**
  * A part of a service's key space.
  */
-struct SlicePiece
+struct ServiceKeyRange
 {
     ServiceName service;
     SliceRange range;
 
-    auto operator<=>(const SlicePiece &) const = default;
+    auto operator<=>(const ServiceKeyRange &) const = default;
 };
 
 /** \returns whether two pieces share a key. */
-inline bool overlaps(const SlicePiece &first, const SlicePiece &second)
+inline bool overlaps(const ServiceKeyRange &first, const ServiceKeyRange &second)
 {
     return first.service == second.service && overlaps(first.range, second.range);
 }
 
 /** \returns the keys that two pieces share. \pre They overlap. */
-inline SlicePiece commonPart(const SlicePiece &first, const SlicePiece &second)
+inline ServiceKeyRange commonPart(const ServiceKeyRange &first, const ServiceKeyRange &second)
 {
     return {first.service,
             {std::max(first.range.begin, second.range.begin),
--- a/tests/burnrate/test_burnrate.cpp
+++ b/tests/burnrate/test_burnrate.cpp
@@ -178,7 +178,7 @@
     BOOST_TEST((report.rows.at(0).windows[0].counted == GoodBad{18, 2}));
     BOOST_TEST((report.missing == std::vector<HostName>{HostName{"b1"}, HostName{"c1"}}));
     BOOST_TEST(report.partlyObserved == 1U);
-    BOOST_TEST((report.shortestObserved == 2min));
+    BOOST_TEST((report.minObservedDuration == 2min));
 
     const std::vector<BurnSnapshot> threads{first, first};
     BOOST_TEST((mergedThreads(threads).series.at(0).windows[0] == GoodBad{18, 2}));
--- a/tests/limits/test_limitboard.cpp
+++ b/tests/limits/test_limitboard.cpp
@@ -1,7 +1,7 @@
-#define BOOST_TEST_MODULE LimitBoard
+#define BOOST_TEST_MODULE LimitRegistry
 
 #include "domainshares.h"
-#include "limitboard.h"
+#include "limitregistry.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -36,25 +36,25 @@
 }
 
 /** Performs one renewal of shares at \a now, without a network. */
-ShareReply renew(LimitBoard &board, DomainShares &shares, const Incarnation &daemon,
+ShareReply renew(LimitRegistry &board, DomainShares &shares, const Incarnation &daemon,
                  const ContractMap &known, Instant now)
 {
     const ShareReply reply =
         shares.renew({daemon, board.demands(std::vector{organisation}, now)}, known, now);
-    board.granted(reply.organisations, now, now);
+    board.applyGrants(reply.organisations, now, now);
     return reply;
 }
 
-void grantShares(LimitBoard &board, double rate, double concurrency, Instant now)
+void grantShares(LimitRegistry &board, double rate, double concurrency, Instant now)
 {
     OrganisationGrant grant;
     grant.organisation = organisation;
     grant.rate = {{1, 1}, rate, std::chrono::seconds{6}};
     grant.concurrency = {{1, 1}, concurrency, std::chrono::seconds{6}};
-    board.granted(std::vector{grant}, now, now);
+    board.applyGrants(std::vector{grant}, now, now);
 }
 
-FailurePoint refusalOf(LimitBoard &board, Instant now)
+FailurePoint refusalOf(LimitRegistry &board, Instant now)
 {
     const auto admission = board.admit(organisation, now);
     const auto *refusal = std::get_if<LimitRefusal>(&admission);
@@ -63,12 +63,12 @@
     return refusal->reason;
 }
 
-double concurrencyOf(const LimitBoard &board, Instant now)
+double concurrencyOf(const LimitRegistry &board, Instant now)
 {
     return board.status(now)[organisation.value()]["concurrency"].asDouble();
 }
 
-int inFlight(const LimitBoard &board, Instant now)
+int inFlight(const LimitRegistry &board, Instant now)
 {
     return board.status(now)[organisation.value()]["inFlight"].asInt();
 }
@@ -77,7 +77,7 @@
 
 BOOST_AUTO_TEST_CASE(nothingIsAdmittedWithoutAShare)
 {
-    LimitBoard board{defaultDriftPpm};
+    LimitRegistry board{defaultDriftPpm};
     BOOST_TEST(!board.canAdmit(organisation, at(0)));
     BOOST_CHECK(refusalOf(board, at(0)) == FailurePoint::Overloaded);
     BOOST_TEST(inFlight(board, at(0)) == 0);
@@ -85,7 +85,7 @@
 
 BOOST_AUTO_TEST_CASE(ticketsCountFromAdmissionToRelease)
 {
-    LimitBoard board{defaultDriftPpm};
+    LimitRegistry board{defaultDriftPpm};
     grantShares(board, 1000.0, 2.0, at(0));
     BOOST_TEST(board.canAdmit(organisation, at(0)));
     {
@@ -104,7 +104,7 @@
 
 BOOST_AUTO_TEST_CASE(refusedByRateLeavesNothingInFlight)
 {
-    LimitBoard board{defaultDriftPpm};
+    LimitRegistry board{defaultDriftPpm};
     grantShares(board, 10.0, 100.0, at(0));
     int passed = 0;
     for (int i = 0; i < 50; ++i) {
@@ -118,7 +118,7 @@
 
 BOOST_AUTO_TEST_CASE(sharesExpire)
 {
-    LimitBoard board{defaultDriftPpm};
+    LimitRegistry board{defaultDriftPpm};
     grantShares(board, 1000.0, 10.0, at(0));
     BOOST_TEST(board.canAdmit(organisation, at(5900)));
     BOOST_TEST(!board.canAdmit(organisation, at(6000)));
@@ -130,7 +130,7 @@
     double sum = 0.0;
     double concurrency = 0.0;
     for (const char *name : {"a", "b", "c"}) {
-        LimitBoard board{defaultDriftPpm};
+        LimitRegistry board{defaultDriftPpm};
         DomainShares shares{threeDomains(), DomainName{name}, 1, at(0)};
         const ShareReply reply = renew(board, shares, daemonA, contracts(100, 8), at(0));
         BOOST_TEST(reply.isSettled);
@@ -146,8 +146,8 @@
 {
     const ContractMap known = contracts(30, 9);
     DomainShares shares{threeDomains(), DomainName{"a"}, 1, at(0)};
-    LimitBoard first{defaultDriftPpm};
-    LimitBoard second{defaultDriftPpm};
+    LimitRegistry first{defaultDriftPpm};
+    LimitRegistry second{defaultDriftPpm};
     for (int now = 0; now < 3000; now += 250) {
         renew(first, shares, daemonA, known, at(now));
         renew(second, shares, daemonB, known, at(now));
@@ -161,12 +161,12 @@
 {
     const ContractMap known = contracts(30, 9);
     DomainShares before{threeDomains(), DomainName{"a"}, 1, at(0)};
-    LimitBoard holder{defaultDriftPpm};
+    LimitRegistry holder{defaultDriftPpm};
     renew(holder, before, daemonA, known, at(0));
     const double held = concurrencyOf(holder, at(0));
 
     DomainShares successor{threeDomains(), DomainName{"a"}, 2, at(1000)};
-    LimitBoard newcomer{defaultDriftPpm};
+    LimitRegistry newcomer{defaultDriftPpm};
     BOOST_TEST(!renew(newcomer, successor, daemonB, known, at(1100)).isSettled);
     BOOST_TEST(!newcomer.canAdmit(organisation, at(1100)));
     renew(holder, successor, daemonA, known, at(1200));
@@ -182,7 +182,7 @@
 
 BOOST_AUTO_TEST_CASE(unknownContractGetsNothing)
 {
-    LimitBoard board{defaultDriftPpm};
+    LimitRegistry board{defaultDriftPpm};
     DomainShares shares{threeDomains(), DomainName{"a"}, 1, at(0)};
     BOOST_TEST(renew(board, shares, daemonA, {}, at(0)).organisations.empty());
     BOOST_TEST(!board.canAdmit(organisation, at(0)));
--- a/tests/limits/test_limits.cpp
+++ b/tests/limits/test_limits.cpp
@@ -60,7 +60,7 @@
 /** Sends \a count requests sequentially, like a caller that ignores refusals. */
 CallerResults sendMany(const std::string &address, int count, int refusalStatus)
 {
-    SyncHttp http;
+    SyncHttpClient http;
     CallerResults results;
     for (int i = 0; i < count; ++i) {
         const SyncHttpResult result =
@@ -180,7 +180,7 @@
     // A daemon of another domain reports the leader only if it is a candidate there.
     std::string lost;
     BOOST_REQUIRE(Fleet::eventually([&] {
-        lost = fleet.stewardOf("a", "a1");
+        lost = fleet.leaderOf("a", "a1");
         return !lost.empty();
     }));
     const std::size_t before = fleet.observed().size();
--- a/tests/membership/test_membership.cpp
+++ b/tests/membership/test_membership.cpp
@@ -131,7 +131,7 @@
     Membership membership(MembershipSettings{}, self, versions, Instant{});
 
     membership.onMessage(Instant{1s}, {peer, Ack{}});
-    membership.onMessage(Instant{2s}, {peer, NewsPush{{{before}, {}}}});
+    membership.onMessage(Instant{2s}, {peer, GossipPush{{{before}, {}}}});
     BOOST_TEST(!membership.isSuperseded());
     BOOST_TEST(membership.self().generation == 101U);
 }
@@ -146,20 +146,20 @@
     successor.incarnation = Incarnation{"b2#later"};
     successor.generation = before.generation + 1;
 
-    network.deliver("b2", {network.membership("a1").self(), NewsPush{{{successor}, {}}}});
+    network.deliver("b2", {network.membership("a1").self(), GossipPush{{{successor}, {}}}});
     BOOST_TEST(old.isSuperseded());
     BOOST_TEST(old.onTick(network.now() + 60s).empty());
     BOOST_TEST((old.nextDue() == Instant::max()));
 
     // Delayed messages of the old incarnation have no effect on other daemons.
-    network.deliver("a2", {successor, NewsPush{}});
-    network.deliver("a2", {before, NewsPush{}});
+    network.deliver("a2", {successor, GossipPush{}});
+    network.deliver("a2", {before, GossipPush{}});
     const auto members = network.membership("a2").members();
     BOOST_TEST(std::ranges::count(members, Incarnation{"b2#later"}, &MemberRecord::incarnation)
                == 1);
 }
 
-BOOST_AUTO_TEST_CASE(cutDomainHealsWithoutFlood)
+BOOST_AUTO_TEST_CASE(partitionedDomainRecoversWithoutMessageFlood)
 {
     SixDaemons network;
     network.cut("b", true);
@@ -184,7 +184,7 @@
     checkGolden("membership/domain_cut.txt", network);
 }
 
-BOOST_AUTO_TEST_CASE(leavingHostIsKnownAndHandsTheReadingOver)
+BOOST_AUTO_TEST_CASE(leavingHostIsAnnouncedAndAnotherReaderTakesOver)
 {
     SixDaemons network;
     const std::vector<ListedHost> listed{{HostName{"a1"}, "a1", true}, {HostName{"a2"}, "a2"}};
@@ -219,7 +219,7 @@
         return found == membership.members().end() ? std::nullopt : std::optional(found->state);
     };
     suspect.state = MemberState::Suspected;
-    membership.onMessage(Instant{1s}, {peer, NewsPush{{{suspect}, {}}}});
+    membership.onMessage(Instant{1s}, {peer, GossipPush{{{suspect}, {}}}});
 
     membership.onTick(Instant{60s});
     BOOST_TEST((stateOfSuspect() == MemberState::Suspected));
@@ -230,7 +230,7 @@
     BOOST_TEST(!stateOfSuspect().has_value());
     // A record from a peer that still stores the member does not add it again.
     suspect.state = MemberState::Gone;
-    membership.onMessage(Instant{2h}, {peer, NewsPush{{{suspect}, {}}}});
+    membership.onMessage(Instant{2h}, {peer, GossipPush{{{suspect}, {}}}});
     BOOST_TEST(!stateOfSuspect().has_value());
 }
 
--- a/tests/membership/virtualnetwork.cpp
+++ b/tests/membership/virtualnetwork.cpp
@@ -144,10 +144,10 @@
     act(to, [&](Membership &membership) { return membership.onMessage(m_now, message); });
 }
 
-void VirtualNetwork::answerListing(const std::string &host, Instant askedAt,
+void VirtualNetwork::answerListing(const std::string &host, Instant requestedAt,
                                    std::vector<VersionedItem> items)
 {
-    const PlatformListing listing{askedAt, std::move(items)};
+    const PlatformListing listing{requestedAt, std::move(items)};
     act(host, [&](Membership &membership) { return membership.onPlatformListing(m_now, listing); });
 }
 
@@ -264,11 +264,11 @@
         && !m_withoutPlatform.contains(daemon.place.host);
     const std::string host = daemon.place.host;
     const std::uint64_t run = daemon.run;
-    const Instant askedAt = m_now;
+    const Instant requestedAt = m_now;
     m_timers.subscribe(m_now + (isServed ? platformDelay : platformTimeout), [=, this](Instant) {
         whenRunning(host, run, [=, this, items = platform.listing()] {
             if (isServed)
-                answerListing(host, askedAt, items);
+                answerListing(host, requestedAt, items);
             else
                 membership(host).onPlatformFailure(m_now);
         });
--- a/tests/membership/virtualnetwork.h
+++ b/tests/membership/virtualnetwork.h
@@ -78,8 +78,9 @@
 
     /** Delivers a message, for example one sent by an earlier incarnation of a daemon. */
     void deliver(const std::string &to, const PeerMessage &message);
-    /** Delivers to \a host an answer of the platform to a read requested at \a askedAt. */
-    void answerListing(const std::string &host, Instant askedAt, std::vector<VersionedItem> items);
+    /** Delivers to \a host an answer of the platform to a read requested at \a requestedAt. */
+    void answerListing(const std::string &host, Instant requestedAt,
+                       std::vector<VersionedItem> items);
 
     void runFor(Duration span);
     Instant now() const;
--- a/tests/requestlife/claimsimulation.cpp
+++ b/tests/requestlife/claimsimulation.cpp
@@ -65,7 +65,7 @@
         note("reads the row");
     }
 
-    void operator()(const DispatchClaimed &) const
+    void operator()(const DispatchClaimedRequest &) const
     {
         m_claimingDaemon.isDispatched = true;
         ++m_simulation.m_runs;
@@ -82,19 +82,19 @@
         setAnswer("stored " + answer.storedAnswer);
     }
 
-    void operator()(const AnswerByHolder &) const
+    void operator()(const AnswerForHeldClaim &) const
     {
         setAnswer(textOf(callerResponse(outcomeOfHeldClaim(HolderState::Alive, 1s), false)));
     }
 
-    void operator()(const SettleLater &later) const
+    void operator()(const ScheduleClaimRecheck &later) const
     {
         m_claimingDaemon.isWaiting = true;
         const auto delay = std::chrono::duration_cast<std::chrono::milliseconds>(later.delay);
         note("settles later, in " + std::to_string(delay.count()) + " ms");
     }
 
-    void operator()(const ForgetClaim &) const
+    void operator()(const DiscardClaim &) const
     {
         note("forgets the claim");
     }
@@ -182,12 +182,12 @@
     if (std::holds_alternative<NotRun>(outcome))
         --m_runs;
     note("the work of " + daemon + " ends: " + claimingDaemon.answer);
-    send(daemon, ClaimedWorkEnded{outcome, "answer of " + daemon});
+    send(daemon, ClaimedRequestFinished{outcome, "answer of " + daemon});
 }
 
 void ClaimSimulation::send(const std::string &daemon, const ClaimEvent &event)
 {
-    if (std::holds_alternative<ClaimSettleDue>(event))
+    if (std::holds_alternative<ClaimRecheckDue>(event))
         m_claimingDaemons.at(daemon).isWaiting = false;
     const ClaimEvent seen = mutate ? mutate(event) : event;
     perform(daemon, m_claimingDaemons.at(daemon).claim.handle(seen, m_now));
--- a/tests/requestlife/test_attendant.cpp
+++ b/tests/requestlife/test_attendant.cpp
@@ -1,4 +1,4 @@
-#include "connection/attendant.h"
+#include "connection/servermanager.h"
 #include "goldensession.h"
 
 #include <boost/test/unit_test.hpp>
@@ -17,7 +17,7 @@
 class ServerManagerSession
 {
 public:
-    explicit ServerManagerSession(std::string_view name, AttendantLimits limits = {})
+    explicit ServerManagerSession(std::string_view name, ServerManagerLimits limits = {})
         : m_golden(name)
         , m_serverManager(limits)
     { }
@@ -30,7 +30,7 @@
         perform(m_serverManager.submit({id, {requestClass, true, m_now + wait}, false}, m_now));
     }
 
-    void complete(WorkId id, WorkEnd end, std::string_view what)
+    void complete(WorkId id, WorkResult end, std::string_view what)
     {
         note("work " + std::to_string(id) + " " + std::string{what});
         perform(m_serverManager.workEnded(id, end, m_now));
@@ -54,7 +54,7 @@
         m_golden.check();
     }
 
-    Attendant &serverManager()
+    ServerManager &serverManager()
     {
         return m_serverManager;
     }
@@ -71,9 +71,9 @@
         m_golden.note(line);
     }
 
-    void perform(const AttendantActions &actions)
+    void perform(const ServerManagerActions &actions)
     {
-        for (const AttendantAction &action : actions)
+        for (const ServerManagerAction &action : actions)
             std::visit([this](const auto &one) { perform(one); }, action);
     }
 
@@ -99,7 +99,7 @@
     }
 
     GoldenSession m_golden;
-    Attendant m_serverManager;
+    ServerManager m_serverManager;
     Instant m_now = start;
 };
 
@@ -127,15 +127,15 @@
         m_now += 10s;
         perform(m_serverManager.advance(m_now));
         while (!m_dispatched.empty())
-            end(m_dispatched.begin()->first, WorkEnd::Answered);
+            end(m_dispatched.begin()->first, WorkResult::Answered);
         BOOST_TEST_REQUIRE(m_queued.empty());
         BOOST_TEST_REQUIRE(m_serverManager.load(RequestClass::Ordinary).inFlight == 0);
     }
 
 private:
-    static AttendantLimits limits()
+    static ServerManagerLimits limits()
     {
-        AttendantLimits limits;
+        ServerManagerLimits limits;
         limits.queueLimit = 8;
         return limits;
     }
@@ -146,7 +146,7 @@
         if (choice < 5)
             submit();
         else if (choice < 8 && !m_dispatched.empty())
-            end(m_dispatched.begin()->first, static_cast<WorkEnd>(m_random() % 4));
+            end(m_dispatched.begin()->first, static_cast<WorkResult>(m_random() % 4));
         else if (choice == 8)
             perform(m_serverManager.serverAnswered(false, m_now));
         else
@@ -163,15 +163,15 @@
         perform(m_serverManager.submit({id, {requestClass, true, deadline}, false}, m_now));
     }
 
-    void end(WorkId id, WorkEnd workEnd)
+    void end(WorkId id, WorkResult workEnd)
     {
         m_dispatched.erase(id);
         perform(m_serverManager.workEnded(id, workEnd, m_now));
     }
 
-    void perform(const AttendantActions &actions)
+    void perform(const ServerManagerActions &actions)
     {
-        for (const AttendantAction &action : actions)
+        for (const ServerManagerAction &action : actions)
             std::visit([this](const auto &one) { perform(one); }, action);
     }
 
@@ -201,16 +201,16 @@
     }
 
     std::mt19937 m_random;
-    Attendant m_serverManager{limits()};
+    ServerManager m_serverManager{limits()};
     std::map<WorkId, Instant> m_queued;
     std::map<WorkId, Instant> m_dispatched;
     WorkId m_nextId = 1;
     Instant m_now = start;
 };
 
-bool isSent(const AttendantActions &actions, WorkId id)
+bool isSent(const ServerManagerActions &actions, WorkId id)
 {
-    return actions == AttendantActions{DispatchWork{id}};
+    return actions == ServerManagerActions{DispatchWork{id}};
 }
 
 } // namespace
@@ -219,21 +219,21 @@
 
 BOOST_AUTO_TEST_CASE(slotsAreNeverOverfilled)
 {
-    Attendant serverManager{{}};
+    ServerManager serverManager{{}};
     for (WorkId id = 1; id <= 10; ++id)
         BOOST_TEST(isSent(serverManager.submit(ordinary(id), start), id) == (id <= 3));
     BOOST_TEST(serverManager.load(RequestClass::Ordinary).inFlight == 3);
     BOOST_TEST(serverManager.load(RequestClass::Ordinary).queuedBefore == 7);
-    BOOST_TEST(isSent(serverManager.workEnded(2, WorkEnd::Answered, start + 20ms), 4));
-    BOOST_TEST(serverManager.workEnded(2, WorkEnd::Answered, start + 20ms).empty());
+    BOOST_TEST(isSent(serverManager.workEnded(2, WorkResult::Answered, start + 20ms), 4));
+    BOOST_TEST(serverManager.workEnded(2, WorkResult::Answered, start + 20ms).empty());
 }
 
 BOOST_AUTO_TEST_CASE(queueIsBounded)
 {
-    Attendant serverManager{{}};
+    ServerManager serverManager{{}};
     int refused = 0;
     for (WorkId id = 1; id <= 1000; ++id) {
-        for (const AttendantAction &action : serverManager.submit(ordinary(id, 100s), start)) {
+        for (const ServerManagerAction &action : serverManager.submit(ordinary(id, 100s), start)) {
             const auto *refusal = std::get_if<RefuseWork>(&action);
             refused += refusal != nullptr && refusal->reason == FailurePoint::QueueFull ? 1 : 0;
         }
@@ -242,7 +242,7 @@
     BOOST_TEST(serverManager.load(RequestClass::Ordinary).queuedBefore == 64);
 }
 
-BOOST_AUTO_TEST_CASE(workThatCannotBeInTimeIsRefusedWhenItComes)
+BOOST_AUTO_TEST_CASE(workThatWouldBeLateIsRefusedOnSubmission)
 {
     ServerManagerSession session{"attendant-overload"};
     for (WorkId id = 1; id <= 8; ++id)
@@ -251,7 +251,7 @@
     session.submit(10, RequestClass::Priority, 125ms);
     session.submit(11, RequestClass::Priority, 125ms);
     session.advance(20ms);
-    session.complete(1, WorkEnd::Answered, "is answered");
+    session.complete(1, WorkResult::Answered, "is answered");
     session.submit(12, RequestClass::Ordinary, 10ms);
     session.advance(90ms);
     session.check();
@@ -267,12 +267,12 @@
     BOOST_TEST(session.serverManager().isSuspected());
     session.submit(6, RequestClass::Priority, 2s);
     session.serverAnswered();
-    session.complete(1, WorkEnd::Lost, "is given up on");
-    session.complete(2, WorkEnd::Lost, "is given up on");
+    session.complete(1, WorkResult::Lost, "is given up on");
+    session.complete(2, WorkResult::Lost, "is given up on");
     session.submit(7, RequestClass::Priority, 4s);
     session.advance(1700ms);
-    session.complete(3, WorkEnd::Answered, "is answered");
-    session.complete(7, WorkEnd::Answered, "is answered");
+    session.complete(3, WorkResult::Answered, "is answered");
+    session.complete(7, WorkResult::Answered, "is answered");
     BOOST_TEST(!session.serverManager().isSuspected());
     session.check();
 }
@@ -282,43 +282,43 @@
     ServerManagerSession session{"attendant-shed"};
     for (WorkId id = 1; id <= 9; ++id)
         session.submit(id, RequestClass::Ordinary, 5s);
-    session.complete(1, WorkEnd::Shed, "is shed by the server");
-    session.complete(2, WorkEnd::Cold, "is refused by the cold server");
-    session.complete(3, WorkEnd::Answered, "is answered");
-    session.complete(4, WorkEnd::Answered, "is answered");
-    session.complete(5, WorkEnd::Answered, "is answered");
-    session.complete(6, WorkEnd::Answered, "is answered");
+    session.complete(1, WorkResult::Shed, "is shed by the server");
+    session.complete(2, WorkResult::Cold, "is refused by the cold server");
+    session.complete(3, WorkResult::Answered, "is answered");
+    session.complete(4, WorkResult::Answered, "is answered");
+    session.complete(5, WorkResult::Answered, "is answered");
+    session.complete(6, WorkResult::Answered, "is answered");
     session.check();
 }
 
-BOOST_AUTO_TEST_CASE(drainingServerGetsNothingNewAndEndsItsFlights)
+BOOST_AUTO_TEST_CASE(drainingServerGetsNoNewWorkAndFinishesWorkInFlight)
 {
     ServerManagerSession session{"attendant-draining"};
     for (WorkId id = 1; id <= 4; ++id)
         session.submit(id, RequestClass::Ordinary, 5s);
     session.serverAnswered(true);
     session.submit(5, RequestClass::Priority, 5s);
-    session.complete(1, WorkEnd::Answered, "is answered");
-    session.complete(2, WorkEnd::Answered, "is answered");
-    session.complete(3, WorkEnd::Answered, "is answered");
+    session.complete(1, WorkResult::Answered, "is answered");
+    session.complete(2, WorkResult::Answered, "is answered");
+    session.complete(3, WorkResult::Answered, "is answered");
     session.check();
 }
 
 BOOST_AUTO_TEST_CASE(lostWorkHoldsItsSlotUntilItsDeadline)
 {
-    Attendant serverManager{{}};
+    ServerManager serverManager{{}};
     for (WorkId id = 1; id <= 4; ++id)
         serverManager.submit(ordinary(id, id == 1 ? 200ms : 5s), start);
-    BOOST_TEST(serverManager.workEnded(1, WorkEnd::Lost, start + 20ms).empty());
+    BOOST_TEST(serverManager.workEnded(1, WorkResult::Lost, start + 20ms).empty());
     BOOST_TEST(serverManager.load(RequestClass::Ordinary).inFlight == 3);
     BOOST_TEST(isSent(serverManager.advance(start + 200ms), 4));
 }
 
 BOOST_AUTO_TEST_CASE(streamedBodiesHoldConnectionsNotSlots)
 {
-    AttendantLimits limits;
+    ServerManagerLimits limits;
     limits.streamedBodyLimit = 4;
-    Attendant serverManager{limits};
+    ServerManager serverManager{limits};
     const auto upload = [](WorkId id) {
         ManagedWork work = ordinary(id, 100s);
         work.hasStreamedBody = true;
@@ -334,11 +334,11 @@
 
 BOOST_AUTO_TEST_CASE(cancelledWorkIsNotSent)
 {
-    Attendant serverManager{{}};
+    ServerManager serverManager{{}};
     for (WorkId id = 1; id <= 5; ++id)
         serverManager.submit(ordinary(id), start);
     serverManager.cancel(4);
-    BOOST_TEST(isSent(serverManager.workEnded(1, WorkEnd::Answered, start + 20ms), 5));
+    BOOST_TEST(isSent(serverManager.workEnded(1, WorkResult::Answered, start + 20ms), 5));
 }
 
 BOOST_AUTO_TEST_CASE(randomWorkIsSentOrRefusedOnceAndNeverBeyondTheSlots)
--- a/tests/requestlife/test_claim.cpp
+++ b/tests/requestlife/test_claim.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-const Outcome completeAnswer = WholeAnswer{};
+const Outcome completeAnswer = CompleteAnswer{};
 const Outcome noAnswer = Unknown{FailurePoint::WrittenAndSilent, 1s};
 const Outcome refused = NotRun{FailurePoint::ServerShed, 1s};
 
@@ -95,13 +95,13 @@
         if (pick(12) == 0)
             m_simulation.advance(700ms);
         if (pick(12) == 0)
-            m_simulation.send(daemon, ClaimGivenUp{});
+            m_simulation.send(daemon, ClaimAbandoned{});
         else if (m_simulation.isWriting(daemon))
             m_simulation.completeWrite(daemon, static_cast<WriteResult>(pick(4)));
         else if (m_simulation.isReading(daemon))
             pick(3) == 0 ? m_simulation.failRead(daemon) : m_simulation.completeRead(daemon);
         else if (m_simulation.isWaitingToRetry(daemon))
-            m_simulation.send(daemon, ClaimSettleDue{});
+            m_simulation.send(daemon, ClaimRecheckDue{});
         else if (m_simulation.isDispatched(daemon))
             m_simulation.completeWork(
                 daemon, pick(3) == 0 ? refused : (pick(2) == 0 ? noAnswer : completeAnswer));
@@ -123,7 +123,7 @@
         else if (m_simulation.isReading(daemon))
             m_simulation.completeRead(daemon);
         else if (m_simulation.isWaitingToRetry(daemon))
-            m_simulation.send(daemon, ClaimSettleDue{});
+            m_simulation.send(daemon, ClaimRecheckDue{});
         else if (m_simulation.isDispatched(daemon))
             m_simulation.completeWork(daemon, completeAnswer);
     }
@@ -183,7 +183,7 @@
     simulation.startRequest("second");
     simulation.completeWrite("second", WriteResult::Answered);
     BOOST_TEST(simulation.answerAt("second") == "409 ran=unknown in-progress");
-    simulation.send("first", ClaimSettleDue{});
+    simulation.send("first", ClaimRecheckDue{});
     simulation.completeRead("first");
     simulation.completeWrite("first", WriteResult::Answered);
     simulation.startRequest("second");
@@ -194,14 +194,14 @@
     session.check();
 }
 
-BOOST_AUTO_TEST_CASE(writeStillUnderWayIsShutOut)
+BOOST_AUTO_TEST_CASE(delayedWriteHasNoEffectAfterARewrite)
 {
     GoldenSession session{"claim-write-shut-out"};
     ClaimSimulation simulation{&session};
     simulation.startRequest("first");
     simulation.completeWrite("first", WriteResult::Delayed);
     simulation.failRead("first");
-    simulation.send("first", ClaimSettleDue{});
+    simulation.send("first", ClaimRecheckDue{});
     simulation.completeRead("first");
     simulation.completeWrite("first", WriteResult::Answered);
     simulation.processDelayedWrites();
@@ -211,7 +211,7 @@
     session.check();
 }
 
-BOOST_AUTO_TEST_CASE(daemonDiesAfterDispatch)
+BOOST_AUTO_TEST_CASE(daemonCrashesAfterDispatch)
 {
     GoldenSession session{"claim-daemon-killed"};
     ClaimSimulation simulation{&session};
@@ -261,7 +261,7 @@
     ClaimSimulation simulation{&session};
     simulation.startRequest("first");
     simulation.advance(2100ms);
-    simulation.send("first", ClaimGivenUp{});
+    simulation.send("first", ClaimAbandoned{});
     BOOST_TEST(simulation.answerAt("first") == "503 ran=no deadline");
     simulation.completeWrite("first", WriteResult::Answered);
     simulation.completeWrite("first", WriteResult::Answered);
@@ -286,7 +286,7 @@
     session.check();
 }
 
-BOOST_AUTO_TEST_CASE(silentServerLeavesItUnknownForGood)
+BOOST_AUTO_TEST_CASE(missingAnswerLeavesTheClaimUnknown)
 {
     GoldenSession session{"claim-unknown"};
     ClaimSimulation simulation{&session};
@@ -301,7 +301,7 @@
     session.check();
 }
 
-BOOST_AUTO_TEST_CASE(seededSearchNeverRunsTwiceNorLies)
+BOOST_AUTO_TEST_CASE(seededSearchNeverRunsTwiceNorAnswersWrongly)
 {
     for (unsigned seed = 0; seed < 20000; ++seed) {
         ClaimSearch search{seed};
--- a/tests/requestlife/test_claimbatcher.cpp
+++ b/tests/requestlife/test_claimbatcher.cpp
@@ -31,7 +31,7 @@
 {
     std::vector<ClaimWriteId> ids;
     for (const ClaimBatchAction &action : actions) {
-        const auto *ended = std::get_if<ClaimWriteEnded>(&action);
+        const auto *ended = std::get_if<ClaimWriteResult>(&action);
         if (ended != nullptr && std::holds_alternative<Event>(ended->event))
             ids.push_back(ended->id);
     }
--- a/tests/requestlife/test_drain.cpp
+++ b/tests/requestlife/test_drain.cpp
@@ -16,9 +16,9 @@
     BOOST_TEST((drain.phase(start) == DrainPhase::Serving));
     drain.start(start);
     drain.start(start + 1s);
-    BOOST_TEST(drain.takesWork(start + 1999ms));
+    BOOST_TEST(drain.acceptsWork(start + 1999ms));
     BOOST_TEST((drain.nextDue(start) == start + 2s));
-    BOOST_TEST(!drain.takesWork(start + 2s));
+    BOOST_TEST(!drain.acceptsWork(start + 2s));
     BOOST_TEST((drain.phase(start + 20min) == DrainPhase::Refusing));
     drain.workEnded();
     BOOST_TEST((drain.phase(start + 20min) == DrainPhase::Refusing));
@@ -34,7 +34,7 @@
     drain.start(start);
     BOOST_TEST((drain.nextDue(start + 10s) == start + 30min));
     BOOST_TEST((drain.phase(start + 31min) == DrainPhase::Overdue));
-    BOOST_TEST(!drain.takesWork(start + 31min));
+    BOOST_TEST(!drain.acceptsWork(start + 31min));
     drain.workEnded();
     BOOST_TEST((drain.phase(start + 31min) == DrainPhase::Finished));
 }
--- a/tests/requestlife/test_outcome.cpp
+++ b/tests/requestlife/test_outcome.cpp
@@ -29,7 +29,7 @@
 
 BOOST_AUTO_TEST_SUITE(OutcomeTable)
 
-BOOST_AUTO_TEST_CASE(everyPointIsNotRunOnlyWhereNoServerCouldAct)
+BOOST_AUTO_TEST_CASE(pointIsNotRunOnlyIfNoServerCouldHaveStarted)
 {
     BOOST_TEST(allFailurePoints().size() == 31U);
     for (const FailurePoint point : allFailurePoints()) {
@@ -80,7 +80,7 @@
     const Outcome cut = outcomeOf(FailurePoint::AnswerCut, 1s);
     BOOST_TEST(std::holds_alternative<AbortCallerConnection>(callerResponse(cut, true)));
     BOOST_TEST(std::holds_alternative<RefusalResponse>(callerResponse(cut, false)));
-    BOOST_TEST(std::holds_alternative<ForwardAnswer>(callerResponse(WholeAnswer{}, true)));
+    BOOST_TEST(std::holds_alternative<ForwardAnswer>(callerResponse(CompleteAnswer{}, true)));
 }
 
 BOOST_AUTO_TEST_CASE(unknownOutcomeOfAnEarlierAttemptIsKept)
@@ -99,9 +99,9 @@
     const auto end = [](int status, RanStatement ran) {
         return outcomeOfAnswer(status, ran, "shed", 1s);
     };
-    BOOST_TEST((end(200, RanStatement::Yes) == Outcome{WholeAnswer{}}));
-    BOOST_TEST((end(500, RanStatement::Yes) == Outcome{WholeAnswer{}}));
-    BOOST_TEST((end(404, RanStatement::Missing) == Outcome{WholeAnswer{}}));
+    BOOST_TEST((end(200, RanStatement::Yes) == Outcome{CompleteAnswer{}}));
+    BOOST_TEST((end(500, RanStatement::Yes) == Outcome{CompleteAnswer{}}));
+    BOOST_TEST((end(404, RanStatement::Missing) == Outcome{CompleteAnswer{}}));
     BOOST_TEST((end(503, RanStatement::No) == Outcome{NotRun{FailurePoint::ServerShed, 1s}}));
     BOOST_TEST(
         (end(503, RanStatement::Missing) == Outcome{Unknown{FailurePoint::AnswerWithoutRan, 1s}}));
--- a/tests/requestlife/test_sessions.cpp
+++ b/tests/requestlife/test_sessions.cpp
@@ -58,7 +58,7 @@
     void changeLeader()
     {
         golden.note("another steward");
-        m_allocator = ShareLedger::successor(90.0, 2, {}, m_now);
+        m_allocator = ShareAllocator::successor(90.0, 2, {}, m_now);
     }
 
     GoldenSession golden{"limit-shares"};
@@ -98,7 +98,7 @@
         BOOST_TEST(sum <= 90.0 + 1e-9);
     }
 
-    ShareLedger m_allocator{90.0, 1, {}};
+    ShareAllocator m_allocator{90.0, 1, {}};
     std::vector<Daemon> m_daemons = std::vector<Daemon>(3);
     Instant m_now{100s};
 };
@@ -126,7 +126,7 @@
     const Instant start{10s};
     const auto note = [&](Duration since) {
         session.note(std::to_string(since / 1s) + " s: " + nameOf(drain.phase(start + since))
-                     + (drain.takesWork(start + since) ? ", takes work" : ", takes none"));
+                     + (drain.acceptsWork(start + since) ? ", takes work" : ", takes none"));
     };
     note(0s);
     drain.start(start);
@@ -138,7 +138,7 @@
     session.check();
 }
 
-BOOST_AUTO_TEST_CASE(sharesThroughACutAndAChangeOfSteward)
+BOOST_AUTO_TEST_CASE(sharesDuringAPartitionAndAChangeOfLeader)
 {
     LimitSession session;
     session.golden.note("the first wants 100, the others 20 each, of 90");
--- a/tests/requestlife/test_shares.cpp
+++ b/tests/requestlife/test_shares.cpp
@@ -22,7 +22,7 @@
     ShareGrant grant;
     Instant validUntil;
 
-    double renewShare(ShareLedger &allocator, double wanted, Instant now)
+    double renewShare(ShareAllocator &allocator, double wanted, Instant now)
     {
         grant = allocator.renew(name, {wanted, 0.0, grant.sequence}, grant.amount, now);
         validUntil = now + shortened(grant.length, defaultDriftPpm);
@@ -36,7 +36,7 @@
 
 BOOST_AUTO_TEST_CASE(sharesFollowDemandWithoutEverExceedingTheLimit)
 {
-    ShareLedger allocator{100.0, 1, {}};
+    ShareAllocator allocator{100.0, 1, {}};
     ShareHolder first{one, {}, {}};
     ShareHolder second{two, {}, {}};
     BOOST_TEST(first.renewShare(allocator, 80.0, start) == 100.0);
@@ -51,7 +51,7 @@
 
 BOOST_AUTO_TEST_CASE(shareOfADisconnectedDaemonIsReusedOnlyAfterItExpired)
 {
-    ShareLedger allocator{100.0, 1, {}};
+    ShareAllocator allocator{100.0, 1, {}};
     ShareHolder first{one, {}, {}};
     ShareHolder second{two, {}, {}};
     first.renewShare(allocator, 100.0, start);
@@ -62,11 +62,11 @@
 
 BOOST_AUTO_TEST_CASE(successorOnlyConfirmsSharesUntilOldOnesExpire)
 {
-    ShareLedger old{100.0, 1, {}};
+    ShareAllocator old{100.0, 1, {}};
     ShareHolder first{one, {}, {}};
     ShareHolder second{two, {}, {}};
     first.renewShare(old, 100.0, start);
-    ShareLedger allocator = ShareLedger::successor(100.0, 2, {}, start + 4s);
+    ShareAllocator allocator = ShareAllocator::successor(100.0, 2, {}, start + 4s);
     BOOST_TEST(second.renewShare(allocator, 100.0, start + 4s) == 0.0);
     BOOST_TEST(first.renewShare(allocator, 100.0, start + 5s) == 50.0);
     BOOST_TEST(second.renewShare(allocator, 100.0, start + 17s) == 0.0);
@@ -76,7 +76,7 @@
 
 BOOST_AUTO_TEST_CASE(shareOfALeavingDaemonIsReusedAtOnce)
 {
-    ShareLedger allocator{100.0, 1, {}};
+    ShareAllocator allocator{100.0, 1, {}};
     ShareHolder first{one, {}, {}};
     ShareHolder second{two, {}, {}};
     first.renewShare(allocator, 100.0, start);
@@ -88,15 +88,15 @@
 {
     const DomainName near{"near"};
     const DomainName far{"far"};
-    ShareLedger lender{50.0, 1, {}};
-    ShareLedger borrower{50.0, 1, {}};
+    ShareAllocator lender{50.0, 1, {}};
+    ShareAllocator borrower{50.0, 1, {}};
     ShareHolder first{one, {}, {}};
     ShareHolder second{two, {}, {}};
     const auto round = [&](double wantedNear, double wantedFar, Instant now) {
         first.renewShare(lender, wantedNear, now);
         second.renewShare(borrower, wantedFar, now);
         const ShareDemand demand = borrower.loanDemand(near, now);
-        borrower.loanGranted(near, lender.lend(far, demand, now), now);
+        borrower.applyLoanGrant(near, lender.lend(far, demand, now), now);
         BOOST_TEST(lender.outstanding(now) <= 50.0 + 1e-9);
         BOOST_TEST(first.grant.amount + second.grant.amount <= 100.0 + 1e-9);
     };
@@ -113,7 +113,7 @@
 BOOST_AUTO_TEST_CASE(randomPartitionsNeverCauseSharesAboveTheLimit)
 {
     std::mt19937 random{5};
-    ShareLedger allocator{100.0, 1, {}};
+    ShareAllocator allocator{100.0, 1, {}};
     std::vector<ShareHolder> daemons;
     daemons.reserve(12);
     for (int i = 0; i < 12; ++i)
@@ -135,11 +135,11 @@
 {
     ShareTerms terms;
     terms.unit = 1.0;
-    ShareLedger allocator{10.0, 1, terms};
+    ShareAllocator allocator{10.0, 1, terms};
     ConcurrencyLimiter first;
     ConcurrencyLimiter second;
     const auto renew = [&](ConcurrencyLimiter &limiter, const Incarnation &name, Instant now) {
-        limiter.shareGranted(allocator.renew(name, limiter.demand(), 0.0, now), now);
+        limiter.applyShareGrant(allocator.renew(name, limiter.demand(), 0.0, now), now);
     };
     renew(first, one, start);
     int started = 0;
@@ -167,7 +167,7 @@
     std::mt19937 random{9};
     ShareTerms terms;
     terms.unit = 1.0;
-    ShareLedger allocator{20.0, 1, terms};
+    ShareAllocator allocator{20.0, 1, terms};
     std::vector<ConcurrencyLimiter> daemons(12);
     int maximum = 0;
     for (int step = 0; step < 50000; ++step) {
@@ -176,7 +176,7 @@
         const bool isCutOff = place < 2 && step % 2000 < 600;
         ConcurrencyLimiter &daemon = daemons[place];
         if (random() % 4 == 0 && !isCutOff)
-            daemon.shareGranted(
+            daemon.applyShareGrant(
                 allocator.renew(Incarnation{std::to_string(place)}, daemon.demand(), 0.0, now),
                 now);
         else if (random() % 2 == 0)
@@ -199,14 +199,14 @@
 {
     RateLimiter limiter;
     BOOST_TEST(!limiter.admits(start));
-    limiter.shareGranted({{1, 1}, 100.0, 10s}, start, start);
+    limiter.applyShareGrant({{1, 1}, 100.0, 10s}, start, start);
     int admitted = 0;
     for (int i = 0; i < 20000; ++i)
         admitted += limiter.admits(start + i * 1ms) ? 1 : 0;
     BOOST_TEST(admitted >= 998);
     BOOST_TEST(admitted <= 1010);
     BOOST_TEST(limiter.share(start + 10s) == 0.0);
-    limiter.shareGranted({{1, 1}, 500.0, 10s}, start + 20s, start + 20s);
+    limiter.applyShareGrant({{1, 1}, 500.0, 10s}, start + 20s, start + 20s);
     BOOST_TEST(!limiter.admits(start + 21s));
 }
 
--- a/tests/versionstore/test_versionstore.cpp
+++ b/tests/versionstore/test_versionstore.cpp
@@ -39,7 +39,7 @@
 {
     for (const std::string &host : network.hosts()) {
         const bool isConfirmed = network.versions(host).currentAsOf().has_value();
-        const auto unconfirmed = network.versions(host).unsureFor(network.now());
+        const auto unconfirmed = network.versions(host).unconfirmedDuration(network.now());
         const auto seconds = std::chrono::duration_cast<std::chrono::seconds>(unconfirmed).count();
         network.note(host + " holds v" + std::to_string(network.versionAt(host, contractName))
                      + (isConfirmed ? ", unsure for " : ", never sure for ")
@@ -94,7 +94,7 @@
     checkGolden("versionstore/reader_cut.txt", network);
 }
 
-BOOST_AUTO_TEST_CASE(platformThatIsDownIsNotFlooded)
+BOOST_AUTO_TEST_CASE(unavailablePlatformIsNotFlooded)
 {
     VirtualNetwork network(5);
     for (int number = 0; number < 30; ++number)
@@ -116,10 +116,10 @@
     BOOST_TEST(network.platform.reads - before >= 60U);
 }
 
-BOOST_AUTO_TEST_CASE(oldCopiesChangeNothingAndProveNothing)
+BOOST_AUTO_TEST_CASE(oldCopiesAreNotAppliedAndConfirmNothing)
 {
     SixDaemons network;
-    const Instant askedAt = network.now();
+    const Instant requestedAt = network.now();
     const std::vector<VersionedItem> oldListing = network.platform.listing();
     BOOST_REQUIRE(network.platform.put(contractName, 1, "rate: 20"));
     network.runFor(3s);
@@ -128,7 +128,7 @@
     const std::optional<Instant> confirmedBefore = network.versions("b2").currentAsOf();
     network.answerListing("a1", network.now(), oldListing);
     network.answerListing("b2", network.now(), oldListing);
-    network.answerListing("b3", askedAt, oldListing);
+    network.answerListing("b3", requestedAt, oldListing);
     BOOST_TEST((network.versions("b2").currentAsOf() == confirmedBefore));
     BOOST_TEST(network.versions("b2").counters().outdatedListings == 1U);
 
@@ -146,7 +146,7 @@
     checkGolden("versionstore/old_copies.txt", network);
 }
 
-BOOST_AUTO_TEST_CASE(freshDaemonIsSureOfNothingUntilItHasAsked)
+BOOST_AUTO_TEST_CASE(newDaemonIsUnconfirmedUntilAPeerAnswers)
 {
     SixDaemons network;
     network.platform.isUp = false;
@@ -160,18 +160,18 @@
     network.runFor(20s);
     logHeldVersions(network);
     BOOST_TEST(!network.versions("b1").currentAsOf().has_value());
-    BOOST_TEST((network.versions("b1").unsureFor(network.now()) == 20s));
+    BOOST_TEST((network.versions("b1").unconfirmedDuration(network.now()) == 20s));
 
     network.note("b is back, the platform is not");
     network.heal("b");
     network.runFor(10s);
     logHeldVersions(network);
     BOOST_TEST(network.versions("b1").currentAsOf().has_value());
-    BOOST_TEST((network.versions("b1").unsureFor(network.now()) > 30s));
+    BOOST_TEST((network.versions("b1").unconfirmedDuration(network.now()) > 30s));
     checkGolden("versionstore/fresh.txt", network);
 }
 
-BOOST_AUTO_TEST_CASE(thawedDaemonTakesTheNewVersionAndRevertsNobody)
+BOOST_AUTO_TEST_CASE(resumedDaemonAppliesTheNewVersionAndRevertsNoOther)
 {
     SixDaemons network;
     network.pause("a1");
@@ -183,14 +183,14 @@
 
     network.note("a1 thaws");
     network.resume("a1");
-    BOOST_TEST((network.versions("a1").unsureFor(network.now()) > 20s));
+    BOOST_TEST((network.versions("a1").unconfirmedDuration(network.now()) > 20s));
     network.runFor(3s);
     logHeldVersions(network);
     BOOST_TEST(network.holdersOf(contractName, 2) == 6);
     checkGolden("versionstore/thaw.txt", network);
 }
 
-BOOST_AUTO_TEST_CASE(ofTwoOperatorsOneWinsEverywhere)
+BOOST_AUTO_TEST_CASE(oneOfTwoConcurrentChangesIsAppliedEverywhere)
 {
     SixDaemons network;
     BOOST_TEST(network.platform.put(contractName, 1, "rate: 20"));
@@ -205,15 +205,15 @@
     checkGolden("versionstore/two_operators.txt", network);
 }
 
-BOOST_AUTO_TEST_CASE(changeSpreadsFromItsOnlyReaderWhenThePlatformGoesDown)
+BOOST_AUTO_TEST_CASE(changeReadByOneDaemonIsDistributedWhileThePlatformIsDown)
 {
     SixDaemons network;
     BOOST_REQUIRE(network.platform.put(contractName, 1, "rate: 20"));
-    const Instant askedAt = network.now();
+    const Instant requestedAt = network.now();
     const std::vector<VersionedItem> listing = network.platform.listing();
     network.platform.isUp = false;
     network.note("the platform answers b1 and goes down");
-    network.answerListing("b1", askedAt, listing);
+    network.answerListing("b1", requestedAt, listing);
     network.runFor(2s);
     logHeldVersions(network);
     BOOST_TEST(network.holdersOf(contractName, 2) == 6);
@@ -222,11 +222,11 @@
     network.note("the platform is still down");
     logHeldVersions(network);
     for (const std::string &host : network.hosts())
-        BOOST_TEST((network.versions(host).unsureFor(network.now()) > 41s));
+        BOOST_TEST((network.versions(host).unconfirmedDuration(network.now()) > 41s));
     checkGolden("versionstore/platform_down.txt", network);
 }
 
-BOOST_AUTO_TEST_CASE(cutDomainSaysThatItIsUnsureAndCatchesUp)
+BOOST_AUTO_TEST_CASE(partitionedDomainReportsUnconfirmedDataAndCatchesUp)
 {
     SixDaemons network;
     network.note("b is cut off");
@@ -236,14 +236,14 @@
     network.runFor(20s);
     logHeldVersions(network);
     BOOST_TEST(network.holdersOf(contractName, 2) == 3);
-    BOOST_TEST((network.versions("b2").unsureFor(network.now()) > 39s));
+    BOOST_TEST((network.versions("b2").unconfirmedDuration(network.now()) > 39s));
 
     network.note("b is back");
     network.heal("b");
     network.runFor(5s);
     logHeldVersions(network);
     BOOST_TEST(network.holdersOf(contractName, 2) == 6);
-    BOOST_TEST((network.versions("b2").unsureFor(network.now()) < 6s));
+    BOOST_TEST((network.versions("b2").unconfirmedDuration(network.now()) < 6s));
     checkGolden("versionstore/domain_cut.txt", network);
 }
 
@@ -265,7 +265,7 @@
         BOOST_TEST((network.versions(host).find(key)->header.version == Fence{4, 9}));
 }
 
-BOOST_AUTO_TEST_CASE(cutDomainLearnsFromPeersWhatItMissed)
+BOOST_AUTO_TEST_CASE(partitionedDomainFetchesMissedItemsFromPeers)
 {
     SixDaemons network;
     network.platform.isUp = false;
@@ -318,7 +318,7 @@
     peer.host = HostName{"a2"};
     peer.address = "a2";
     Membership membership(MembershipSettings{}, self, versions, Instant{});
-    const News news{{}, {contract(2, "rate: 20").header}};
+    const GossipUpdate news{{}, {contract(2, "rate: 20").header}};
 
     std::vector<Instant> fetches;
     const auto collect = [&](Instant now, const MembershipActions &actions) {
@@ -328,7 +328,7 @@
                 fetches.push_back(now);
         }
     };
-    collect(Instant{}, membership.onMessage(Instant{}, {peer, NewsPush{news}}));
+    collect(Instant{}, membership.onMessage(Instant{}, {peer, GossipPush{news}}));
     while (membership.nextDue() < Instant{10s}) {
         const Instant now = membership.nextDue();
         collect(now, membership.onTick(now));
@@ -338,7 +338,7 @@
     BOOST_TEST((fetches[4] == Instant{1s}));
 }
 
-BOOST_AUTO_TEST_CASE(bytesThatADaemonServesInASecondAreBounded)
+BOOST_AUTO_TEST_CASE(bytesServedPerSecondAreBounded)
 {
     VersionStore versions(Instant{});
     MemberRecord self;
