--- a/src/libbulrush/connection/servermanager.cpp
+++ b/src/libbulrush/connection/servermanager.cpp
@@ -7,14 +7,14 @@
 
 namespace {
 
-constexpr Duration shortestRetryAfter = std::chrono::seconds{1};
+constexpr Duration minRetryAfter = std::chrono::seconds{1};
 
-/** An expected wait is a mean: work is queued only where there is time for twice of it. */
-constexpr int waitCaution = 2;
+/** The expected wait is a mean: work is queued only if there is time for this multiple of it. */
+constexpr int expectedWaitFactor = 2;
 
-bool eraseWork(std::deque<AttendedWork> &queue, WorkId id)
+bool eraseWork(std::deque<ManagedWork> &queue, WorkId id)
 {
-    return std::erase_if(queue, [id](const AttendedWork &work) { return work.id == id; }) > 0;
+    return std::erase_if(queue, [id](const ManagedWork &work) { return work.id == id; }) > 0;
 }
 
 } // namespace
@@ -25,10 +25,10 @@
     , m_slotLimit(limits.slots)
 { }
 
-ServerManagerActions ServerManager::submit(const AttendedWork &work, Instant now)
+ServerManagerActions ServerManager::submit(const ManagedWork &work, Instant now)
 {
     ServerManagerActions actions;
-    forgetLost(now);
+    removeExpiredLostWork(now);
     if (const auto reason = stateRefusal()) {
         refuse(work, *reason, actions);
         return actions;
@@ -46,7 +46,7 @@
     return actions;
 }
 
-ServerManagerActions ServerManager::submitStreamed(const AttendedWork &work, Instant now)
+ServerManagerActions ServerManager::submitStreamed(const ManagedWork &work, Instant now)
 {
     ServerManagerActions actions;
     if (m_streaming >= m_limits.streamedBodyLimit)
@@ -67,8 +67,8 @@
     found->second.sentAt = now;
     --m_streaming;
     ++m_running;
-    if (!m_silentSince)
-        m_silentSince = now;
+    if (!m_unansweredSince)
+        m_unansweredSince = now;
 }
 
 ServerManagerActions ServerManager::workEnded(WorkId id, WorkResult end, Instant now)
@@ -84,7 +84,7 @@
     const Flight flight = found->second;
     m_flights.erase(found);
     --(flight.isBodySent ? m_running : m_streaming);
-    noteEnd(flight, end, now);
+    recordResult(flight, end, now);
     if (std::exchange(m_hasRecovered, false))
         actions.emplace_back(ReportRecovered{});
     if (const auto reason = stateRefusal())
@@ -110,7 +110,7 @@
     if (m_state != ServerState::Suspected)
         return actions;
     m_state = ServerState::Probation;
-    m_silentSince.reset();
+    m_unansweredSince.reset();
     actions.emplace_back(ReportRecovered{});
     dispatchQueued(now, actions);
     return actions;
@@ -119,8 +119,8 @@
 ServerManagerActions ServerManager::advance(Instant now)
 {
     ServerManagerActions actions;
-    forgetLost(now);
-    const bool isSilent = m_silentSince && *m_silentSince + silenceLimit() <= now;
+    removeExpiredLostWork(now);
+    const bool isSilent = m_unansweredSince && *m_unansweredSince + silenceTimeout() <= now;
     if (isSilent && stateRefusal() == std::nullopt) {
         m_state = ServerState::Suspected;
         actions.emplace_back(ReportSuspected{});
@@ -138,14 +138,14 @@
     const auto consider = [&due](Instant instant) {
         due = std::min(due.value_or(instant), instant);
     };
-    if (m_silentSince && !stateRefusal())
-        consider(*m_silentSince + silenceLimit());
+    if (m_unansweredSince && !stateRefusal())
+        consider(*m_unansweredSince + silenceTimeout());
     for (const auto &[id, flight] : m_flights) {
         if (flight.isLost)
             consider(flight.deadline);
     }
     for (const Queue *queue : {&m_priorityQueue, &m_ordinaryQueue}) {
-        for (const AttendedWork &work : *queue)
+        for (const ManagedWork &work : *queue)
             consider(work.policy.deadline - m_serviceTime.mean() + Duration{1});
     }
     return due;
@@ -187,7 +187,7 @@
 
 bool ServerManager::isInTime(Instant deadline, std::size_t ahead, Instant now) const
 {
-    return now + waitCaution * waitBehind(ahead) + m_serviceTime.cautious() <= deadline;
+    return now + expectedWaitFactor * waitBehind(ahead) + m_serviceTime.cautious() <= deadline;
 }
 
 bool ServerManager::isTooLate(Instant deadline, Instant now) const
@@ -197,7 +197,7 @@
 
 Duration ServerManager::retryAfter() const
 {
-    return std::max(shortestRetryAfter, waitBehind(queuedCount()));
+    return std::max(minRetryAfter, waitBehind(queuedCount()));
 }
 
 std::optional<FailurePoint> ServerManager::stateRefusal() const
@@ -209,7 +209,7 @@
     return std::nullopt;
 }
 
-std::optional<FailurePoint> ServerManager::admissionRefusal(const AttendedWork &work,
+std::optional<FailurePoint> ServerManager::admissionRefusal(const ManagedWork &work,
                                                             Instant now) const
 {
     const bool isPriority = work.policy.requestClass == RequestClass::Priority;
@@ -227,7 +227,7 @@
     return std::nullopt;
 }
 
-void ServerManager::enqueue(const AttendedWork &work, ServerManagerActions &actions)
+void ServerManager::enqueue(const ManagedWork &work, ServerManagerActions &actions)
 {
     if (queuedCount() >= static_cast<std::size_t>(m_limits.queueLimit)) {
         refuse(m_ordinaryQueue.back(), FailurePoint::Overloaded, actions);
@@ -237,12 +237,12 @@
     (isPriority ? m_priorityQueue : m_ordinaryQueue).push_back(work);
 }
 
-void ServerManager::dispatch(const AttendedWork &work, Instant now, ServerManagerActions &actions)
+void ServerManager::dispatch(const ManagedWork &work, Instant now, ServerManagerActions &actions)
 {
     m_flights.emplace(work.id, Flight{now, work.policy.deadline, !work.hasStreamedBody, false});
     ++(work.hasStreamedBody ? m_streaming : m_running);
-    if (!work.hasStreamedBody && !m_silentSince)
-        m_silentSince = now;
+    if (!work.hasStreamedBody && !m_unansweredSince)
+        m_unansweredSince = now;
     actions.emplace_back(DispatchWork{work.id});
 }
 
@@ -250,20 +250,20 @@
 {
     while (m_running < slotLimit() && queuedCount() > 0 && !stateRefusal()) {
         Queue &queue = m_priorityQueue.empty() ? m_ordinaryQueue : m_priorityQueue;
-        const AttendedWork work = queue.front();
+        const ManagedWork work = queue.front();
         queue.pop_front();
-        // With others waiting, a slot is not spent on what will probably be late.
-        const bool isTooLateToTry = queuedCount() > 0
+        // While other work is queued, no slot is used for work that will probably be late.
+        const bool isProbablyLate = queuedCount() > 0
             ? now + m_serviceTime.cautious() > work.policy.deadline
             : isTooLate(work.policy.deadline, now);
-        if (isTooLateToTry)
+        if (isProbablyLate)
             refuse(work, FailurePoint::DeadlineBeforeDispatch, actions);
         else
             dispatch(work, now, actions);
     }
 }
 
-void ServerManager::refuse(const AttendedWork &work, FailurePoint reason,
+void ServerManager::refuse(const ManagedWork &work, FailurePoint reason,
                            ServerManagerActions &actions) const
 {
     actions.emplace_back(RefuseWork{work.id, reason, retryAfter()});
@@ -272,17 +272,17 @@
 void ServerManager::refuseQueued(FailurePoint reason, ServerManagerActions &actions)
 {
     for (Queue *queue : {&m_priorityQueue, &m_ordinaryQueue}) {
-        for (const AttendedWork &work : *queue)
+        for (const ManagedWork &work : *queue)
             refuse(work, reason, actions);
         queue->clear();
     }
 }
 
-/** Priority work that came may leave the ordinary work behind it too late. */
+/** Newly queued priority work may delay ordinary work past its deadline. */
 void ServerManager::refuseDisplaced(Instant now, ServerManagerActions &actions)
 {
     while (!m_ordinaryQueue.empty()) {
-        const AttendedWork &last = m_ordinaryQueue.back();
+        const ManagedWork &last = m_ordinaryQueue.back();
         if (isInTime(last.policy.deadline, queuedCount() - 1, now))
             return;
         refuse(last, FailurePoint::Overloaded, actions);
@@ -290,10 +290,10 @@
     }
 }
 
-/** Only what can't be in time even if it were sent now: an estimate may still turn out well. */
+/** Refuses only work that would be late even if sent now, since estimates may be too high. */
 void ServerManager::refuseExpired(Queue &queue, Instant now, ServerManagerActions &actions) const
 {
-    std::erase_if(queue, [&](const AttendedWork &work) {
+    std::erase_if(queue, [&](const ManagedWork &work) {
         const bool isExpired = isTooLate(work.policy.deadline, now);
         if (isExpired)
             refuse(work, FailurePoint::DeadlineBeforeDispatch, actions);
@@ -301,7 +301,7 @@
     });
 }
 
-void ServerManager::forgetLost(Instant now)
+void ServerManager::removeExpiredLostWork(Instant now)
 {
     std::erase_if(m_flights, [&](const auto &entry) {
         const Flight &flight = entry.second;
@@ -312,11 +312,11 @@
     });
 }
 
-void ServerManager::noteEnd(const Flight &flight, WorkResult end, Instant now)
+void ServerManager::recordResult(const Flight &flight, WorkResult end, Instant now)
 {
     switch (end) {
     case WorkResult::Answered:
-        noteAnswer(flight, now);
+        recordAnswer(flight, now);
         break;
     case WorkResult::Shed:
         setSlotLimit(std::max(1, m_running));
@@ -332,32 +332,33 @@
     case WorkResult::Lost:
         break;
     }
-    // Only work that ended in silence leaves the server owing an answer.
+    // Lost work leaves its answer outstanding; any other result restarts the measurement of
+    // silence.
     if (end != WorkResult::Lost)
-        m_silentSince = m_running > 0 ? std::optional{now} : std::nullopt;
+        m_unansweredSince = m_running > 0 ? std::optional{now} : std::nullopt;
 }
 
-void ServerManager::noteAnswer(const Flight &flight, Instant now)
+void ServerManager::recordAnswer(const Flight &flight, Instant now)
 {
     if (flight.isBodySent)
         m_serviceTime.record(now - flight.sentAt);
     m_hasRecovered = m_state == ServerState::Suspected;
     if (m_state == ServerState::Suspected || m_state == ServerState::Probation)
         m_state = ServerState::Serving;
-    if (m_slotLimit >= m_limits.slots || ++m_answersSinceChange < m_slotLimit)
+    if (m_slotLimit >= m_limits.slots || ++m_answersSinceLimitChange < m_slotLimit)
         return;
     setSlotLimit(m_slotLimit + 1);
 }
 
-Duration ServerManager::silenceLimit() const
+Duration ServerManager::silenceTimeout() const
 {
-    return std::max(m_limits.shortestSilence, m_serviceTime.cautious() * m_limits.silenceFactor);
+    return std::max(m_limits.minSilenceTimeout, m_serviceTime.cautious() * m_limits.silenceFactor);
 }
 
 void ServerManager::setSlotLimit(int limit)
 {
     m_slotLimit = std::clamp(limit, 1, m_limits.slots);
-    m_answersSinceChange = 0;
+    m_answersSinceLimitChange = 0;
 }
 
 } // namespace bulrush
--- a/src/libbulrush/process/membership.h
+++ b/src/libbulrush/process/membership.h
@@ -1,8 +1,8 @@
 #pragma once
 
 #include "process/clock.h"
+#include "process/gossipqueue.h"
 #include "process/membertable.h"
-#include "process/newsqueue.h"
 #include "process/peermessage.h"
 #include "process/versionstore.h"
 
@@ -18,61 +18,64 @@
 namespace bulrush {
 
 /**
- * The spans and limits of membership. The defaults are what docs/design/membership.md measures.
+ * Durations and limits of membership. docs/design/membership.md has measurements of the defaults.
  */
 struct MembershipSettings
 {
-    /** From one ping of a random member to the next. */
+    /** Interval between pings, each to a random member. */
     Duration pingPeriod = std::chrono::seconds{1};
-    /** How long a ping waits before others are asked to try, and then once more. */
+    /** Timeout of a direct ping, and then of the indirect pings through other members. */
     Duration ackTimeout = std::chrono::milliseconds{500};
-    /** How long the answer to a fetch may take. */
+    /** Timeout of the answer to a fetch. */
     Duration fetchTimeout = std::chrono::milliseconds{250};
-    /** How long a suspected member has to refute before it counts as gone. */
+    /** Time for a suspected member to refute the suspicion before it is recorded as gone. */
     Duration suspicionTimeout = std::chrono::seconds{4};
-    /** From one round of passing news on to the next. */
-    Duration newsPeriod = std::chrono::milliseconds{250};
-    /** Shortest span between two rounds when there is a new version to pass on. */
-    Duration itemNewsGap = std::chrono::milliseconds{20};
-    /** From one attempt at reaching a member that is gone, or a seed, to the next. */
+    /** Interval between gossip rounds. */
+    Duration gossipInterval = std::chrono::milliseconds{250};
+    /** Minimum time between two gossip rounds when there is a new version to send. */
+    Duration minItemGossipInterval = std::chrono::milliseconds{20};
+    /** Interval between attempts to reach a gone member or a seed. */
     Duration reconnectPeriod = std::chrono::seconds{5};
-    /** How long a host that is gone is remembered. */
+    /** Time for which the record of a gone host is kept. */
     Duration goneRetention = std::chrono::hours{1};
-    /** How long after its start a process counts as the later run at its host. */
-    Duration freshSpan = std::chrono::seconds{30};
-    /** A gap between two calls beyond which this process was paused. */
+    /** Time after its start during which a process counts as the latest incarnation on its host. */
+    Duration startupPeriod = std::chrono::seconds{30};
+    /** A gap between two calls above this value means that this process was paused. */
     Duration pauseThreshold = std::chrono::seconds{2};
-    /** From one reading of the platform by a domain's reader to the next. */
+    /** Interval between reads of the platform by a domain's reader. */
     Duration readPeriod = std::chrono::seconds{1};
-    /** The reader's first stand-in reads when unsure for this long, the second for twice it. */
-    Duration standInDelay = std::chrono::seconds{15};
-    /** How long a stand-in goes on reading after it succeeded. */
-    Duration standInSpan = std::chrono::minutes{5};
-    /** From one reading to the next by a daemon that is unsure for four stand-in delays. */
-    Duration lastResortPeriod = std::chrono::seconds{30};
-    /** How many members a round of news goes to. */
+    /**
+     * Time without confirmed data after which the first backup reader reads; the second one waits
+     * for twice this time.
+     */
+    Duration backupReaderDelay = std::chrono::seconds{15};
+    /** Time for which a backup reader continues to read after it succeeded. */
+    Duration backupReaderDuration = std::chrono::minutes{5};
+    /** Interval between reads by a daemon without confirmed data for four backup reader delays. */
+    Duration fallbackReadInterval = std::chrono::seconds{30};
+    /** Number of members that receive a gossip round. */
     unsigned fanOut = 3;
-    /** How many members are asked to try when a ping is not answered. */
+    /** Number of members that are asked for an indirect ping if a ping is not answered. */
     unsigned indirectPings = 3;
-    /** How many changes a message of news carries. */
-    std::size_t newsLimit = 6;
-    /** How many members, and how many items, an answer to an exchange carries. */
+    /** Maximum number of changes in a gossip message. */
+    std::size_t gossipLimit = 6;
+    /** Maximum number of members, and of items, in an answer to an exchange. */
     std::size_t deltaLimit = 32;
     /**
-     * How many bytes of bodies answers to fetches carry within a fetchWindow; one body always goes.
-     * Whoever gets less asks again, and others, so that many daemons that start at once don't
-     * load the few that they know.
+     * Maximum size in bytes of the bodies in answers to fetches within a fetchWindow; one body is
+     * always sent. A daemon that receives less retries, also with other members, so that many
+     * daemons that start at once do not overload the few members that they have found.
      */
     std::size_t fetchByteLimit = 131072;
     Duration fetchWindow = std::chrono::seconds{1};
-    /** Addresses to try when nobody is known. */
+    /** Addresses to contact when no other member is in the table. */
     std::vector<std::string> seeds;
     /** Seed of the random choice of members. */
     std::uint64_t randomSeed = 1;
 };
 
 /**
- * A host in the platform's list, which lags behind.
+ * A host in the platform's list, which may be out of date.
  */
 struct ListedHost
 {
@@ -81,23 +84,23 @@
     bool isLeaving = false;
 };
 
-/** Read all contracts from the platform, and report by Membership::onPlatformListing. */
+/** Read all contracts from the platform, and pass them to Membership::onPlatformListing. */
 struct ReadPlatform
 { };
 
-/** A version is now held and goes into force at this daemon. */
+/** A new version was stored and takes effect at this daemon. */
 struct ApplyItem
 {
     VersionedItem item;
 };
 
-/** A member is new, or its state, run or address has changed. */
+/** A member is new, or its state, incarnation or address has changed. */
 struct MemberChanged
 {
     MemberRecord member;
 };
 
-/** A later run of a daemon is at this host: this process is a left-over and must end. */
+/** A later incarnation runs on this host: this process is obsolete and has to stop. */
 struct Superseded
 {
     MemberRecord successor;
@@ -108,13 +111,14 @@
 using MembershipActions = std::vector<MembershipAction>;
 
 /**
- * One daemon's view of the others, and its part in spreading members, contracts and assignments.
+ * One daemon's table of the other daemons, and its part in the gossip protocol that distributes
+ * members, contracts and assignments.
  *
- * Each daemon pings one random member a period, whatever their number. Changes ride on pings and
- * on rounds of news to a few random members; what was missed is found by comparing digests after
- * a ping and fetched in bounded pieces.
+ * Each daemon pings one random member per period, regardless of their number. Changes are sent with
+ * pings and in gossip rounds to a few random members; missed changes are found by comparing digests
+ * after a ping and are fetched in messages of bounded size.
  *
- * Not thread safe; every call takes the instant it happens at, never earlier than the call before.
+ * Not thread safe; every call takes the current instant, never earlier than in the previous call.
  */
 class Membership
 {
@@ -127,66 +131,66 @@
                Instant startedAt);
 
     /**
-     * Does what is due. To be called at nextDue(), or late.
+     * Performs the work that is due. To be called at nextDue(), or later.
      */
     MembershipActions onTick(Instant now);
 
     /**
-     * Takes a message of another daemon in.
+     * Handles a message of another daemon.
      */
     MembershipActions onMessage(Instant now, const PeerMessage &message);
 
     /**
-     * Takes the platform's list of entry hosts in: it names whom to try, and who is to leave. It
-     * never makes a member gone, because it lags.
+     * Applies the platform's list of entry hosts: it gives addresses to contact, and hosts that are
+     * to leave. It never marks a member as gone, because the list may be out of date.
      */
     MembershipActions onHostList(Instant now, std::span<const ListedHost> hosts);
 
     /**
-     * Takes a reading of the platform's contracts in.
+     * Applies the result of a platform read.
      */
     MembershipActions onPlatformListing(Instant now, const PlatformListing &listing);
 
     /**
-     * Notes that the reading asked for failed.
+     * Records that the requested platform read failed.
      */
     void onPlatformFailure(Instant now);
 
     /**
-     * Spreads an item that this daemon made or accepted itself, such as a new assignment.
+     * Distributes an item that this daemon created or accepted itself, such as a new assignment.
      */
     MembershipActions publish(Instant now, const VersionedItem &item);
 
     /**
-     * Tells the others that this daemon is about to leave.
+     * Announces to other daemons that this daemon is going to leave.
      */
     MembershipActions leave(Instant now);
 
     /**
-     * Says goodbye: the others take this daemon as gone at once. Nothing is sent afterwards.
+     * Announces that this daemon stops: others mark it as gone at once. Nothing is sent afterwards.
      */
     MembershipActions stop(Instant now);
 
     /**
-     * \returns when onTick() is due next.
+     * \returns when onTick() has to be called next.
      */
     Instant nextDue() const;
 
     const MemberRecord &self() const;
 
     /**
-     * \returns all that are known, this daemon included. Valid until the next change.
+     * \returns all members in the table, including this daemon. Valid until the next change.
      */
     std::span<const MemberRecord> members() const;
 
     /**
-     * \returns the member that reads the platform for this daemon's failure domain: the first by
-     * order of host among those of the domain that are present.
+     * \returns the member that reads the platform for this daemon's failure domain: the first
+     * present member of the domain, alive ones before leaving ones, then by host name.
      */
     const MemberRecord &reader() const;
 
     /**
-     * \returns whether a later run of a daemon is known at this host, so that this one must end.
+     * \returns whether a later incarnation runs on this host, so that this process has to stop.
      */
     bool isSuperseded() const;
 
@@ -202,7 +206,7 @@
         Instant requestedAt;
         Instant due;
         bool isIndirect = false;
-        /** Set when the ping was sent for another daemon. */
+        /** Set if the ping was sent on behalf of another daemon. */
         std::string requester = {};
         std::uint64_t requesterSequence = 0;
     };
@@ -215,58 +219,59 @@
         unsigned attempts = 0;
     };
 
-    /** The unit of work that a call collects its actions in. */
-    struct Turn
+    /** Time and collected actions of one call. */
+    struct CallContext
     {
         Instant now;
         MembershipActions actions = {};
-        /** Whether what is learned is passed on; not so for what was pulled by an exchange. */
-        bool isPassedOn = true;
+        /** Whether received changes are gossiped further; false for those pulled by an exchange. */
+        bool isForwarded = true;
     };
 
-    void handle(Turn &turn, const MemberRecord &sender, const Ping &ping);
-    void handle(Turn &turn, const MemberRecord &sender, const Ack &ack);
-    void handle(Turn &turn, const MemberRecord &sender, const GossipPush &push);
-    void handle(Turn &turn, const MemberRecord &sender, const IndirectPing &ping);
-    void handle(Turn &turn, const MemberRecord &sender, const IndirectAck &ack);
-    void handle(Turn &turn, const MemberRecord &sender, const Exchange &exchange);
-    void handle(Turn &turn, const MemberRecord &sender, const Delta &delta);
-    void handle(Turn &turn, const MemberRecord &sender, const Fetch &fetch);
-    void handle(Turn &turn, const MemberRecord &sender, const Items &items);
-
-    Turn begin(Instant now);
-    void pingNext(Turn &turn);
-    void expirePings(Turn &turn);
-    void expireSuspicions(Turn &turn);
-    void forgetGone(Instant now);
-    void reconnect(Turn &turn);
-    void sendNewsRound(Turn &turn);
-    void readPlatformIfDue(Turn &turn);
+    void handle(CallContext &context, const MemberRecord &sender, const Ping &ping);
+    void handle(CallContext &context, const MemberRecord &sender, const Ack &ack);
+    void handle(CallContext &context, const MemberRecord &sender, const GossipPush &push);
+    void handle(CallContext &context, const MemberRecord &sender, const IndirectPing &ping);
+    void handle(CallContext &context, const MemberRecord &sender, const IndirectAck &ack);
+    void handle(CallContext &context, const MemberRecord &sender, const Exchange &exchange);
+    void handle(CallContext &context, const MemberRecord &sender, const Delta &delta);
+    void handle(CallContext &context, const MemberRecord &sender, const Fetch &fetch);
+    void handle(CallContext &context, const MemberRecord &sender, const Items &items);
+
+    CallContext begin(Instant now);
+    void pingNext(CallContext &context);
+    void expirePings(CallContext &context);
+    void expireSuspicions(CallContext &context);
+    void removeExpiredMembers(Instant now);
+    void reconnect(CallContext &context);
+    void sendGossipRound(CallContext &context);
+    void readPlatformIfDue(CallContext &context);
     std::optional<Duration> readInterval(Instant now) const;
     std::size_t readerRank() const;
-    bool hasCompany() const;
-    std::vector<std::string> unansweredAddresses() const;
-
-    void mergeMember(Turn &turn, const MemberRecord &record);
-    void answerClaimAboutSelf(Turn &turn, const MemberRecord &claim);
-    void recordMember(Turn &turn, const MemberRecord &record);
-    void judge(Turn &turn, const HostName &host, MemberState state);
-    void raiseCounter(Turn &turn, std::uint64_t above);
-    void announceSelf(Turn &turn);
-    void mergeNews(Turn &turn, const MemberRecord &sender, const GossipUpdate &news);
-    void fetchMissing(Turn &turn, const std::string &from, std::span<const ItemHeader> headers);
-    void retryFetches(Turn &turn);
-    bool applyItem(Turn &turn, const VersionedItem &item);
-    void queueItemNews(Instant now, const ItemKey &key);
-    void queueMemberNews(Instant now, const HostName &host);
-    unsigned newsRepeats() const;
-
-    GossipUpdate newsOf(std::span<const NewsQueue::Subject> subjects) const;
+    bool hasPresentPeer() const;
+    std::vector<std::string> addressesWithoutMember() const;
+
+    void mergeMember(CallContext &context, const MemberRecord &record);
+    void refuteStateOfSelf(CallContext &context, const MemberRecord &claim);
+    void recordMember(CallContext &context, const MemberRecord &record);
+    void applyState(CallContext &context, const HostName &host, MemberState state);
+    void raiseCounter(CallContext &context, std::uint64_t above);
+    void announceSelf(CallContext &context);
+    void applyGossip(CallContext &context, const MemberRecord &sender, const GossipUpdate &news);
+    void fetchMissing(CallContext &context, const std::string &from,
+                      std::span<const ItemHeader> headers);
+    void retryFetches(CallContext &context);
+    bool applyItem(CallContext &context, const VersionedItem &item);
+    void queueItemGossip(Instant now, const ItemKey &key);
+    void queueMemberGossip(Instant now, const HostName &host);
+    unsigned gossipRepeats() const;
+
+    GossipUpdate gossipOf(std::span<const GossipQueue::Subject> subjects) const;
     void addCorrection(GossipUpdate &news, const MemberRecord &of) const;
     Summary summary(Instant now) const;
-    void compareWith(Turn &turn, const MemberRecord &sender, const Summary &theirs);
-    void send(Turn &turn, const std::string &to, PeerMessage::Body body) const;
-    void sendPing(Turn &turn, const std::string &to, PendingPing pending);
+    void compareWith(CallContext &context, const MemberRecord &sender, const Summary &theirs);
+    void send(CallContext &context, const std::string &to, PeerMessage::Body body) const;
+    void sendPing(CallContext &context, const std::string &to, PendingPing pending);
     std::vector<MemberRecord> chooseMembers(std::size_t count, const HostName &except);
     std::size_t randomBelow(std::size_t bound);
 
@@ -274,14 +279,14 @@
     MemberRecord m_self;
     VersionStore &m_versions;
     MemberTable m_table;
-    NewsQueue m_news;
+    GossipQueue m_gossipQueue;
     std::mt19937_64 m_random;
 
     std::vector<HostName> m_pingOrder;
     std::map<std::uint64_t, PendingPing> m_pendingPings;
     std::map<HostName, Instant> m_suspectedAt;
     std::map<HostName, Instant> m_goneAt;
-    Duration m_lastResortPhase;
+    Duration m_fallbackReadPhase;
     std::map<ItemKey, PendingFetch> m_fetches;
     std::vector<std::string> m_contacts;
     std::uint64_t m_nextSequence = 1;
@@ -289,16 +294,16 @@
     Instant m_startedAt;
     Instant m_lastActive;
     Instant m_nextPing;
-    Instant m_nextNews = Instant::max();
-    Instant m_lastNews;
+    Instant m_nextGossip = Instant::max();
+    Instant m_lastGossip;
     Instant m_nextReconnect;
     Instant m_nextExchange;
     Instant m_nextRead;
-    Instant m_standsInUntil;
+    Instant m_backupReaderUntil;
     Instant m_fetchWindowStart;
     std::size_t m_fetchedBytes = 0;
     bool m_isReading = false;
-    bool m_isStandInReading = false;
+    bool m_isBackupReading = false;
     bool m_hasJoined = false;
     bool m_isSuperseded = false;
     bool m_isStopped = false;
--- a/src/libbulrush/process/ratelimiter.h
+++ b/src/libbulrush/process/ratelimiter.h
@@ -7,29 +7,29 @@
 namespace bulrush {
 
 /**
- * One daemon's part in keeping an organisation to its rate and its concurrency over all entry
- * hosts: it admits by the shares that the steward of its failure domain gave, and by nothing once
- * they have run out. Not thread safe.
+ * One daemon's part in limiting an organisation's rate over all entry hosts: it admits requests
+ * within the share granted by the leader of its failure domain, and none after the share has
+ * expired. Not thread safe.
  */
 class RateLimiter
 {
 public:
     explicit RateLimiter(std::int64_t driftPpm = defaultDriftPpm);
 
-    /** A request has come. \returns whether the rate lets it pass. */
+    /** Counts a request. \returns whether it is within the rate. */
     bool admits(Instant now);
 
-    /** \returns what to tell the steward now; the answer's share counts from \a now. */
+    /** \returns the demand to report to the domain leader; the share counts from \a now. */
     ShareDemand demand(Instant now);
 
-    /** A share has come, for a demand told at \a requestedAt. An older one than the last is
-     * ignored. */
+    /** Applies a share for a demand made at \a requestedAt. A share older than the last is ignored.
+     */
     void applyShareGrant(const ShareGrant &grant, Instant requestedAt, Instant now);
 
-    /** \returns when a refused caller may come back. */
+    /** \returns the delay after which a refused caller may retry. */
     Duration retryAfter() const;
 
-    /** \returns the share in force at \a now. */
+    /** \returns the share in effect at \a now. */
     double share(Instant now) const;
 
 private:
@@ -46,28 +46,28 @@
 };
 
 /**
- * The same for the number of an organisation's requests at once. Not thread safe.
+ * The same for the number of an organisation's concurrent requests. Not thread safe.
  */
 class ConcurrencyLimiter
 {
 public:
     explicit ConcurrencyLimiter(std::int64_t driftPpm = defaultDriftPpm);
 
-    /** A request has come. \returns whether it may start; if so, ended() is to follow. */
+    /** Starts a request. \returns whether it may start; if so, ended() has to be called later. */
     bool start(Instant now);
 
-    /** A started request has ended. */
+    /** Records the end of a started request. */
     void ended();
 
-    /** \returns what to tell the steward now. */
+    /** \returns the demand to report to the domain leader. */
     ShareDemand demand();
 
-    /** A share has come, for a demand told at \a requestedAt. */
+    /** Applies a share for a demand made at \a requestedAt. */
     void applyShareGrant(const ShareGrant &grant, Instant requestedAt);
 
     int inFlight() const;
 
-    /** \returns the share in force at \a now. */
+    /** \returns the share in effect at \a now. */
     double share(Instant now) const;
 
 private:
@@ -76,8 +76,8 @@
     double m_share = 0.0;
     Instant m_validUntil;
     int m_inFlight = 0;
-    int m_refusedSinceAsked = 0;
-    int m_mostSinceAsked = 0;
+    int m_refusedSinceDemand = 0;
+    int m_maxSinceDemand = 0;
 };
 
 inline int ConcurrencyLimiter::inFlight() const
--- a/src/libbulrush/process/servermanagertable.cpp
+++ b/src/libbulrush/process/servermanagertable.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/** Daemons by how many servers they attend, the least busy one first. */
+/** Daemons by the number of servers that they manage, least busy first. */
 class LoadRanking
 {
 public:
@@ -60,28 +60,28 @@
         return;
 
     LoadRanking ranking(daemons);
-    std::vector<Attendance> fitted;
+    std::vector<Attendance> updated;
     for (const ServerName &server : servers) {
-        const Incarnation known = attendantOf(m_attendances, server);
-        const bool isKept = daemons.contains(known);
-        fitted.push_back({server, isKept ? known : Incarnation{}});
+        const Incarnation current = attendantOf(m_attendances, server);
+        const bool isKept = daemons.contains(current);
+        updated.push_back({server, isKept ? current : Incarnation{}});
         if (isKept)
-            ranking.add(known, 1);
+            ranking.add(current, 1);
     }
-    for (Attendance &attendance : fitted) {
+    for (Attendance &attendance : updated) {
         if (!attendance.attendant.isEmpty())
             continue;
         attendance.attendant = ranking.leastBusy();
         ranking.add(attendance.attendant, 1);
     }
-    for (Attendance &attendance : fitted) {
+    for (Attendance &attendance : updated) {
         if (ranking.load(attendance.attendant) < ranking.leastLoad() + 2)
             continue;
         ranking.add(attendance.attendant, -1);
         attendance.attendant = ranking.leastBusy();
         ranking.add(attendance.attendant, 1);
     }
-    m_attendances = std::move(fitted);
+    m_attendances = std::move(updated);
 }
 
 } // namespace bulrush
--- a/src/libbulrush/process/shareallocator.cpp
+++ b/src/libbulrush/process/shareallocator.cpp
@@ -20,38 +20,38 @@
 
 } // namespace
 
-ShareAllocator::ShareAllocator(double own, std::uint64_t epoch, ShareTerms terms)
-    : m_own(own)
+ShareAllocator::ShareAllocator(double ownPart, std::uint64_t epoch, ShareTerms terms)
+    : m_ownPart(ownPart)
     , m_terms(terms)
     , m_lastSequence{epoch, 0}
 { }
 
-ShareAllocator ShareAllocator::successor(double own, std::uint64_t epoch, ShareTerms terms,
+ShareAllocator ShareAllocator::successor(double ownPart, std::uint64_t epoch, ShareTerms terms,
                                          Instant now)
 {
-    ShareAllocator ledger{own, epoch, terms};
+    ShareAllocator result{ownPart, epoch, terms};
     const Duration longest = std::max(terms.length, terms.loanLength);
-    ledger.m_confirmsOnlyUntil = now + stretched(longest, terms.driftPpm);
-    return ledger;
+    result.m_confirmOnlyUntil = now + stretched(longest, terms.driftPpm);
+    return result;
 }
 
-void ShareAllocator::setOwn(double own)
+void ShareAllocator::setOwn(double ownPart)
 {
-    m_own = own;
+    m_ownPart = ownPart;
 }
 
-void ShareAllocator::predecessorSettled()
+void ShareAllocator::endConfirmOnlyPeriod()
 {
-    m_confirmsOnlyUntil = Instant{};
+    m_confirmOnlyUntil = Instant{};
 }
 
 ShareGrant ShareAllocator::renew(const Incarnation &holder, const ShareDemand &demand, double held,
                                  Instant now)
 {
-    Holder &asking = heard(nameOfHolder(holder), demand, now);
-    if (now < m_confirmsOnlyUntil)
-        return give(asking, std::min(held, target(asking, now)), m_terms.length, now);
-    return give(asking, target(asking, now), m_terms.length, now);
+    Holder &requester = recordDemand(nameOfHolder(holder), demand, now);
+    if (now < m_confirmOnlyUntil)
+        return issueGrant(requester, std::min(held, target(requester, now)), m_terms.length, now);
+    return issueGrant(requester, target(requester, now), m_terms.length, now);
 }
 
 void ShareAllocator::release(const Incarnation &holder)
@@ -61,17 +61,17 @@
 
 ShareGrant ShareAllocator::lend(const DomainName &borrower, const ShareDemand &demand, Instant now)
 {
-    Holder &asking = heard(nameOfHolder(borrower), demand, now);
-    asking.isBorrower = true;
-    if (now < m_confirmsOnlyUntil)
-        return give(asking, 0.0, m_terms.loanLength, now);
+    Holder &requester = recordDemand(nameOfHolder(borrower), demand, now);
+    requester.isBorrower = true;
+    if (now < m_confirmOnlyUntil)
+        return issueGrant(requester, 0.0, m_terms.loanLength, now);
     double others = 0.0;
     for (const auto &[name, holder] : m_holders) {
-        if (holder.isBorrower && &holder != &asking)
+        if (holder.isBorrower && &holder != &requester)
             others += heldBy(holder, now);
     }
     const double left = std::max(0.0, lendable() - others);
-    return give(asking, std::min(left, demand.wanted), m_terms.loanLength, now);
+    return issueGrant(requester, std::min(left, demand.wanted), m_terms.loanLength, now);
 }
 
 ShareDemand ShareAllocator::loanDemand(const DomainName &lender, Instant now) const
@@ -81,8 +81,8 @@
     const double fromLender = hasLoan ? found->second.amount : 0.0;
     const double fromOthers = borrowed(now) - fromLender;
     ShareDemand demand;
-    demand.wanted = std::max(0.0, totalWanted() - m_own - fromOthers);
-    if (hasLoan && outstanding(now) <= m_own + borrowed(now))
+    demand.wanted = std::max(0.0, totalWanted() - m_ownPart - fromOthers);
+    if (hasLoan && outstanding(now) <= m_ownPart + borrowed(now))
         demand.acknowledged = found->second.sequence;
     return demand;
 }
@@ -104,30 +104,31 @@
     return sum;
 }
 
-ShareAllocator::Holder &ShareAllocator::heard(const std::string &name, const ShareDemand &demand,
-                                              Instant now)
+ShareAllocator::Holder &ShareAllocator::recordDemand(const std::string &name,
+                                                     const ShareDemand &demand, Instant now)
 {
-    dropExpired(now);
+    removeExpired(now);
     Holder &holder = m_holders[name];
     holder.wanted = demand.wanted;
     holder.inUse = demand.inUse;
-    holder.heardAt = now;
-    std::erase_if(holder.given,
-                  [&](const Given &given) { return given.sequence < demand.acknowledged; });
+    holder.lastDemandAt = now;
+    std::erase_if(holder.issuedGrants,
+                  [&](const IssuedGrant &grant) { return grant.sequence < demand.acknowledged; });
     return holder;
 }
 
-ShareGrant ShareAllocator::give(Holder &holder, double target, Duration length, Instant now)
+ShareGrant ShareAllocator::issueGrant(Holder &holder, double target, Duration length, Instant now)
 {
     const double others = outstanding(now) - heldBy(holder, now);
     const double limit = std::max(0.0, available(now) - others);
     const double amount = rounded(std::min(target, limit), limit);
     ++m_lastSequence.sequence;
-    holder.given.push_back({m_lastSequence, amount, now + stretched(length, m_terms.driftPpm)});
+    holder.issuedGrants.push_back(
+        {m_lastSequence, amount, now + stretched(length, m_terms.driftPpm)});
     return {m_lastSequence, amount, length};
 }
 
-/** \returns the sum of the loans that last beyond \a until. */
+/** \returns the sum of the loans that are valid beyond \a until. */
 double ShareAllocator::borrowed(Instant until) const
 {
     double sum = 0.0;
@@ -138,10 +139,10 @@
     return sum;
 }
 
-/** \returns what may be given for the length of a share from \a now. */
+/** \returns the amount that can be issued for the duration of a share from \a now. */
 double ShareAllocator::available(Instant now) const
 {
-    return m_own + borrowed(now + stretched(m_terms.length, m_terms.driftPpm));
+    return m_ownPart + borrowed(now + stretched(m_terms.length, m_terms.driftPpm));
 }
 
 double ShareAllocator::totalWanted() const
@@ -154,14 +155,14 @@
     return sum;
 }
 
-/** What is borrowed is not lent on: it would outlast the loan. */
+/** Borrowed amounts are not lent: such a loan could outlast the one that covers it. */
 double ShareAllocator::lendable() const
 {
-    return std::max(0.0, m_own - totalWanted());
+    return std::max(0.0, m_ownPart - totalWanted());
 }
 
-/** \returns what daemons leave to borrowers: what those hold, and what they are to get. */
-double ShareAllocator::keptForBorrowers(Instant now) const
+/** \returns the amount reserved for borrowers: what they hold, and what they are to receive. */
+double ShareAllocator::reservedForBorrowers(Instant now) const
 {
     double held = 0.0;
     double wanted = 0.0;
@@ -174,20 +175,20 @@
     return std::max(held, std::min(wanted, lendable()));
 }
 
-/** \returns the share of a daemon: all it wants if that can be, else no more than any other. */
+/** \returns the share of a daemon: its demand if the amount suffices, otherwise a fair part. */
 double ShareAllocator::target(const Holder &holder, Instant now) const
 {
-    const double amount = std::max(0.0, available(now) - keptForBorrowers(now));
+    const double amount = std::max(0.0, available(now) - reservedForBorrowers(now));
     const auto daemons = std::ranges::count_if(
         m_holders, [](const auto &entry) { return !entry.second.isBorrower; });
     const double spare = amount - totalWanted();
     if (spare >= 0.0)
         return holder.wanted + spare / static_cast<double>(daemons);
-    return std::min(holder.wanted, waterLevel(amount));
+    return std::min(holder.wanted, fairShareLevel(amount));
 }
 
-/** \returns the level at which demands, cut off there, sum up to \a amount. */
-double ShareAllocator::waterLevel(double amount) const
+/** \returns the level at which demands, capped at that level, sum up to \a amount. */
+double ShareAllocator::fairShareLevel(double amount) const
 {
     std::vector<double> demands;
     for (const auto &[name, holder] : m_holders) {
@@ -212,24 +213,25 @@
     return up <= limit ? up : std::floor(amount / m_terms.unit) * m_terms.unit;
 }
 
-void ShareAllocator::dropExpired(Instant now)
+void ShareAllocator::removeExpired(Instant now)
 {
     for (auto &[name, holder] : m_holders)
-        std::erase_if(holder.given, [&](const Given &given) { return given.expiresAt <= now; });
-    const Duration memory = stretched(m_terms.length, m_terms.driftPpm);
+        std::erase_if(holder.issuedGrants,
+                      [&](const IssuedGrant &grant) { return grant.expiresAt <= now; });
+    const Duration retention = stretched(m_terms.length, m_terms.driftPpm);
     std::erase_if(m_holders, [&](const auto &entry) {
-        return entry.second.given.empty() && entry.second.heardAt + memory <= now;
+        return entry.second.issuedGrants.empty() && entry.second.lastDemandAt + retention <= now;
     });
 }
 
 double ShareAllocator::heldBy(const Holder &holder, Instant now)
 {
-    double most = holder.inUse;
-    for (const Given &given : holder.given) {
-        if (given.expiresAt > now)
-            most = std::max(most, given.amount);
+    double maximum = holder.inUse;
+    for (const IssuedGrant &grant : holder.issuedGrants) {
+        if (grant.expiresAt > now)
+            maximum = std::max(maximum, grant.amount);
     }
-    return most;
+    return maximum;
 }
 
 } // namespace bulrush
--- a/src/libbulrush/process/tokenbucket.cpp
+++ b/src/libbulrush/process/tokenbucket.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/** Sums of small fractions fall a little short of whole tokens. */
+/** Tolerance for rounding: sums of small fractions fall slightly short of a complete token. */
 constexpr double oneToken = 1.0 - 1e-9;
 
 double seconds(Duration span)
@@ -36,7 +36,7 @@
     return true;
 }
 
-Duration TokenBucket::timeToToken() const
+Duration TokenBucket::timeUntilToken() const
 {
     constexpr Duration longest = std::chrono::seconds{1};
     const double missing = oneToken - m_tokens;
@@ -57,7 +57,7 @@
 {
     if (m_rate <= 0.0)
         return 0.0;
-    const double small = std::min(smallBurst, m_rate);
+    const double small = std::min(minBurst, m_rate);
     return std::max({1.0, small, m_rate * seconds(m_burstSpan)});
 }
 
--- a/src/libbulrush/process/versionstore.cpp
+++ b/src/libbulrush/process/versionstore.cpp
@@ -90,7 +90,7 @@
     confirm(requestedAt - stretched(peerAge, defaultDriftPpm));
 }
 
-bool VersionStore::isNews(const ItemHeader &header) const
+bool VersionStore::isNewer(const ItemHeader &header) const
 {
     const VersionedItem *held = find(header.key);
     return !held || held->header.version < header.version;
@@ -133,8 +133,8 @@
 
 bool VersionStore::lacksHeldContract(const PlatformListing &listing) const
 {
-    // Contracts are withdrawn by a version that says so, never deleted, so that a missing row
-    // means an old copy.
+    // Contracts are withdrawn by a version that states this, never deleted, so that a missing row
+    // indicates an old copy.
     std::map<ItemKey, Fence> listed;
     for (const VersionedItem &item : listing.items)
         listed.emplace(item.header.key, item.header.version);
--- a/src/libbulrush/request/outcome.cpp
+++ b/src/libbulrush/request/outcome.cpp
@@ -15,7 +15,7 @@
 constexpr int statusGatewayTimeout = 504;
 constexpr int firstServerError = 500;
 
-/** One row of the table that decides every failure. */
+/** One row of the table of failure points. */
 struct FailureEntry
 {
     FailurePoint point;
@@ -88,12 +88,12 @@
             std::max(seconds, std::chrono::seconds{1})};
 }
 
-/** Turns each end into what the caller gets before anything was passed on. */
+/** Converts each outcome to the response for the caller, if nothing was forwarded before. */
 struct ResponseMaker
 {
     CallerResponse operator()(const CompleteAnswer &) const
     {
-        return PassAnswer{};
+        return ForwardAnswer{};
     }
 
     CallerResponse operator()(const NotRun &notRun) const
@@ -133,8 +133,8 @@
 
 Outcome outcomeOfAttempts(std::span<const FailurePoint> points, Duration retryAfter)
 {
-    const auto doubtful = std::ranges::find_if_not(points, isCertainlyNotRun);
-    return outcomeOf(doubtful != points.end() ? *doubtful : points.back(), retryAfter);
+    const auto possiblyRun = std::ranges::find_if_not(points, isCertainlyNotRun);
+    return outcomeOf(possiblyRun != points.end() ? *possiblyRun : points.back(), retryAfter);
 }
 
 FailurePoint failurePointOfRefusal(std::string_view reason)
--- a/src/libbulrush/version/pathpattern.cpp
+++ b/src/libbulrush/version/pathpattern.cpp
@@ -30,7 +30,7 @@
     return static_cast<char>(*high * 16 + *low);
 }
 
-/** Characters that servers are known to read as the end of a segment or of the path. */
+/** Characters that some servers interpret as the end of a segment or of the path. */
 bool isAmbiguous(char c)
 {
     const auto code = static_cast<unsigned char>(c);
@@ -84,7 +84,7 @@
         && std::ranges::find(segments, candidate) != segments.end();
 }
 
-/** \returns the text before the next slash, and takes both off \a rest. */
+/** \returns the text before the next slash, and removes both from \a rest. */
 std::string_view takeSegment(std::string_view &rest)
 {
     const std::size_t slash = rest.find('/');
--- a/src/libbulrush/version/slicelayout.cpp
+++ b/src/libbulrush/version/slicelayout.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 /**
- * \returns the keys that earn a slice of their own, sorted by key.
+ * \returns the keys that get a slice of their own, sorted by key.
  */
 std::vector<KeyHash> keysToIsolate(std::span<const KeyLoad> hotKeys, const LayoutBounds &bounds)
 {
@@ -36,49 +36,50 @@
 }
 
 /**
- * \returns where the parts of \a range begin besides its own begin, if it is too wide.
+ * \returns the first keys of the parts of \a range except the first part, if it is too wide.
  */
-std::vector<KeyHash> evenCuts(SliceRange range, double sliceShare)
+std::vector<KeyHash> evenSplitPoints(SliceRange range, double sliceShare)
 {
-    const double parts = std::floor(shareOfLine(range) / sliceShare + shareTolerance);
-    std::vector<KeyHash> cuts;
+    const double parts = std::floor(keySpaceShare(range) / sliceShare + shareTolerance);
+    std::vector<KeyHash> splitPoints;
     if (parts < 2.0)
-        return cuts;
+        return splitPoints;
 
     const auto count = static_cast<std::uint64_t>(parts);
     const KeyHash step = (range.end - range.begin) / count;
     for (std::uint64_t i = 1; i < count; ++i)
-        cuts.push_back(range.begin + i * step);
-    return cuts;
+        splitPoints.push_back(range.begin + i * step);
+    return splitPoints;
 }
 
-void addKeyCuts(SliceRange range, std::span<const KeyHash> keys, std::vector<KeyHash> &cuts)
+void addKeySplitPoints(SliceRange range, std::span<const KeyHash> keys,
+                       std::vector<KeyHash> &splitPoints)
 {
     for (KeyHash key : keys) {
         if (key > range.begin)
-            cuts.push_back(key);
+            splitPoints.push_back(key);
         if (key < range.end)
-            cuts.push_back(key + 1);
+            splitPoints.push_back(key + 1);
     }
 }
 
-std::vector<SliceRange> partsOf(SliceRange range, std::vector<KeyHash> cuts)
+std::vector<SliceRange> partsOf(SliceRange range, std::vector<KeyHash> splitPoints)
 {
-    std::ranges::sort(cuts);
-    cuts.erase(std::unique(cuts.begin(), cuts.end()), cuts.end());
+    std::ranges::sort(splitPoints);
+    splitPoints.erase(std::unique(splitPoints.begin(), splitPoints.end()), splitPoints.end());
 
     std::vector<SliceRange> parts;
     KeyHash begin = range.begin;
-    for (KeyHash cut : cuts) {
-        parts.push_back({begin, cut - 1});
-        begin = cut;
+    for (KeyHash splitPoint : splitPoints) {
+        parts.push_back({begin, splitPoint - 1});
+        begin = splitPoint;
     }
     parts.push_back({begin, range.end});
     return parts;
 }
 
 /**
- * Lays slices out one after another, and joins those that may merge.
+ * Builds the list of slices in order and joins those that may merge.
  */
 class LayoutBuilder
 {
@@ -91,7 +92,7 @@
     /** Adds a slice that may merge with its neighbours. */
     void addMergeable(const PlannedSlice &slice)
     {
-        const double share = shareOfLine(slice.range);
+        const double share = keySpaceShare(slice.range);
         if (m_count > 0 && canFollow(slice) && m_share + share <= m_limit) {
             m_layout.slices.back().range.end = slice.range.end;
             m_share += share;
@@ -104,7 +105,7 @@
         m_count = 1;
     }
 
-    /** Adds a slice that stays as it is. */
+    /** Adds a slice that is not merged. */
     void addFixed(const PlannedSlice &slice)
     {
         finishRun();
@@ -135,7 +136,7 @@
 
     double m_limit;
     Layout &m_layout;
-    /** Share of the line and number of slices in the run that may still merge. */
+    /** Share of the key space and number of slices in the run that may still merge. */
     double m_share = 0;
     std::size_t m_count = 0;
 };
@@ -163,12 +164,12 @@
             builder.addFixed(slices[i]);
             continue;
         }
-        std::vector<KeyHash> cuts = evenCuts(range, bounds.sliceShare);
-        addKeyCuts(range, {firstKey, key}, cuts);
-        if (cuts.empty())
+        std::vector<KeyHash> splitPoints = evenSplitPoints(range, bounds.sliceShare);
+        addKeySplitPoints(range, {firstKey, key}, splitPoints);
+        if (splitPoints.empty())
             builder.addMergeable(slices[i]);
         else
-            builder.addParts(slices[i], partsOf(range, std::move(cuts)));
+            builder.addParts(slices[i], partsOf(range, std::move(splitPoints)));
     }
     builder.finishRun();
     return layout;
--- a/tests/requestlife/test_attendant.cpp
+++ b/tests/requestlife/test_attendant.cpp
@@ -13,13 +13,13 @@
 
 constexpr Instant start{10s};
 
-/** An attendant whose every event and action is written down. */
-class AttendantSession
+/** A server manager with a log of all its events and actions. */
+class ServerManagerSession
 {
 public:
-    explicit AttendantSession(std::string_view name, ServerManagerLimits limits = {})
+    explicit ServerManagerSession(std::string_view name, ServerManagerLimits limits = {})
         : m_golden(name)
-        , m_attendant(limits)
+        , m_serverManager(limits)
     { }
 
     void submit(WorkId id, RequestClass requestClass, Duration wait)
@@ -27,26 +27,26 @@
         const bool isPriority = requestClass == RequestClass::Priority;
         note(std::string{isPriority ? "priority" : "ordinary"} + " work " + std::to_string(id)
              + " comes, to be done in " + ms(wait));
-        perform(m_attendant.submit({id, {requestClass, true, m_now + wait}, false}, m_now));
+        perform(m_serverManager.submit({id, {requestClass, true, m_now + wait}, false}, m_now));
     }
 
-    void ended(WorkId id, WorkResult end, std::string_view what)
+    void complete(WorkId id, WorkResult end, std::string_view what)
     {
         note("work " + std::to_string(id) + " " + std::string{what});
-        perform(m_attendant.workEnded(id, end, m_now));
+        perform(m_serverManager.workEnded(id, end, m_now));
     }
 
     void serverAnswered(bool isDraining = false)
     {
         note(isDraining ? "the server says that it drains" : "the server answers a control call");
-        perform(m_attendant.serverAnswered(isDraining, m_now));
+        perform(m_serverManager.serverAnswered(isDraining, m_now));
     }
 
     void advance(Duration span)
     {
         m_now += span;
         note(ms(span) + " pass");
-        perform(m_attendant.advance(m_now));
+        perform(m_serverManager.advance(m_now));
     }
 
     void check() const
@@ -54,9 +54,9 @@
         m_golden.check();
     }
 
-    ServerManager &attendant()
+    ServerManager &serverManager()
     {
-        return m_attendant;
+        return m_serverManager;
     }
 
 private:
@@ -99,20 +99,20 @@
     }
 
     GoldenSession m_golden;
-    ServerManager m_attendant;
+    ServerManager m_serverManager;
     Instant m_now = start;
 };
 
-AttendedWork ordinary(WorkId id, Duration wait = 10s)
+ManagedWork ordinary(WorkId id, Duration wait = 10s)
 {
     return {id, {RequestClass::Ordinary, true, start + wait}, false};
 }
 
-/** Random work, ends and silence at one attendant, with a count kept beside it. */
-class AttendantSearch
+/** Random work, results and silence at one server manager, checked against separate counts. */
+class ServerManagerSearch
 {
 public:
-    explicit AttendantSearch(unsigned seed)
+    explicit ServerManagerSearch(unsigned seed)
         : m_random(seed)
     { }
 
@@ -121,15 +121,15 @@
         for (int step = 0; step < 400; ++step) {
             m_now += m_random() % 20 * 1ms;
             randomStep();
-            BOOST_TEST_REQUIRE(m_sent.size() <= 3U);
+            BOOST_TEST_REQUIRE(m_dispatched.size() <= 3U);
             BOOST_TEST_REQUIRE(m_queued.size() <= 8U);
         }
         m_now += 10s;
-        perform(m_attendant.advance(m_now));
-        while (!m_sent.empty())
-            end(m_sent.begin()->first, WorkResult::Answered);
+        perform(m_serverManager.advance(m_now));
+        while (!m_dispatched.empty())
+            end(m_dispatched.begin()->first, WorkResult::Answered);
         BOOST_TEST_REQUIRE(m_queued.empty());
-        BOOST_TEST_REQUIRE(m_attendant.load(RequestClass::Ordinary).inFlight == 0);
+        BOOST_TEST_REQUIRE(m_serverManager.load(RequestClass::Ordinary).inFlight == 0);
     }
 
 private:
@@ -145,12 +145,12 @@
         const auto choice = m_random() % 10;
         if (choice < 5)
             submit();
-        else if (choice < 8 && !m_sent.empty())
-            end(m_sent.begin()->first, static_cast<WorkResult>(m_random() % 4));
+        else if (choice < 8 && !m_dispatched.empty())
+            end(m_dispatched.begin()->first, static_cast<WorkResult>(m_random() % 4));
         else if (choice == 8)
-            perform(m_attendant.serverAnswered(false, m_now));
+            perform(m_serverManager.serverAnswered(false, m_now));
         else
-            perform(m_attendant.advance(m_now));
+            perform(m_serverManager.advance(m_now));
     }
 
     void submit()
@@ -160,13 +160,13 @@
             m_random() % 3 == 0 ? RequestClass::Priority : RequestClass::Ordinary;
         const Instant deadline = m_now + m_random() % 1000 * 1ms;
         m_queued[id] = deadline;
-        perform(m_attendant.submit({id, {requestClass, true, deadline}, false}, m_now));
+        perform(m_serverManager.submit({id, {requestClass, true, deadline}, false}, m_now));
     }
 
     void end(WorkId id, WorkResult workEnd)
     {
-        m_sent.erase(id);
-        perform(m_attendant.workEnded(id, workEnd, m_now));
+        m_dispatched.erase(id);
+        perform(m_serverManager.workEnded(id, workEnd, m_now));
     }
 
     void perform(const ServerManagerActions &actions)
@@ -175,12 +175,12 @@
             std::visit([this](const auto &one) { perform(one); }, action);
     }
 
-    /** Each piece of work is sent or refused once, and is never sent when it is too late. */
+    /** Each piece of work is sent or refused once, and never sent after its deadline. */
     void perform(const DispatchWork &action)
     {
         BOOST_TEST_REQUIRE(m_queued.contains(action.id));
         BOOST_TEST_REQUIRE((m_now <= m_queued[action.id]));
-        m_sent.insert(m_queued.extract(action.id));
+        m_dispatched.insert(m_queued.extract(action.id));
     }
 
     void perform(const RefuseWork &action)
@@ -192,18 +192,18 @@
 
     void perform(const ReportSuspected &)
     {
-        BOOST_TEST_REQUIRE(m_attendant.isSuspected());
+        BOOST_TEST_REQUIRE(m_serverManager.isSuspected());
     }
 
     void perform(const ReportRecovered &)
     {
-        BOOST_TEST_REQUIRE(!m_attendant.isSuspected());
+        BOOST_TEST_REQUIRE(!m_serverManager.isSuspected());
     }
 
     std::mt19937 m_random;
-    ServerManager m_attendant{limits()};
+    ServerManager m_serverManager{limits()};
     std::map<WorkId, Instant> m_queued;
-    std::map<WorkId, Instant> m_sent;
+    std::map<WorkId, Instant> m_dispatched;
     WorkId m_nextId = 1;
     Instant m_now = start;
 };
@@ -215,130 +215,130 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(AttendantSessions)
+BOOST_AUTO_TEST_SUITE(ServerManagerSessions)
 
 BOOST_AUTO_TEST_CASE(slotsAreNeverOverfilled)
 {
-    ServerManager attendant{{}};
+    ServerManager serverManager{{}};
     for (WorkId id = 1; id <= 10; ++id)
-        BOOST_TEST(isSent(attendant.submit(ordinary(id), start), id) == (id <= 3));
-    BOOST_TEST(attendant.load(RequestClass::Ordinary).inFlight == 3);
-    BOOST_TEST(attendant.load(RequestClass::Ordinary).queuedBefore == 7);
-    BOOST_TEST(isSent(attendant.workEnded(2, WorkResult::Answered, start + 20ms), 4));
-    BOOST_TEST(attendant.workEnded(2, WorkResult::Answered, start + 20ms).empty());
+        BOOST_TEST(isSent(serverManager.submit(ordinary(id), start), id) == (id <= 3));
+    BOOST_TEST(serverManager.load(RequestClass::Ordinary).inFlight == 3);
+    BOOST_TEST(serverManager.load(RequestClass::Ordinary).queuedBefore == 7);
+    BOOST_TEST(isSent(serverManager.workEnded(2, WorkResult::Answered, start + 20ms), 4));
+    BOOST_TEST(serverManager.workEnded(2, WorkResult::Answered, start + 20ms).empty());
 }
 
 BOOST_AUTO_TEST_CASE(queueIsBounded)
 {
-    ServerManager attendant{{}};
+    ServerManager serverManager{{}};
     int refused = 0;
     for (WorkId id = 1; id <= 1000; ++id) {
-        for (const ServerManagerAction &action : attendant.submit(ordinary(id, 100s), start)) {
+        for (const ServerManagerAction &action : serverManager.submit(ordinary(id, 100s), start)) {
             const auto *refusal = std::get_if<RefuseWork>(&action);
             refused += refusal != nullptr && refusal->reason == FailurePoint::QueueFull ? 1 : 0;
         }
     }
     BOOST_TEST(refused == 1000 - 3 - 64);
-    BOOST_TEST(attendant.load(RequestClass::Ordinary).queuedBefore == 64);
+    BOOST_TEST(serverManager.load(RequestClass::Ordinary).queuedBefore == 64);
 }
 
 BOOST_AUTO_TEST_CASE(workThatWouldBeLateIsRefusedOnSubmission)
 {
-    AttendantSession session{"attendant-overload"};
+    ServerManagerSession session{"attendant-overload"};
     for (WorkId id = 1; id <= 8; ++id)
         session.submit(id, RequestClass::Ordinary, 125ms);
     session.submit(9, RequestClass::Priority, 125ms);
     session.submit(10, RequestClass::Priority, 125ms);
     session.submit(11, RequestClass::Priority, 125ms);
     session.advance(20ms);
-    session.ended(1, WorkResult::Answered, "is answered");
+    session.complete(1, WorkResult::Answered, "is answered");
     session.submit(12, RequestClass::Ordinary, 10ms);
     session.advance(90ms);
     session.check();
 }
 
-BOOST_AUTO_TEST_CASE(frozenServerIsSuspectedAndTriedAgain)
+BOOST_AUTO_TEST_CASE(frozenServerIsSuspectedAndProbed)
 {
-    AttendantSession session{"attendant-frozen"};
+    ServerManagerSession session{"attendant-frozen"};
     for (WorkId id = 1; id <= 5; ++id)
         session.submit(id, RequestClass::Ordinary, 2s);
     session.advance(300ms);
     session.advance(100ms);
-    BOOST_TEST(session.attendant().isSuspected());
+    BOOST_TEST(session.serverManager().isSuspected());
     session.submit(6, RequestClass::Priority, 2s);
     session.serverAnswered();
-    session.ended(1, WorkResult::Lost, "is given up on");
-    session.ended(2, WorkResult::Lost, "is given up on");
+    session.complete(1, WorkResult::Lost, "is given up on");
+    session.complete(2, WorkResult::Lost, "is given up on");
     session.submit(7, RequestClass::Priority, 4s);
     session.advance(1700ms);
-    session.ended(3, WorkResult::Answered, "is answered");
-    session.ended(7, WorkResult::Answered, "is answered");
-    BOOST_TEST(!session.attendant().isSuspected());
+    session.complete(3, WorkResult::Answered, "is answered");
+    session.complete(7, WorkResult::Answered, "is answered");
+    BOOST_TEST(!session.serverManager().isSuspected());
     session.check();
 }
 
-BOOST_AUTO_TEST_CASE(sheddingServerGetsLess)
+BOOST_AUTO_TEST_CASE(sheddingServerGetsLessWork)
 {
-    AttendantSession session{"attendant-shed"};
+    ServerManagerSession session{"attendant-shed"};
     for (WorkId id = 1; id <= 9; ++id)
         session.submit(id, RequestClass::Ordinary, 5s);
-    session.ended(1, WorkResult::Shed, "is shed by the server");
-    session.ended(2, WorkResult::Cold, "is refused by the cold server");
-    session.ended(3, WorkResult::Answered, "is answered");
-    session.ended(4, WorkResult::Answered, "is answered");
-    session.ended(5, WorkResult::Answered, "is answered");
-    session.ended(6, WorkResult::Answered, "is answered");
+    session.complete(1, WorkResult::Shed, "is shed by the server");
+    session.complete(2, WorkResult::Cold, "is refused by the cold server");
+    session.complete(3, WorkResult::Answered, "is answered");
+    session.complete(4, WorkResult::Answered, "is answered");
+    session.complete(5, WorkResult::Answered, "is answered");
+    session.complete(6, WorkResult::Answered, "is answered");
     session.check();
 }
 
 BOOST_AUTO_TEST_CASE(drainingServerGetsNoNewWorkAndFinishesWorkInFlight)
 {
-    AttendantSession session{"attendant-draining"};
+    ServerManagerSession session{"attendant-draining"};
     for (WorkId id = 1; id <= 4; ++id)
         session.submit(id, RequestClass::Ordinary, 5s);
     session.serverAnswered(true);
     session.submit(5, RequestClass::Priority, 5s);
-    session.ended(1, WorkResult::Answered, "is answered");
-    session.ended(2, WorkResult::Answered, "is answered");
-    session.ended(3, WorkResult::Answered, "is answered");
+    session.complete(1, WorkResult::Answered, "is answered");
+    session.complete(2, WorkResult::Answered, "is answered");
+    session.complete(3, WorkResult::Answered, "is answered");
     session.check();
 }
 
 BOOST_AUTO_TEST_CASE(lostWorkHoldsItsSlotUntilItsDeadline)
 {
-    ServerManager attendant{{}};
+    ServerManager serverManager{{}};
     for (WorkId id = 1; id <= 4; ++id)
-        attendant.submit(ordinary(id, id == 1 ? 200ms : 5s), start);
-    BOOST_TEST(attendant.workEnded(1, WorkResult::Lost, start + 20ms).empty());
-    BOOST_TEST(attendant.load(RequestClass::Ordinary).inFlight == 3);
-    BOOST_TEST(isSent(attendant.advance(start + 200ms), 4));
+        serverManager.submit(ordinary(id, id == 1 ? 200ms : 5s), start);
+    BOOST_TEST(serverManager.workEnded(1, WorkResult::Lost, start + 20ms).empty());
+    BOOST_TEST(serverManager.load(RequestClass::Ordinary).inFlight == 3);
+    BOOST_TEST(isSent(serverManager.advance(start + 200ms), 4));
 }
 
 BOOST_AUTO_TEST_CASE(streamedBodiesHoldConnectionsNotSlots)
 {
     ServerManagerLimits limits;
     limits.streamedBodyLimit = 4;
-    ServerManager attendant{limits};
+    ServerManager serverManager{limits};
     const auto upload = [](WorkId id) {
-        AttendedWork work = ordinary(id, 100s);
+        ManagedWork work = ordinary(id, 100s);
         work.hasStreamedBody = true;
         return work;
     };
     for (WorkId id = 1; id <= 5; ++id)
-        BOOST_TEST(isSent(attendant.submit(upload(id), start), id) == (id <= 4));
-    BOOST_TEST(isSent(attendant.submit(ordinary(6), start), 6));
-    attendant.bodySent(1, start + 1s);
-    BOOST_TEST(attendant.load(RequestClass::Ordinary).inFlight == 2);
-    BOOST_TEST(isSent(attendant.submit(upload(7), start), 7));
+        BOOST_TEST(isSent(serverManager.submit(upload(id), start), id) == (id <= 4));
+    BOOST_TEST(isSent(serverManager.submit(ordinary(6), start), 6));
+    serverManager.bodySent(1, start + 1s);
+    BOOST_TEST(serverManager.load(RequestClass::Ordinary).inFlight == 2);
+    BOOST_TEST(isSent(serverManager.submit(upload(7), start), 7));
 }
 
 BOOST_AUTO_TEST_CASE(cancelledWorkIsNotSent)
 {
-    ServerManager attendant{{}};
+    ServerManager serverManager{{}};
     for (WorkId id = 1; id <= 5; ++id)
-        attendant.submit(ordinary(id), start);
-    attendant.cancel(4);
-    BOOST_TEST(isSent(attendant.workEnded(1, WorkResult::Answered, start + 20ms), 5));
+        serverManager.submit(ordinary(id), start);
+    serverManager.cancel(4);
+    BOOST_TEST(isSent(serverManager.workEnded(1, WorkResult::Answered, start + 20ms), 5));
 }
 
 BOOST_AUTO_TEST_CASE(randomWorkIsSentOrRefusedOnceAndNeverBeyondTheSlots)
@@ -346,7 +346,7 @@
     for (unsigned seed = 0; seed < 500; ++seed) {
         BOOST_TEST_CONTEXT("seed " << seed)
         {
-            AttendantSearch{seed}.run();
+            ServerManagerSearch{seed}.run();
         }
     }
 }
