--- a/bench/ownership_unavailable/bookcost.cpp
+++ b/bench/ownership_unavailable/bookcost.cpp
@@ -46,7 +46,7 @@
             {service, {begin, begin + width - 1}, serverName(slice % servers), {}});
     }
     for (int server = 0; server < servers; ++server)
-        wanted.attendances.push_back({serverName(server), daemonName(server)});
+        wanted.managedServers.push_back({serverName(server), daemonName(server)});
     return wanted;
 }
 
@@ -110,8 +110,8 @@
 
     void addDaemons()
     {
-        for (const Attendance &attendance : m_wanted.attendances)
-            m_daemons.try_emplace(attendance.attendant, attendance.attendant,
+        for (const ManagedServer &managedServer : m_wanted.managedServers)
+            m_daemons.try_emplace(managedServer.manager, managedServer.manager,
                                   RoutingLeaseTimings{});
     }
 
--- a/bench/ownership_unavailable/unavailability.cpp
+++ b/bench/ownership_unavailable/unavailability.cpp
@@ -51,12 +51,12 @@
     world.freezeServer(0);
 }
 
-void killAttendant(OwnershipSimulation &world)
+void killServerManager(OwnershipSimulation &world)
 {
     world.killDaemon(0);
 }
 
-void leaveAttendant(OwnershipSimulation &world)
+void leaveServerManager(OwnershipSimulation &world)
 {
     world.scheduleDeparture(0);
 }
@@ -74,11 +74,11 @@
 }
 
 constexpr std::array trials{Trial{"planned move of a slice", false, moveOne},
-                            Trial{"planned departure of the attendant", false, leaveAttendant},
+                            Trial{"planned departure of the attendant", false, leaveServerManager},
                             Trial{"server killed", false, killServer},
                             Trial{"server frozen", false, freezeServer},
-                            Trial{"attendant killed", false, killAttendant},
-                            Trial{"attendant killed, fence checked", true, killAttendant},
+                            Trial{"attendant killed", false, killServerManager},
+                            Trial{"attendant killed, fence checked", true, killServerManager},
                             Trial{"attendant and server killed", false, killBoth},
                             Trial{"steward killed (tenure 3 s)", false, killLeader}};
 
--- a/src/bulrushswitchd/attempt.cpp
+++ b/src/bulrushswitchd/attempt.cpp
@@ -27,7 +27,7 @@
     case DispatchRefusal::NoLease:
     case DispatchRefusal::Lapsed:
         return FailurePoint::NoRoutingLease;
-    case DispatchRefusal::NotAttendant:
+    case DispatchRefusal::NotManager:
     case DispatchRefusal::Stopping:
     case DispatchRefusal::NotAssigned:
     case DispatchRefusal::UnknownVersion:
--- a/src/bulrushswitchd/controlplane.cpp
+++ b/src/bulrushswitchd/controlplane.cpp
@@ -254,9 +254,9 @@
 {
     std::set<ServerName> managed;
     for (const auto &[domain, assignment] : m_assignments) {
-        for (const Attendance &attendance : assignment.attendances) {
-            if (attendance.attendant == m_context.self.incarnation)
-                managed.insert(attendance.server);
+        for (const ManagedServer &managedServer : assignment.managedServers) {
+            if (managedServer.manager == m_context.self.incarnation)
+                managed.insert(managedServer.server);
         }
     }
     m_servers.probe(managed, io::hostNow());
@@ -275,9 +275,9 @@
 
 bool ControlPlane::managesServersIn(const Assignment &assignment) const
 {
-    return std::any_of(assignment.attendances.begin(), assignment.attendances.end(),
-                       [this](const Attendance &attendance) {
-                           return attendance.attendant == m_context.self.incarnation;
+    return std::any_of(assignment.managedServers.begin(), assignment.managedServers.end(),
+                       [this](const ManagedServer &managedServer) {
+                           return managedServer.manager == m_context.self.incarnation;
                        });
 }
 
@@ -747,7 +747,7 @@
         Json::Value entry = io::encodeFence(assignment.version);
         entry["domain"] = domain.value();
         entry["slices"] = io::jsonOf(std::uint64_t{assignment.slices.size()});
-        entry["servers"] = io::jsonOf(std::uint64_t{assignment.attendances.size()});
+        entry["servers"] = io::jsonOf(std::uint64_t{assignment.managedServers.size()});
         list.append(std::move(entry));
     }
     return list;
--- a/src/bulrushswitchd/domainleader.cpp
+++ b/src/bulrushswitchd/domainleader.cpp
@@ -326,7 +326,7 @@
 
     m_recovery.reset();
     m_recoveredAt = now;
-    m_attendances = ServerManagerTable{inForce->attendances};
+    m_managedServers = ServerManagerTable{inForce->managedServers};
     m_handover = std::make_unique<Handover>(HandoverLimits{}, m_epoch, *inForce, m_publishedVersion,
                                             m_leases);
     std::set<ServerName> checking;
@@ -355,7 +355,7 @@
         const auto slices = plannedSlices(service, preference, servers, now);
         wanted.wanted.slices.insert(wanted.wanted.slices.end(), slices.begin(), slices.end());
     }
-    wanted.wanted.attendances = plannedAttendances(servers);
+    wanted.wanted.managedServers = plannedManagedServers(servers);
     handle(wanted);
 }
 
@@ -411,10 +411,11 @@
     return states;
 }
 
-std::vector<Attendance> DomainLeader::plannedAttendances(const std::vector<ServerState> &servers)
+std::vector<ManagedServer>
+DomainLeader::plannedManagedServers(const std::vector<ServerState> &servers)
 {
     std::set<ServerName> own;
-    std::vector<Attendance> others;
+    std::vector<ManagedServer> others;
     for (const ServerState &state : servers) {
         const Incarnation manager = m_callbacks.managerOf(state.server);
         const auto server = std::find_if(
@@ -430,12 +431,13 @@
         if (member.state == MemberState::Alive && !m_silentDaemons.contains(member.incarnation))
             daemons.insert(member.incarnation);
     }
-    m_attendances.fit(own, daemons);
-    const auto fitted = m_attendances.attendances();
+    m_managedServers.fit(own, daemons);
+    const auto fitted = m_managedServers.managedServers();
     others.insert(others.end(), fitted.begin(), fitted.end());
-    std::sort(others.begin(), others.end(), [](const Attendance &first, const Attendance &second) {
-        return first.server < second.server;
-    });
+    std::sort(others.begin(), others.end(),
+              [](const ManagedServer &first, const ManagedServer &second) {
+                  return first.server < second.server;
+              });
     return others;
 }
 
@@ -456,9 +458,9 @@
 {
     // A manager that stopped before this epoch never pulls in it and holds no lease of it.
     const Assignment inForce = m_handover->assignment();
-    for (const Attendance &attendance : inForce.attendances) {
-        if (!attendance.attendant.isEmpty() && !m_pulledDaemons.contains(attendance.attendant))
-            markManagerLost(attendance.attendant);
+    for (const ManagedServer &managedServer : inForce.managedServers) {
+        if (!managedServer.manager.isEmpty() && !m_pulledDaemons.contains(managedServer.manager))
+            markManagerLost(managedServer.manager);
     }
 }
 
--- a/src/bulrushswitchd/domainleader.h
+++ b/src/bulrushswitchd/domainleader.h
@@ -101,7 +101,7 @@
     std::vector<SliceOwner> plannedSlices(const ServiceName &service, Preference preference,
                                           const std::vector<ServerState> &servers, Instant now);
     std::vector<ServerState> serverStates() const;
-    std::vector<Attendance> plannedAttendances(const std::vector<ServerState> &servers);
+    std::vector<ManagedServer> plannedManagedServers(const std::vector<ServerState> &servers);
     bool isManaged(const BackendServer &server) const;
     void detectSilentDaemons(Instant now);
     void markAbsentManagersLost();
@@ -135,7 +135,7 @@
     RoutingLeaseTable m_leases;
     std::optional<AssignmentRecovery> m_recovery;
     std::unique_ptr<Handover> m_handover;
-    ServerManagerTable m_attendances;
+    ServerManagerTable m_managedServers;
     std::map<ServiceName, Planner> m_planners;
     LoadReportTable m_loads;
     /** The domain's ranges of key hashes for each service, from the platform's partition rows. */
--- a/src/bulrushswitchd/routingview.cpp
+++ b/src/bulrushswitchd/routingview.cpp
@@ -16,8 +16,8 @@
     auto routes = std::make_shared<DomainRoutes>();
     routes->assignment = std::make_shared<const Assignment>(assignment);
     routes->slices = SliceMap{assignment};
-    for (const Attendance &attendance : assignment.attendances)
-        m_managers[attendance.server] = attendance.attendant;
+    for (const ManagedServer &managedServer : assignment.managedServers)
+        m_managers[managedServer.server] = managedServer.manager;
     m_domains[assignment.domain] = std::move(routes);
 }
 
--- a/src/bulrushswitchd/serverqueue.cpp
+++ b/src/bulrushswitchd/serverqueue.cpp
@@ -7,7 +7,7 @@
 namespace bulrush {
 
 ServerQueue::ServerQueue(ServerManagerLimits limits)
-    : m_attendant(limits)
+    : m_manager(limits)
 { }
 
 WorkId ServerQueue::submit(const RequestPolicy &policy, bool hasStreamedBody,
@@ -16,47 +16,47 @@
     const std::scoped_lock lock{m_mutex};
     const WorkId work = ++m_lastWork;
     m_queuedWork.emplace(work, QueuedWork{loop, std::move(handler)});
-    perform(m_attendant.submit({work, policy, hasStreamedBody}, now));
+    perform(m_manager.submit({work, policy, hasStreamedBody}, now));
     return work;
 }
 
 void ServerQueue::recordBodySent(WorkId work, Instant now)
 {
     const std::scoped_lock lock{m_mutex};
-    m_attendant.bodySent(work, now);
+    m_manager.bodySent(work, now);
 }
 
 void ServerQueue::complete(WorkId work, WorkResult end, Instant now)
 {
     const std::scoped_lock lock{m_mutex};
-    perform(m_attendant.workEnded(work, end, now));
+    perform(m_manager.workEnded(work, end, now));
 }
 
 void ServerQueue::cancel(WorkId work)
 {
     const std::scoped_lock lock{m_mutex};
     if (m_queuedWork.erase(work) > 0)
-        m_attendant.cancel(work);
+        m_manager.cancel(work);
 }
 
 void ServerQueue::recordServerAnswer(bool isDraining, Instant now)
 {
     const std::scoped_lock lock{m_mutex};
-    perform(m_attendant.serverAnswered(isDraining, now));
+    perform(m_manager.serverAnswered(isDraining, now));
 }
 
 void ServerQueue::advance(Instant now)
 {
     const std::scoped_lock lock{m_mutex};
-    const auto due = m_attendant.nextDue();
+    const auto due = m_manager.nextDue();
     if (due && *due <= now)
-        perform(m_attendant.advance(now));
+        perform(m_manager.advance(now));
 }
 
 ServerManagerLoad ServerQueue::load() const
 {
     const std::scoped_lock lock{m_mutex};
-    return m_attendant.load(RequestClass::Ordinary);
+    return m_manager.load(RequestClass::Ordinary);
 }
 
 void ServerQueue::perform(const ServerManagerActions &actions)
--- a/src/bulrushswitchd/serverqueue.h
+++ b/src/bulrushswitchd/serverqueue.h
@@ -68,7 +68,7 @@
     void deliverDecision(WorkId work, const QueueDecision &decision);
 
     mutable std::mutex m_mutex;
-    ServerManager m_attendant;
+    ServerManager m_manager;
     std::map<WorkId, QueuedWork> m_queuedWork;
     WorkId m_lastWork = 0;
 };
--- a/src/libbulrush/process/handover.cpp
+++ b/src/libbulrush/process/handover.cpp
@@ -67,8 +67,8 @@
     , m_wanted(inForce)
     , m_layout(layoutOf(inForce.slices))
     , m_wantedLayout(m_layout)
-    , m_attendances(inForce.attendances)
-    , m_wantedAttendances(inForce.attendances)
+    , m_managedServers(inForce.managedServers)
+    , m_wantedManagedServers(inForce.managedServers)
     , m_orders(terms.retryDelay)
     , m_isUnpublished(inForce.version != published)
 { }
@@ -96,14 +96,14 @@
 
 Assignment Handover::assignment() const
 {
-    return {m_domain, m_version, m_inForce.slices(m_layout), m_attendances};
+    return {m_domain, m_version, m_inForce.slices(m_layout), m_managedServers};
 }
 
 void Handover::handleEvent(const WantedAssignmentChanged &event)
 {
     m_wanted = OwnershipMap(event.wanted);
-    m_wantedAttendances = event.wanted.attendances;
-    m_attendancesDiffer = m_wantedAttendances != m_attendances;
+    m_wantedManagedServers = event.wanted.managedServers;
+    m_managedServersDiffer = m_wantedManagedServers != m_managedServers;
     m_wantedLayout = layoutOf(event.wanted.slices, m_layout);
     compareLayouts();
     m_needsPlan = true;
@@ -132,12 +132,12 @@
 void Handover::handleEvent(const ServerManagerLost &event)
 {
     m_deferred.clear();
-    m_needsPlan = m_lostAttendants.insert(event.attendant).second || m_needsPlan;
+    m_needsPlan = m_lostManagers.insert(event.manager).second || m_needsPlan;
 }
 
 void Handover::handleEvent(const ServerManagerRecovered &event)
 {
-    m_needsPlan = m_lostAttendants.erase(event.attendant) > 0 || m_needsPlan;
+    m_needsPlan = m_lostManagers.erase(event.manager) > 0 || m_needsPlan;
 }
 
 void Handover::handleEvent(const OrderConfirmed &event)
@@ -300,37 +300,37 @@
 {
     // A piece for which no daemon may send work is granted immediately, even if moves were
     // deferred.
-    if (isSameServer(change) || change.fromAttendant.isEmpty())
+    if (isSameServer(change) || change.fromManager.isEmpty())
         return false;
 
     const bool isMoveDeferred =
         std::any_of(m_deferred.begin(), m_deferred.end(),
                     [&](const auto &entry) { return overlaps(entry.first, change.piece); });
-    const Incarnation attendant = attendantOf(m_wantedAttendances, change.from);
-    if (!isMoveDeferred || attendant.isEmpty() || attendant == change.fromAttendant)
+    const Incarnation manager = findManager(m_wantedManagedServers, change.from);
+    if (!isMoveDeferred || manager.isEmpty() || manager == change.fromManager)
         return isMoveDeferred;
 
     // Routers use one server manager per server, so the piece follows the server's other pieces to
     // the new one.
     change.to = change.from;
-    change.toAttendant = attendant;
+    change.toManager = manager;
     return false;
 }
 
 bool Handover::preferOwner(PieceChange &change) const
 {
-    const bool hasSender = change.fromFence.epoch >= m_epoch && !change.fromAttendant.isEmpty();
+    const bool hasSender = change.fromFence.epoch >= m_epoch && !change.fromManager.isEmpty();
     if (hasSender || change.from.isEmpty() || m_lostServers.contains(change.from))
         return false;
 
     // No daemon may send work of the piece. Let its owner serve it first; it can be moved with a
     // warm-up later.
-    const Incarnation attendant = attendantOf(m_wantedAttendances, change.from);
-    if (attendant.isEmpty() || m_lostAttendants.contains(attendant))
+    const Incarnation manager = findManager(m_wantedManagedServers, change.from);
+    if (manager.isEmpty() || m_lostManagers.contains(manager))
         return false;
     const bool isOwnerChanged = change.to != change.from;
     change.to = change.from;
-    change.toAttendant = attendant;
+    change.toManager = manager;
     return isOwnerChanged;
 }
 
@@ -338,7 +338,7 @@
 {
     Move move;
     move.change = change;
-    if (change.to.isEmpty() || change.toAttendant.isEmpty() || isTargetLost(move))
+    if (change.to.isEmpty() || change.toManager.isEmpty() || isTargetLost(move))
         return false;
 
     if (m_isPlatformOut && !isAllowedDuringOutage(move))
@@ -358,7 +358,7 @@
         return;
     }
     move.order =
-        m_orders.add(ServerOrderKind::Prepare, change.toAttendant, sliceOf(change, change.to, {}));
+        m_orders.add(ServerOrderKind::Prepare, change.toManager, sliceOf(change, change.to, {}));
 }
 
 void Handover::retarget(Move &move)
@@ -366,7 +366,7 @@
     PieceChange &change = move.change;
     const std::optional<OwnedPiece> wanted = m_wanted.covering(change.piece);
     const bool isTargetChanged =
-        wanted && (wanted->server != change.to || wanted->attendant != change.toAttendant);
+        wanted && (wanted->server != change.to || wanted->manager != change.toManager);
     // No daemon may send before the grant is confirmed, and a lost daemon never relays the
     // confirmation.
     if (move.phase == Phase::Granting && isTargetChanged)
@@ -375,12 +375,12 @@
         return;
 
     const bool isWantedAtOwner =
-        !wanted || (wanted->server == change.from && wanted->attendant == change.fromAttendant);
+        !wanted || (wanted->server == change.from && wanted->manager == change.fromManager);
     if (isWantedAtOwner) {
         returnToOwner(move);
         return;
     }
-    if (wanted->server == change.to && wanted->attendant == change.toAttendant)
+    if (wanted->server == change.to && wanted->manager == change.toManager)
         return;
 
     if (move.phase == Phase::Warming) {
@@ -394,7 +394,7 @@
     }
     const bool wasSameServer = isSameServer(change);
     change.to = wanted->server;
-    change.toAttendant = wanted->attendant;
+    change.toManager = wanted->manager;
     // A change of server manager waits for senders only; a move also waits for running work.
     if (wasSameServer && !isSameServer(change))
         enter(move, Phase::Stopping);
@@ -413,17 +413,16 @@
     PieceChange &change = move.change;
     const bool mayWithdraw = move.phase == Phase::Stopping && !move.isRevokeSent;
     const bool isWithdrawn = mayWithdraw
-        && m_leases.withdrawStops(change.fromAttendant, change.piece, change.from,
-                                  change.fromFence);
+        && m_leases.withdrawStops(change.fromManager, change.piece, change.from, change.fromFence);
     if (isWithdrawn) {
-        m_daemonsToPrompt.insert(change.fromAttendant);
+        m_daemonsToPrompt.insert(change.fromManager);
         dropMove(move);
         return;
     }
     // The server may already refuse the old fence, or its stop may be complete, so the piece is
     // granted again with a new fence.
     change.to = change.from;
-    change.toAttendant = change.fromAttendant;
+    change.toManager = change.fromManager;
     enter(move, Phase::Ready);
 }
 
@@ -487,14 +486,14 @@
 {
     PieceChange &change = move.change;
     m_deferred[change.piece] = m_now + m_terms.deferralPeriod;
-    const Incarnation attendant = attendantOf(m_wantedAttendances, change.from);
-    if (attendant.isEmpty() || attendant == change.fromAttendant) {
+    const Incarnation manager = findManager(m_wantedManagedServers, change.from);
+    if (manager.isEmpty() || manager == change.fromManager) {
         returnToOwner(move);
         return;
     }
     // The server manager has to change in any case; only the move can be deferred.
     change.to = change.from;
-    change.toAttendant = attendant;
+    change.toManager = manager;
     enter(move, Phase::Stopping);
 }
 
@@ -517,21 +516,21 @@
 {
     enter(move, Phase::Stopping);
     const PieceChange &change = move.change;
-    const bool wasSending = !m_leases.stop(change.fromAttendant, change.piece, change.from).empty();
+    const bool wasSending = !m_leases.stop(change.fromManager, change.piece, change.from).empty();
     if (wasSending)
-        m_daemonsToPrompt.insert(change.fromAttendant);
+        m_daemonsToPrompt.insert(change.fromManager);
     const bool canRefuse =
         m_checkingServers.contains(change.from) && !m_lostServers.contains(change.from);
-    if (canRefuse && m_lostAttendants.contains(change.fromAttendant))
+    if (canRefuse && m_lostManagers.contains(change.fromManager))
         orderRevoke(move);
 }
 
 void Handover::orderRevoke(Move &move)
 {
     const PieceChange &change = move.change;
-    const bool isOldAttendantLost = m_lostAttendants.contains(change.fromAttendant);
+    const bool isOldManagerLost = m_lostManagers.contains(change.fromManager);
     const Incarnation through =
-        isOldAttendantLost ? attendantOf(m_wantedAttendances, change.from) : change.fromAttendant;
+        isOldManagerLost ? findManager(m_wantedManagedServers, change.from) : change.fromManager;
     move.isRevokeSent = true;
     m_isIndexStale = true;
     move.order = m_orders.add(ServerOrderKind::Revoke, through,
@@ -573,7 +572,7 @@
 bool Handover::isAfterLoss(const Move &move) const
 {
     return m_lostServers.contains(move.change.from)
-        || m_lostAttendants.contains(move.change.fromAttendant);
+        || m_lostManagers.contains(move.change.fromManager);
 }
 
 bool Handover::isAllowedDuringOutage(const Move &move) const
@@ -583,8 +582,7 @@
 
 bool Handover::isTargetLost(const Move &move) const
 {
-    return m_lostServers.contains(move.change.to)
-        || m_lostAttendants.contains(move.change.toAttendant);
+    return m_lostServers.contains(move.change.to) || m_lostManagers.contains(move.change.toManager);
 }
 
 void Handover::removeDoneMoves()
@@ -607,14 +605,14 @@
         return;
     }
     const bool hasChanges =
-        hasReadyMove() || m_isUnpublished || hasNewAttendance() || hasNewLayout();
+        hasReadyMove() || m_isUnpublished || hasNewManagedServer() || hasNewLayout();
     if (!m_pendingCommit && hasChanges && m_commitAt + m_terms.commitInterval <= m_now)
         startCommit();
 }
 
 void Handover::publishDuringOutage()
 {
-    if (!hasReadyMove() && !hasNewAttendance())
+    if (!hasReadyMove() && !hasNewManagedServer())
         return;
 
     const Assignment next = nextAssignment();
@@ -670,36 +668,35 @@
             continue;
         const PieceChange &change = move.change;
         move.fence = version;
-        changed.push_back({change.piece, change.to, change.toAttendant, version});
+        changed.push_back({change.piece, change.to, change.toManager, version});
     }
     OwnershipMap next = m_inForce;
     next.apply(std::move(changed));
-    return {m_domain, version, next.slices(m_wantedLayout), nextAttendances(next)};
+    return {m_domain, version, next.slices(m_wantedLayout), nextManagedServers(next)};
 }
 
-std::vector<Attendance> Handover::nextAttendances(const OwnershipMap &next) const
+std::vector<ManagedServer> Handover::nextManagedServers(const OwnershipMap &next) const
 {
     // A daemon that still sends to a server remains its manager, so that routers do not switch too
     // early.
     std::set<ServerName> kept;
     for (const OwnedPiece &owned : next.pieces()) {
-        const bool isSending = !owned.attendant.isEmpty()
-            && !m_lostAttendants.contains(owned.attendant)
-            && attendantOf(m_attendances, owned.server) == owned.attendant;
+        const bool isSending = !owned.manager.isEmpty() && !m_lostManagers.contains(owned.manager)
+            && findManager(m_managedServers, owned.server) == owned.manager;
         if (isSending)
             kept.insert(owned.server);
     }
-    std::vector<Attendance> attendances = m_wantedAttendances;
-    for (Attendance &attendance : attendances) {
-        if (kept.contains(attendance.server))
-            attendance.attendant = attendantOf(m_attendances, attendance.server);
+    std::vector<ManagedServer> managedServers = m_wantedManagedServers;
+    for (ManagedServer &managedServer : managedServers) {
+        if (kept.contains(managedServer.server))
+            managedServer.manager = findManager(m_managedServers, managedServer.server);
     }
-    return attendances;
+    return managedServers;
 }
 
-bool Handover::hasNewAttendance() const
+bool Handover::hasNewManagedServer() const
 {
-    return m_attendancesDiffer && nextAttendances(m_inForce) != m_attendances;
+    return m_managedServersDiffer && nextManagedServers(m_inForce) != m_managedServers;
 }
 
 bool Handover::hasNewLayout() const
@@ -723,17 +720,17 @@
         if (move.phase != phase)
             continue;
         const PieceChange &change = move.change;
-        changed.push_back({change.piece, change.to, change.toAttendant, move.fence});
+        changed.push_back({change.piece, change.to, change.toManager, move.fence});
         enter(move, Phase::Granting);
-        move.order = m_orders.add(ServerOrderKind::Grant, change.toAttendant,
+        move.order = m_orders.add(ServerOrderKind::Grant, change.toManager,
                                   sliceOf(change, change.to, move.fence));
     }
     m_inForce.apply(std::move(changed));
     m_version = assignment.version;
     m_layout = layoutOf(assignment.slices);
     compareLayouts();
-    m_attendances = assignment.attendances;
-    m_attendancesDiffer = m_wantedAttendances != m_attendances;
+    m_managedServers = assignment.managedServers;
+    m_managedServersDiffer = m_wantedManagedServers != m_managedServers;
     m_actions.emplace_back(AssignmentInForce{assignment, m_isUnpublished});
 }
 
@@ -786,8 +783,8 @@
         return;
 
     const PieceChange &change = move.change;
-    m_leases.allow(change.toAttendant, {change.piece, change.to, move.fence});
-    m_daemonsToPrompt.insert(change.toAttendant);
+    m_leases.allow(change.toManager, {change.piece, change.to, move.fence});
+    m_daemonsToPrompt.insert(change.toManager);
     move.phase = Phase::Done;
 }
 
--- a/src/libbulrush/process/handover.h
+++ b/src/libbulrush/process/handover.h
@@ -168,8 +168,8 @@
     void settleCommitted();
     void abandonCommit();
     Assignment nextAssignment();
-    std::vector<Attendance> nextAttendances(const OwnershipMap &next) const;
-    bool hasNewAttendance() const;
+    std::vector<ManagedServer> nextManagedServers(const OwnershipMap &next) const;
+    bool hasNewManagedServer() const;
     bool hasNewLayout() const;
     void compareLayouts();
     void putInForce(Phase phase, const Assignment &assignment);
@@ -195,8 +195,8 @@
     std::vector<ServiceKeyRange> m_layout;
     std::vector<ServiceKeyRange> m_wantedLayout;
     bool m_layoutsDiffer = false;
-    std::vector<Attendance> m_attendances;
-    std::vector<Attendance> m_wantedAttendances;
+    std::vector<ManagedServer> m_managedServers;
+    std::vector<ManagedServer> m_wantedManagedServers;
     std::vector<Move> m_moves;
     /** Indices in m_moves; invalid after each pass over the moves. */
     std::map<OrderId, std::vector<std::size_t>> m_movesByOrder;
@@ -207,7 +207,7 @@
     std::set<ServerName> m_checkingServers;
     std::set<ServerName> m_lostServers;
     std::set<ServerName> m_leavingServers;
-    std::set<Incarnation> m_lostAttendants;
+    std::set<Incarnation> m_lostManagers;
     std::map<ServiceKeyRange, Instant> m_deferred;
     bool m_isPlatformOut = false;
     bool m_isUnpublished = false;
@@ -217,7 +217,7 @@
     bool m_hasSkippedChanges = false;
     Instant m_planAt;
     bool m_needsUpdate = true;
-    bool m_attendancesDiffer = false;
+    bool m_managedServersDiffer = false;
     /** Whether the row's version is unknown and must be read before a commit. */
     bool m_mustReadPublished = false;
     Instant m_nextReadAt;
--- a/src/libbulrush/process/handovermessages.h
+++ b/src/libbulrush/process/handovermessages.h
@@ -42,13 +42,13 @@
 /** A daemon has not pulled its lease for too long. */
 struct ServerManagerLost
 {
-    Incarnation attendant;
+    Incarnation manager;
 };
 
 /** A daemon that was considered lost has pulled its lease again. */
 struct ServerManagerRecovered
 {
-    Incarnation attendant;
+    Incarnation manager;
 };
 
 /** A server has confirmed an order. */
--- a/src/libbulrush/process/ownershipmap.cpp
+++ b/src/libbulrush/process/ownershipmap.cpp
@@ -21,7 +21,7 @@
 {
     return first.piece.service == second.piece.service
         && first.piece.range.end + 1 == second.piece.range.begin && first.server == second.server
-        && first.attendant == second.attendant && first.fence == second.fence;
+        && first.manager == second.manager && first.fence == second.fence;
 }
 
 std::vector<OwnedPiece> merged(std::vector<OwnedPiece> pieces)
@@ -111,17 +111,17 @@
                            std::vector<PieceChange> &changes)
     {
         changes.push_back(
-            {{wanted.piece.service, range}, {}, {}, {}, wanted.server, wanted.attendant});
+            {{wanted.piece.service, range}, {}, {}, {}, wanted.server, wanted.manager});
     }
 
     void addIfDifferent(const OwnedPiece &wanted, const OwnedPiece &owned,
                         const ServiceKeyRange &common, std::vector<PieceChange> &changes) const
     {
-        const bool isSame = owned.server == wanted.server && owned.attendant == wanted.attendant
+        const bool isSame = owned.server == wanted.server && owned.manager == wanted.manager
             && owned.fence.epoch >= m_epoch;
         if (!isSame) {
-            changes.push_back({common, owned.server, owned.attendant, owned.fence, wanted.server,
-                               wanted.attendant});
+            changes.push_back(
+                {common, owned.server, owned.manager, owned.fence, wanted.server, wanted.manager});
         }
     }
 
@@ -131,13 +131,13 @@
 
 } // namespace
 
-Incarnation attendantOf(std::span<const Attendance> attendances, const ServerName &server)
+Incarnation findManager(std::span<const ManagedServer> managedServers, const ServerName &server)
 {
     const auto found = std::lower_bound(
-        attendances.begin(), attendances.end(), server,
-        [](const Attendance &entry, const ServerName &name) { return entry.server < name; });
-    const bool isHit = found != attendances.end() && found->server == server;
-    return isHit ? found->attendant : Incarnation{};
+        managedServers.begin(), managedServers.end(), server,
+        [](const ManagedServer &entry, const ServerName &name) { return entry.server < name; });
+    const bool isHit = found != managedServers.end() && found->server == server;
+    return isHit ? found->manager : Incarnation{};
 }
 
 OwnershipMap::OwnershipMap(const Assignment &assignment)
@@ -145,7 +145,7 @@
     for (const SliceOwner &slice : assignment.slices) {
         m_pieces.push_back({{slice.service, slice.range},
                             slice.server,
-                            attendantOf(assignment.attendances, slice.server),
+                            findManager(assignment.managedServers, slice.server),
                             slice.fence});
     }
     std::sort(m_pieces.begin(), m_pieces.end(), byPiece);
--- a/src/libbulrush/process/ownershipmap.h
+++ b/src/libbulrush/process/ownershipmap.h
@@ -10,10 +10,10 @@
 namespace bulrush {
 
 /**
- * \returns the server manager of \a server, or an empty name. \pre \a attendances is sorted by
+ * \returns the server manager of \a server, or an empty name. \pre \a managedServers is sorted by
  * server.
  */
-Incarnation attendantOf(std::span<const Attendance> attendances, const ServerName &server);
+Incarnation findManager(std::span<const ManagedServer> managedServers, const ServerName &server);
 
 /**
  * A piece of a service's key space, its server, the server's fence for it and the daemon that
@@ -23,7 +23,7 @@
 {
     ServiceKeyRange piece;
     ServerName server;
-    Incarnation attendant;
+    Incarnation manager;
     Fence fence;
 
     bool operator==(const OwnedPiece &) const = default;
@@ -37,10 +37,10 @@
     ServiceKeyRange piece;
     /** Empty if the piece had no owner. */
     ServerName from;
-    Incarnation fromAttendant;
+    Incarnation fromManager;
     Fence fromFence;
     ServerName to;
-    Incarnation toAttendant;
+    Incarnation toManager;
 
     bool operator==(const PieceChange &) const = default;
 };
--- a/src/libbulrush/process/routingleaseholder.cpp
+++ b/src/libbulrush/process/routingleaseholder.cpp
@@ -194,7 +194,7 @@
     const bool attends = std::any_of(m_rights.begin(), m_rights.end(), [&](const SliceRight &held) {
         return held.server == query.server;
     });
-    return right || attends ? DispatchRefusal::NotAssigned : DispatchRefusal::NotAttendant;
+    return right || attends ? DispatchRefusal::NotAssigned : DispatchRefusal::NotManager;
 }
 
 } // namespace bulrush
--- a/src/libbulrush/process/routingleaseholder.h
+++ b/src/libbulrush/process/routingleaseholder.h
@@ -29,7 +29,7 @@
     /** The lease has expired; a pull may renew it. */
     Lapsed,
     /** According to the stored rights, another daemon sends to this server. */
-    NotAttendant,
+    NotManager,
     /** The slice is being moved away from this server. */
     Stopping,
     /** According to the stored rights, this server does not own the slice. */
--- a/src/libbulrush/process/servermanagertable.cpp
+++ b/src/libbulrush/process/servermanagertable.cpp
@@ -49,8 +49,8 @@
 
 } // namespace
 
-ServerManagerTable::ServerManagerTable(std::vector<Attendance> attendances)
-    : m_attendances(std::move(attendances))
+ServerManagerTable::ServerManagerTable(std::vector<ManagedServer> managedServers)
+    : m_managedServers(std::move(managedServers))
 { }
 
 void ServerManagerTable::fit(const std::set<ServerName> &servers,
@@ -60,28 +60,28 @@
         return;
 
     LoadRanking ranking(daemons);
-    std::vector<Attendance> updated;
+    std::vector<ManagedServer> updated;
     for (const ServerName &server : servers) {
-        const Incarnation current = attendantOf(m_attendances, server);
+        const Incarnation current = findManager(m_managedServers, server);
         const bool isKept = daemons.contains(current);
         updated.push_back({server, isKept ? current : Incarnation{}});
         if (isKept)
             ranking.add(current, 1);
     }
-    for (Attendance &attendance : updated) {
-        if (!attendance.attendant.isEmpty())
+    for (ManagedServer &managedServer : updated) {
+        if (!managedServer.manager.isEmpty())
             continue;
-        attendance.attendant = ranking.leastBusy();
-        ranking.add(attendance.attendant, 1);
+        managedServer.manager = ranking.leastBusy();
+        ranking.add(managedServer.manager, 1);
     }
-    for (Attendance &attendance : updated) {
-        if (ranking.load(attendance.attendant) < ranking.leastLoad() + 2)
+    for (ManagedServer &managedServer : updated) {
+        if (ranking.load(managedServer.manager) < ranking.leastLoad() + 2)
             continue;
-        ranking.add(attendance.attendant, -1);
-        attendance.attendant = ranking.leastBusy();
-        ranking.add(attendance.attendant, 1);
+        ranking.add(managedServer.manager, -1);
+        managedServer.manager = ranking.leastBusy();
+        ranking.add(managedServer.manager, 1);
     }
-    m_attendances = std::move(updated);
+    m_managedServers = std::move(updated);
 }
 
 } // namespace bulrush
--- a/src/libbulrush/process/servermanagertable.h
+++ b/src/libbulrush/process/servermanagertable.h
@@ -18,7 +18,7 @@
 {
 public:
     /** Starts with the assignments in force, sorted by server. */
-    explicit ServerManagerTable(std::vector<Attendance> attendances = {});
+    explicit ServerManagerTable(std::vector<ManagedServer> managedServers = {});
 
     /**
      * Adapts the table to the servers that need a server manager and the daemons that can be one;
@@ -29,15 +29,15 @@
     void fit(const std::set<ServerName> &servers, const std::set<Incarnation> &daemons);
 
     /** \returns the assignments of server managers, sorted by server. */
-    std::span<const Attendance> attendances() const;
+    std::span<const ManagedServer> managedServers() const;
 
 private:
-    std::vector<Attendance> m_attendances;
+    std::vector<ManagedServer> m_managedServers;
 };
 
-inline std::span<const Attendance> ServerManagerTable::attendances() const
+inline std::span<const ManagedServer> ServerManagerTable::managedServers() const
 {
-    return m_attendances;
+    return m_managedServers;
 }
 
 } // namespace bulrush
--- a/src/libbulrush/version/assignment.h
+++ b/src/libbulrush/version/assignment.h
@@ -21,12 +21,12 @@
 };
 
 /** Daemon that manages the connections of a backend server and counts its work in flight. */
-struct Attendance
+struct ManagedServer
 {
     ServerName server;
-    Incarnation attendant;
+    Incarnation manager;
 
-    bool operator==(const Attendance &) const = default;
+    bool operator==(const ManagedServer &) const = default;
 };
 
 /**
@@ -42,7 +42,7 @@
     /** Sorted by service, then by range. The ranges of a service do not overlap. */
     std::vector<SliceOwner> slices;
     /** Sorted by server. */
-    std::vector<Attendance> attendances;
+    std::vector<ManagedServer> managedServers;
 
     bool operator==(const Assignment &) const = default;
 };
--- a/src/libbulrushio/version/assignmentcodec.cpp
+++ b/src/libbulrushio/version/assignmentcodec.cpp
@@ -47,7 +47,7 @@
     return isSorted(slices);
 }
 
-bool decodeAttendances(const Json::Value &json, std::vector<Attendance> &attendances)
+bool decodeManagedServers(const Json::Value &json, std::vector<ManagedServer> &managedServers)
 {
     if (!json.isArray())
         return false;
@@ -55,7 +55,7 @@
     for (const Json::Value &entry : json) {
         if (!hasString(entry, "server") || !hasString(entry, "attendant"))
             return false;
-        attendances.push_back(
+        managedServers.push_back(
             {ServerName{entry["server"].asString()}, Incarnation{entry["attendant"].asString()}});
     }
     return true;
@@ -133,10 +133,10 @@
     for (const SliceOwner &owner : assignment.slices)
         json["slices"].append(encodeSliceOwner(owner));
     json["attendances"] = Json::Value{Json::arrayValue};
-    for (const Attendance &attendance : assignment.attendances) {
+    for (const ManagedServer &managedServer : assignment.managedServers) {
         Json::Value entry{Json::objectValue};
-        entry["server"] = attendance.server.value();
-        entry["attendant"] = attendance.attendant.value();
+        entry["server"] = managedServer.server.value();
+        entry["attendant"] = managedServer.manager.value();
         json["attendances"].append(std::move(entry));
     }
     return json;
@@ -155,7 +155,7 @@
     assignment.domain = DomainName{json["domain"].asString()};
     assignment.version = *version;
     if (!decodeSlices(json["slices"], assignment.slices)
-        || !decodeAttendances(json["attendances"], assignment.attendances))
+        || !decodeManagedServers(json["attendances"], assignment.managedServers))
         return std::nullopt;
     return assignment;
 }
--- a/tests/handover/test_leases.cpp
+++ b/tests/handover/test_leases.cpp
@@ -176,7 +176,7 @@
     query.routedBy = version;
     BOOST_TEST((refusal(ms(12)) == DispatchRefusal::NotAssigned));
     query.key = 150;
-    BOOST_TEST((refusal(ms(12)) == DispatchRefusal::NotAttendant));
+    BOOST_TEST((refusal(ms(12)) == DispatchRefusal::NotManager));
 }
 
 BOOST_AUTO_TEST_CASE(changes_split_slices_where_owners_differ)
@@ -202,18 +202,19 @@
                                        ServerName("d"), ServerName("e"), ServerName("f")};
     ServerManagerTable table;
     table.fit(servers, {d1, Incarnation("d2"), Incarnation("d3")});
-    const std::vector<Attendance> first(table.attendances().begin(), table.attendances().end());
+    const std::vector<ManagedServer> first(table.managedServers().begin(),
+                                           table.managedServers().end());
     table.fit(servers, {d1, Incarnation("d3")});
     int kept = 0;
     std::map<Incarnation, int> loads;
     for (std::size_t i = 0; i < first.size(); ++i) {
-        kept += first[i] == table.attendances()[i] ? 1 : 0;
-        ++loads[table.attendances()[i].attendant];
+        kept += first[i] == table.managedServers()[i] ? 1 : 0;
+        ++loads[table.managedServers()[i].manager];
     }
     BOOST_TEST(kept == 4);
     BOOST_TEST(loads[d1] == 3);
     table.fit(servers, {});
-    BOOST_TEST(table.attendances().size() == 6U);
+    BOOST_TEST(table.managedServers().size() == 6U);
 }
 
 BOOST_AUTO_TEST_CASE(recovery_starts_from_the_highest_assignment_and_waits)
--- a/tests/ownershipobserver/ownershipsimulation.cpp
+++ b/tests/ownershipobserver/ownershipsimulation.cpp
@@ -227,7 +227,7 @@
     const std::optional<OwnedPiece> owner = view.map.covering({service, range(key)});
     if (!owner)
         return;
-    Daemon *manager = daemonOf(owner->attendant);
+    Daemon *manager = daemonOf(owner->manager);
     dispatch(*manager,
              {service, keyHash(key), owner->server, local(manager->process) + length,
               view.assignment.version},
@@ -399,17 +399,18 @@
 {
     const Instant now = local(daemon.process);
     daemon.nextPing = now + m_settings.serverSilenceTimeout / 5;
-    for (const Attendance &attendance : daemon.view->assignment.attendances) {
-        const bool attends = attendance.attendant.value() == daemon.process.name;
+    for (const ManagedServer &managedServer : daemon.view->assignment.managedServers) {
+        const bool attends = managedServer.manager.value() == daemon.process.name;
         if (!attends) {
-            daemon.lastPong.erase(attendance.server);
-            daemon.right.setServerLost(attendance.server, false);
+            daemon.lastPong.erase(managedServer.server);
+            daemon.right.setServerLost(managedServer.server, false);
             continue;
         }
-        const Instant last = daemon.lastPong.try_emplace(attendance.server, now).first->second;
-        daemon.right.setServerLost(attendance.server, now - last > m_settings.serverSilenceTimeout);
-        Server &server = serverOf(attendance.server);
-        const ServerName name = attendance.server;
+        const Instant last = daemon.lastPong.try_emplace(managedServer.server, now).first->second;
+        daemon.right.setServerLost(managedServer.server,
+                                   now - last > m_settings.serverSilenceTimeout);
+        Server &server = serverOf(managedServer.server);
+        const ServerName name = managedServer.server;
         send(daemon.process, server.process, [this, &server, &daemon, name] {
             const Duration clock = local(server.process).time_since_epoch();
             send(server.process, daemon.process, [this, &daemon, name, clock] {
@@ -444,7 +445,7 @@
             continue;
         const std::optional<OwnedPiece> owner =
             entry.view->map.covering({service, {keyHash(key), keyHash(key)}});
-        Daemon *manager = owner ? daemonOf(owner->attendant) : nullptr;
+        Daemon *manager = owner ? daemonOf(owner->manager) : nullptr;
         if (!manager)
             return;
         const Duration run = m_settings.minRun
@@ -662,7 +663,7 @@
     leader.book = std::make_unique<RoutingLeaseTable>(terms, leader.epoch);
     leader.handover = std::make_unique<Handover>(m_settings.moves, leader.epoch, *start,
                                                  m_publishedAssignment.version, *leader.book);
-    leader.attendances = ServerManagerTable(start->attendances);
+    leader.managedServers = ServerManagerTable(start->managedServers);
     if (m_settings.checksFence) {
         std::set<ServerName> checking;
         for (const auto &server : m_servers)
@@ -723,7 +724,7 @@
     });
     for (const ServerName &server : request.lostServers) {
         const bool attends =
-            attendantOf(leader.attendances.attendances(), server) == request.incarnation;
+            findManager(leader.managedServers.managedServers(), server) == request.incarnation;
         if (!attends || !leader.lostServers.emplace(server, request.incarnation).second)
             continue;
         note("steward takes " + server.value() + " for lost");
@@ -759,9 +760,9 @@
         if (!leader.lostDaemons.contains(incarnation) && !daemonOf(incarnation)->isLeaving)
             daemons.insert(incarnation);
     }
-    leader.attendances.fit(servers, daemons);
-    wanted.attendances.assign(leader.attendances.attendances().begin(),
-                              leader.attendances.attendances().end());
+    leader.managedServers.fit(servers, daemons);
+    wanted.managedServers.assign(leader.managedServers.managedServers().begin(),
+                                 leader.managedServers.managedServers().end());
     applyEvent(leader, WantedAssignmentChanged{wanted});
 }
 
--- a/tests/ownershipobserver/ownershipsimulation.h
+++ b/tests/ownershipobserver/ownershipsimulation.h
@@ -219,7 +219,7 @@
         std::unique_ptr<bulrush::RoutingLeaseTable> book;
         std::unique_ptr<bulrush::Handover> handover;
         std::unique_ptr<bulrush::AssignmentRecovery> recovery;
-        bulrush::ServerManagerTable attendances;
+        bulrush::ServerManagerTable managedServers;
         bulrush::Instant termEnd;
         std::map<bulrush::Incarnation, bulrush::Instant> lastPull;
         std::set<bulrush::Incarnation> lostDaemons;
