--- a/src/libbulrush/process/configbudget.h
+++ b/src/libbulrush/process/configbudget.h
@@ -23,7 +23,7 @@
         : m_bound(bound)
     { }
 
-    /** A reader asks the store whether routing data of this age is still current. */
+    /** A reader requests a confirmation by the store of routing data of this age. */
     constexpr Duration readerConfirmAfter() const
     {
         return part(40);
--- a/src/libbulrush/process/crashregistry.h
+++ b/src/libbulrush/process/crashregistry.h
@@ -144,7 +144,10 @@
     bool m_hasUnpublished = false;
     bool m_isWriting = false;
     bool m_hasRows = false;
-    /** The own row was received or a write of it was started; it contains nothing unknown here. */
+    /**
+     * This daemon's own row was received, or a write of it was started; from then on the row
+     * contains no reports that are missing here.
+     */
     bool m_hasOwnRow = false;
     SuspectProbes m_probes;
     /** Result of the evaluation of all rows; updated on demand. */
--- a/src/libbulrush/process/crashwatch.h
+++ b/src/libbulrush/process/crashwatch.h
@@ -22,8 +22,8 @@
 {
 public:
     /**
-     * Time for which a request without an answer is stored. A server that reaches nobody is
-     * considered stopped after three missed heartbeats, which take about 4.5 s.
+     * Time for which a request without an answer is stored. A server that is cut off
+     * from the network is considered stopped after three missed heartbeats, which take about 4.5 s.
      */
     static constexpr Duration requestRetention = std::chrono::seconds{6};
     /** Time for which a crash is stored, for requests whose broken connection is detected later. */
--- a/src/libbulrush/process/drainbudget.h
+++ b/src/libbulrush/process/drainbudget.h
@@ -12,8 +12,8 @@
  * the time that bytes wait behind others on a link.
  *
  * The selection of a server keeps the bound independently of the steps before it, because it checks
- * when the store last confirmed that the server stays. The steps before it only ensure that this is
- * rarely long ago, because the timeouts of the single hops add up.
+ * when the store last confirmed that the server does not drain. The steps before it only ensure
+ * that this is rarely long ago, because the timeouts of the single hops add up.
  *
  * Immutable; thread safe.
  */
@@ -62,7 +62,10 @@
         return part(15);
     }
 
-    /** A draining server receives requests until this long after it was last known to stay. */
+    /**
+     * A draining server receives requests until this long after the last instant at which it was
+     * confirmed not to drain.
+     */
     constexpr Duration maxDrainingAge() const
     {
         return part(50);
--- a/src/libbulrush/process/followplan.h
+++ b/src/libbulrush/process/followplan.h
@@ -60,7 +60,7 @@
      */
     static constexpr Duration initialBackoff = std::chrono::milliseconds{100};
     static constexpr Duration maxBackoff = std::chrono::milliseconds{800};
-    /** The same for all other daemons, which learn from these when the store is back. */
+    /** The same for all other daemons, which get rows from these once the store answers again. */
     static constexpr Duration initialBackoffOfOthers = std::chrono::milliseconds{800};
     static constexpr Duration maxBackoffOfOthers = std::chrono::seconds{3};
     /**
@@ -91,7 +91,7 @@
     void setDaemons(std::span<const Renewer> daemons);
 
     /**
-     * \returns the next step for \a table. The result of an QueryStore has to be reported by
+     * \returns the next step for \a table. The result of a QueryStore has to be reported by
      * recordStoreAnswer() or recordStoreFailure().
      */
     FollowStep next(const FollowedTable &table, Instant now);
--- a/src/libbulrush/process/plannerlease.cpp
+++ b/src/libbulrush/process/plannerlease.cpp
@@ -10,7 +10,7 @@
 constexpr std::uint64_t takeoverDelaySpreadMs = 400;
 /**
  * Hosts with fewer cores are weak. With planning for 157 servers and the loads of 64 daemons, a
- * host with a tenth of a core received the news of departing servers 2.5 s after the first daemon
+ * host with a tenth of a core received the records of leaving servers 2.5 s after the first daemon
  * did.
  */
 constexpr double minProcessors = 0.15;
--- a/src/libbulrush/process/quarantine.h
+++ b/src/libbulrush/process/quarantine.h
@@ -47,7 +47,7 @@
     /** \returns whether \a request must be rejected. Thread safe. */
     bool blocks(const RequestFingerprint &request) const;
 
-    /** \returns whether another daemon probes if \a request crashes servers. Thread safe. */
+    /** \returns whether another daemon probes whether \a request crashes servers. Thread safe. */
     bool isProbedElsewhere(const RequestFingerprint &request) const;
 
     /**
--- a/src/libbulrush/process/routingdatafreshness.h
+++ b/src/libbulrush/process/routingdatafreshness.h
@@ -8,7 +8,7 @@
 struct RoutingDataFreshness
 {
     ServerDataFreshness servers;
-    /** At this instant the store had no configuration later than the known one. */
+    /** At this instant the store had no configuration later than the one received here. */
     Instant configAsOf;
 
     bool operator==(const RoutingDataFreshness &) const = default;
--- a/src/libbulrush/process/routingstate.h
+++ b/src/libbulrush/process/routingstate.h
@@ -20,7 +20,7 @@
     std::shared_ptr<const RouteTable> routes;
     /** When the control thread applied the routes. */
     Instant routesAppliedAt;
-    /** Until then the store is known to have had no routes later than the previous ones. */
+    /** The last instant at which the store was confirmed to hold the previous routes. */
     Instant routesUnchangedUntil;
     /** The servers that are not removed, by service. */
     std::map<ServiceName, std::vector<KnownServer>> servers;
--- a/src/libbulrush/request/claim.h
+++ b/src/libbulrush/request/claim.h
@@ -175,8 +175,8 @@
 
 /**
  * \returns the outcome of a request whose key is claimed by another one: in progress while the
- * holder is alive, and permanently unknown when the holder is gone, since only the holder has the
- * result. Thread safe.
+ * holder is Alive, and permanently unknown when it is Gone, since only the holder has the result.
+ * Thread safe.
  */
 Outcome outcomeOfHeldClaim(HolderState holder, Duration retryAfter);
 
--- a/src/libbulrush/request/outcome.h
+++ b/src/libbulrush/request/outcome.h
@@ -161,7 +161,7 @@
 using CallerResponse = std::variant<ForwardAnswer, RefusalResponse, AbortCallerConnection>;
 
 /**
- * \returns what a caller receives for \a outcome. \a hasAnswerBegun says whether bytes of the
+ * \returns what a caller receives for \a outcome. \a hasAnswerBegun states whether bytes of the
  * server's answer have already been sent to the caller. Thread safe.
  */
 CallerResponse callerResponse(const Outcome &outcome, bool hasAnswerBegun);
--- a/src/libbulrush/request/retrypolicy.h
+++ b/src/libbulrush/request/retrypolicy.h
@@ -19,8 +19,8 @@
     /** Whether the body of the request can be sent again from its start. */
     bool isBodyReplayable = true;
     /**
-     * Whether another server can do the work: false if the key has a single owner, and after a
-     * refusal due to load true only if another server is known to have a free slot.
+     * Whether another server can do the work. False if the key has a single owner. After a refusal
+     * due to load, true only if another server is known to have a free slot.
      */
     bool hasOtherServer = true;
     /** Expected total time of another attempt. */
--- a/src/libbulrush/request/serverpicker.cpp
+++ b/src/libbulrush/request/serverpicker.cpp
@@ -102,7 +102,7 @@
     const KnownServer *server = ownerOf(state, demand, now);
     if (!server)
         return NoServer::Absent;
-    // Waiting for an unreachable server is useless. Single requests check whether it is back.
+    // Waiting for an unreachable server is useless. Single requests check whether it answers again.
     if (m_gauges.isUnreachable(server->record.id, now))
         return NoServer::Unreachable;
     if (!m_gauges.hasRoom(server->record, now))
--- a/src/libbulrush/request/serverpicker.h
+++ b/src/libbulrush/request/serverpicker.h
@@ -55,10 +55,10 @@
  * that is expected to answer first. Servers in the daemon's own failure domain are preferred by a
  * margin that represents the price of traffic between domains; the margin is large for uploads.
  *
- * A server is used only for a fraction of the drain bound after it was last known to stay. This
- * applies to the owner of a key that is known to drain, until its keys have moved, and to any
- * server if there is no newer routing data although the store answers. Otherwise one slow hop in
- * the propagation of routing data would cause requests to servers that have left.
+ * A server is used only for a fraction of the drain bound after the last instant at which it was
+ * confirmed not to drain. This applies to the owner of a key that drains, until its keys have
+ * moved, and to any server if there is no newer routing data although the store answers. Otherwise
+ * one slow hop in the propagation of routing data would cause requests to servers that have left.
  *
  * Not thread safe.
  */
--- a/src/libbulrush/version/keyplanner.cpp
+++ b/src/libbulrush/version/keyplanner.cpp
@@ -212,8 +212,8 @@
     owned.handover.clear();
     if (!owned.isMoving() || owned.previous != server)
         return;
-    // The range returns to its holder, which gets a higher fencing token; there is no one to wait
-    // for.
+    // The range returns to its holder, which gets a higher fencing token; no other server has to
+    // release it first.
     owned.previous = {};
     owned.moveSequence = 0;
 }
--- a/src/libbulrush/version/moveround.h
+++ b/src/libbulrush/version/moveround.h
@@ -60,7 +60,7 @@
     void emptyUnusableServers();
     /**
      * Moves slices off servers above the target ratio.
-     * \pre \a unconfirmed says for each server whether its overload is not confirmed yet, so that
+     * \pre \a unconfirmed states for each server whether its overload is not confirmed yet, so that
      * it is not relieved.
      */
     void relieveBusyServers(const std::vector<bool> &unconfirmed);
--- a/src/libbulrushentry/crashcontrol.cpp
+++ b/src/libbulrushentry/crashcontrol.cpp
@@ -116,7 +116,7 @@
 
 void CrashControl::advance(Instant now)
 {
-    // Refused calls cost money as well, so reports wait while the store refuses this daemon.
+    // Refused calls are billed as well, so reports wait while the store refuses this daemon.
     if (!m_plan.isStoreFailing()) {
         if (const auto action = m_crashes.startDueWrite(now))
             write(*action);
--- a/src/libbulrushentry/followergroup.h
+++ b/src/libbulrushentry/followergroup.h
@@ -12,7 +12,7 @@
 
 /**
  * The followers of one daemon. A lost wait for changes is detected only when it times out, and the
- * timeouts differ between tables: the first follower to detect it makes the others ask again.
+ * timeouts differ between tables: the first follower to detect it makes the others retry.
  *
  * Used on the control thread.
  */
@@ -33,7 +33,7 @@
     /** Makes all followers but \a reporter, whose call got no answer, read from the store again. */
     void handleStoreTimeout(const TableFollower &reporter);
 
-    /** Passes on that the store was at \a version, which all tables share, at \a givenAt. */
+    /** Relays to all followers that the store was at \a version of all tables at \a givenAt. */
     void applyStoreVersion(std::uint64_t version, Instant givenAt);
 
     /** \returns whether a follower is waiting for the store to confirm its rows. */
--- a/src/libbulrushentry/forwardexchange.cpp
+++ b/src/libbulrushentry/forwardexchange.cpp
@@ -394,14 +394,15 @@
         && static_cast<std::uint32_t>(m_attempts) < m_route->maxAttempts;
     if (!mayRepeat)
         return false;
-    // Another server crashed during the request before, so this daemon sends it to no third one.
+    // Another server crashed during the request before, so this daemon does not send it to a third
+    // one.
     if (!m_crashedBefore.empty())
         return false;
     m_tried.push_back(m_server);
     return scheduleRetry(Duration::zero());
 }
 
-/** Records that the server had the request and gave no answer: it may have crashed by it. */
+/** Records that the server had the request and gave no answer: the request may have crashed it. */
 void ForwardExchange::recordLostAttempt(CrashWatch::Loss loss)
 {
     const auto report =
--- a/src/libbulrushentry/forwardexchange.h
+++ b/src/libbulrushentry/forwardexchange.h
@@ -17,7 +17,7 @@
 
 /**
  * Handles one caller's request from its arrival to its outcome: the server's own answer, a refusal
- * that says that it did not run and when to retry, or an unknown outcome. A request that is given
+ * that states that it did not run and when to retry, or an unknown outcome. A request that is given
  * up is answered at once.
  *
  * Used on its traffic thread, created with std::make_shared; the context owns it until it finishes.
--- a/src/libbulrushentry/forwardworker.h
+++ b/src/libbulrushentry/forwardworker.h
@@ -52,7 +52,7 @@
     /** Passes the shares of requests for hot keys to admit. Thread safe. */
     void setKeyShares(std::vector<KeyShares> shares);
 
-    /** Passes the requests to keep from servers. Thread safe. */
+    /** Passes the requests that must not be sent to servers. Thread safe. */
     void setQuarantine(std::shared_ptr<const Quarantine> quarantine);
 
     /** Sets handlers, called on the traffic thread, for crashes. \pre start() was not called */
--- a/src/libbulrushentry/keycontrol.cpp
+++ b/src/libbulrushentry/keycontrol.cpp
@@ -107,7 +107,7 @@
         [this](const std::string &run, io::ServerClient::ConnectionEvent event) {
             handleConnectionEvent(run, event);
         });
-    // A new server is connected to before keys are planned for it.
+    // Connects to a new server before keys are planned for it.
     m_deps.state.setServersHandler([this] { connectServers(); });
     // Its rows list the daemons, which FollowPlan needs to select a source for the other tables.
     m_ownership.startWithStore(
--- a/src/libbulrushentry/rowsclient.h
+++ b/src/libbulrushentry/rowsclient.h
@@ -57,7 +57,7 @@
     static constexpr Duration maxTransferTime = std::chrono::milliseconds{1000};
     /**
      * How long a daemon may hold a request that is sent in addition to a pending one; it can use
-     * the time to ask the store itself.
+     * the time to query the store itself.
      */
     static constexpr Duration alternateWait = std::chrono::milliseconds{200};
 
--- a/src/libbulrushentry/rowsfeed.cpp
+++ b/src/libbulrushentry/rowsfeed.cpp
@@ -16,7 +16,7 @@
 constexpr int ok = 200;
 constexpr int serviceUnavailable = 503;
 
-/** Greater ages are reduced to this, as no rows are as old. */
+/** Greater ages are reduced to this, as rows are normally far younger. */
 constexpr std::uint64_t maxAgeMs = 3'600'000;
 
 std::optional<std::uint64_t> parseNumber(std::string_view text)
--- a/src/libbulrushentry/rowsfeed.h
+++ b/src/libbulrushentry/rowsfeed.h
@@ -45,7 +45,7 @@
 class RowsFeed
 {
 public:
-    /** The maximum time that a request is held, whatever wait it asks for. */
+    /** The maximum time that a request is held, even if it specifies a longer wait. */
     static constexpr Duration maxWait = std::chrono::seconds{5};
     /** Interval at which held requests are checked. */
     static constexpr Duration checkInterval = std::chrono::milliseconds{50};
--- a/src/libbulrushentry/storecalls.h
+++ b/src/libbulrushentry/storecalls.h
@@ -10,7 +10,7 @@
 namespace bulrush {
 
 /**
- * Counts one daemon's calls to the store by kind, table and outcome: each call costs money, and the
+ * Counts one daemon's calls to the store by kind, table and outcome: each call is billed, and the
  * store limits the rate of the calls of all daemons together.
  *
  * Used on the control thread.
--- a/src/libbulrushentry/tablefollower.cpp
+++ b/src/libbulrushentry/tablefollower.cpp
@@ -282,7 +282,7 @@
         confirmAtStore(now);
 }
 
-/** Asks daemons other than the silent source. \returns whether any request is pending. */
+/** Queries daemons other than the silent source. \returns whether any request is pending. */
 bool TableFollower::askAlternates(Instant now)
 {
     if (m_pendingAlternates > 0)
--- a/src/libbulrushentry/tablefollower.h
+++ b/src/libbulrushentry/tablefollower.h
@@ -32,9 +32,9 @@
 /** When to confirm a table's rows with another source while the current source is silent. */
 struct ConfirmationDelays
 {
-    /** Age of the rows at which other daemons are asked, in parallel with any pending call. */
+    /** Age of the rows at which other daemons are queried, in parallel with any pending call. */
     Duration askAlternatesAfter;
-    /** Age of the rows at which the store is asked. */
+    /** Age of the rows at which the store is queried. */
     Duration askStoreAfter;
     /** The store counts as unreachable if it does not answer a confirmation within this time. */
     Duration answerTimeout;
@@ -48,7 +48,7 @@
     /** Between a change and the next call, so that one call returns several changes. */
     Duration pause;
     /**
-     * A daemon that reads from the store asks again after this time without an answer, because the
+     * A daemon that reads from the store retries after this time without an answer, because the
      * pending wait may be lost.
      */
     Duration confirmAfter;
@@ -70,8 +70,8 @@
 /**
  * Follows one table of the store: reads it, waits for changes, and reads it again if changes may
  * have been missed. FollowPlan selects the source: the store, or another daemon of the failure
- * domain. While no daemon of the failure domain can serve rows, all other daemons are asked for
- * theirs in turn.
+ * domain. While no daemon of the failure domain can serve rows, the rows of all other daemons are
+ * requested in turn.
  *
  * Used on the loop's thread; the handlers run there.
  */
@@ -84,7 +84,7 @@
 
     /** Failures that last longer than this count as an outage, in which rows may expire. */
     static constexpr Duration outageThreshold = std::chrono::seconds{1};
-    /** Interval at which the other daemons are asked in turn while the source fails. */
+    /** Interval at which the other daemons are queried in turn while the source fails. */
     static constexpr Duration askPeersInterval = std::chrono::milliseconds{450};
     /** If a confirmation takes longer than this, other followers may request one, too. */
     static constexpr Duration confirmTimeout = std::chrono::milliseconds{400};
@@ -112,7 +112,7 @@
     /** Starts to follow the table. Call it or startWithStore() once. */
     void start(ChangeHandler changed, AnswerHandler answered);
 
-    /** As start(), but reads from the store first, whatever the plan says. */
+    /** As start(), but reads from the store first, regardless of the plan. */
     void startWithStore(ChangeHandler changed, AnswerHandler answered);
 
     /** Cancels the wait at the store, if any, as it may be lost, and then needs all rows again. */
--- a/src/libbulrushio/connection/httpstatus.h
+++ b/src/libbulrushio/connection/httpstatus.h
@@ -10,8 +10,8 @@
 std::string statusLine(int status);
 
 /**
- * \returns the answer to a request that is refused with \a status before it was run; its body tells
- * the caller how to correct the request. Thread safe.
+ * \returns the answer to a request that is refused with \a status before it was run; its body
+ * states how the caller can correct the request. Thread safe.
  */
 HttpResponse refusal(int status);
 
--- a/src/libbulrushio/connection/serverconnection.cpp
+++ b/src/libbulrushio/connection/serverconnection.cpp
@@ -270,7 +270,8 @@
 
 bool ServerConnection::handleAnswer(bool isLast)
 {
-    // If the answer ends before the request is sent, the connection still owes the rest of it.
+    // If the answer ends before the request is sent, the server still expects the rest of it on
+    // this connection.
     const bool isReusable = isLast && m_parser.keepsConnection() && m_stage == TransferStage::Sent;
     const std::optional<Duration> keepAliveTime = m_parser.keepAlive();
     HttpResponse response = m_parser.takeResponse();
--- a/src/libbulrushio/process/platformtable.h
+++ b/src/libbulrushio/process/platformtable.h
@@ -73,7 +73,7 @@
 
 /**
  * This attempt had no effect and will have none, because a condition failed. After an attempt with
- * the outcome Unknown, it does not tell whether that earlier attempt took effect; settlementFrom()
+ * the outcome Unknown, it does not show whether that earlier attempt took effect; settlementFrom()
  * does.
  */
 struct Conflict
