--- a/bench/membership/bench_membership.cpp
+++ b/bench/membership/bench_membership.cpp
@@ -1,7 +1,7 @@
 /**
- * Measures what membership costs a daemon in virtual time, and how long a change takes to be in
- * force everywhere, at several numbers of daemons; weighs it against other ways; fits slopes.
- * Ends by itself. Usage: bench_membership [largest number of daemons]
+ * Measures in virtual time the cost of membership for a daemon, and the time until a change is in
+ * force at all daemons, for several numbers of daemons. Compares it with other methods, and fits
+ * the growth per daemon. Usage: bench_membership [largest number of daemons]
  */
 #include "otherways.h"
 #include "process/peermessagecodec.h"
@@ -93,7 +93,7 @@
         });
     }
 
-    /** \returns seconds until a new version is held by all that run. */
+    /** \returns the time in seconds until all running daemons hold a new version. */
     double spreadChange(std::size_t number)
     {
         const std::string name = contractName(number);
@@ -112,7 +112,7 @@
         return all;
     }
 
-    /** Has messages decoded as well, as they are in a daemon, while processor time is measured. */
+    /** Sets whether messages are also decoded, as in a daemon, while processor time is measured. */
     void setTimed(bool isTimed)
     {
         m_isTimed = isTimed;
@@ -200,7 +200,10 @@
     fleet.setLoss(0);
 }
 
-/** Runs on by seconds, and prints the busiest daemon's busiest second. */
+/**
+ * Runs until \a isReached holds, for at most 180 s. Prints the most bytes that any daemon sent in
+ * one second.
+ */
 template<typename Condition>
 void measurePeak(Fleet &fleet, const char *what, Condition isReached)
 {
--- a/bench/membership/otherways.cpp
+++ b/bench/membership/otherways.cpp
@@ -28,7 +28,7 @@
     return message;
 }
 
-/** Codes as many messages as a daemon sends in a second; it takes as many in. */
+/** \returns the cost for a daemon that sends \a sent messages per second and receives as many. */
 WayCost costOfMessages(double sent)
 {
     const PeerMessage message = heartbeat();
@@ -51,7 +51,7 @@
     return cost;
 }
 
-/** \returns when a message arrives that is repeated with each heartbeat until it does. */
+/** \returns after how many seconds a message arrives that is sent again with each heartbeat. */
 double arrival(std::mt19937_64 &random, double loss)
 {
     double seconds = delaySeconds;
--- a/bench/ownership/allocations.cpp
+++ b/bench/ownership/allocations.cpp
@@ -20,7 +20,7 @@
 
 } // namespace
 
-// Every allocation of the program goes through here, so that peaks can be told in bytes.
+// Replaces the global operators, so that the peak of allocated bytes can be measured.
 [[gnu::noinline]] void *operator new(std::size_t size)
 {
     void *block = std::malloc(size);
--- a/bench/ownership/allocations.h
+++ b/bench/ownership/allocations.h
@@ -7,7 +7,7 @@
 /** \returns the bytes that the program holds on the heap. Thread safe. */
 std::size_t heldBytes();
 
-/** Starts to look for a new peak. Thread safe. */
+/** Resets the peak to the bytes held now. Thread safe. */
 void resetPeak();
 
 /** \returns the most bytes held since the last reset. Thread safe. */
--- a/bench/ownership/baselines.cpp
+++ b/bench/ownership/baselines.cpp
@@ -12,13 +12,13 @@
 
 namespace {
 
-/** The server of each key, in the order of hashes. */
+/** The server of each key, ordered by hash. */
 using Placement = std::vector<std::uint32_t>;
 using Placer = std::function<Placement(const Workload &)>;
 
 constexpr std::size_t pointsPerServer = 100;
 
-/** Points that a key passes before it counts as fitting nowhere. */
+/** Number of ring points that are tried before a key is placed without regard to the bound. */
 constexpr std::size_t maximumTries = 2000;
 
 std::vector<double> serverLoads(const Workload &workload, const Placement &placement,
@@ -84,7 +84,7 @@
     return ring;
 }
 
-/** \returns positions of keys in an order that has nothing to do with hash or rate. */
+/** \returns positions of keys in an order that is independent of hash and rate. */
 std::vector<std::uint32_t> arrivalOrder(std::size_t keys, std::uint64_t seed)
 {
     std::mt19937_64 random(seed + 8);
@@ -105,7 +105,7 @@
         const KeyHash hash = workload.hashes()[position];
         const auto first = std::ranges::lower_bound(ring, hash, {}, &RingPoint::hash);
         auto point = static_cast<std::size_t>(first - ring.begin()) % ring.size();
-        // A key that fits nowhere goes where it would without a bound.
+        // A key for which no server has room is placed as it would be without a bound.
         std::uint32_t owner = ring[point].server;
         for (std::size_t tries = 0; tries < maximumTries; ++tries) {
             const std::uint32_t server = ring[point].server;
@@ -121,7 +121,7 @@
     return placement;
 }
 
-/** A run of keys that go together, by positions among the hashes. */
+/** A range of keys that are placed together, by their positions in the order of hashes. */
 struct Unit
 {
     std::size_t first = 0;
@@ -129,7 +129,7 @@
     double share = 0;
 };
 
-/** \returns the slices, even ones with the hot keys cut out of them. */
+/** \returns slices of even size, from which the hot keys are split off. */
 std::vector<Unit> unitsOf(const Workload &workload, std::size_t servers,
                           const PlannerOptions &options)
 {
--- a/bench/ownership/baselines.h
+++ b/bench/ownership/baselines.h
@@ -8,14 +8,14 @@
 Outcome runModulo(const Scenario &scenario);
 
 /**
- * Consistent hashing with bounded loads: keys in turn go to the first server clockwise with room
- * for them, all again after each shift, with the true rates known.
+ * Consistent hashing with bounded loads: each key in turn is placed on the first server
+ * clockwise that has room for it. All keys are placed again after each shift, by their true rates.
  */
 Outcome runBoundedConsistentHashing(const Scenario &scenario);
 
 /**
- * Places all slices and hot keys anew after each shift, heaviest first on the lightest server,
- * with the true rates known.
+ * Places all slices and hot keys again after each shift, by their true rates: the one with the most
+ * load first, each on the server with the least load.
  */
 Outcome runFullReplan(const Scenario &scenario);
 
--- a/bench/ownership/main.cpp
+++ b/bench/ownership/main.cpp
@@ -18,7 +18,7 @@
 
 constexpr std::size_t threadCount = 4;
 
-/** A line of a table, worked out beside others. */
+/** A row of a table, computed concurrently with others. */
 struct Row
 {
     std::string label;
@@ -242,9 +242,9 @@
 } // namespace
 
 /**
- * Measures placement on a virtual clock with drawn requests. Without an argument runs all parts but
- * tradeoff, x10 and x100, which take minutes; else one of cost, x1, x10, x100, tradeoff, lies,
- * start, return.
+ * Measures placement on a virtual clock with randomly drawn requests. Without an argument runs all
+ * parts but tradeoff, x10 and x100, which take minutes; else one of cost, x1, x10, x100, tradeoff,
+ * lies, start, return.
  */
 int main(int argc, char **argv)
 {
--- a/bench/ownership/scaling.cpp
+++ b/bench/ownership/scaling.cpp
@@ -58,7 +58,7 @@
     return fit;
 }
 
-/** Slices, their loads and hot keys after a shift that leaves one server in ten too busy. */
+/** Slices, their loads and hot keys after a shift that overloads one server in ten. */
 struct PlanCase
 {
     std::vector<ServerState> servers;
--- a/bench/ownership/scaling.h
+++ b/bench/ownership/scaling.h
@@ -5,7 +5,7 @@
 /** Prints planning time and memory by the number of slices, with the slopes. */
 void printPlanningCost();
 
-/** Prints what counting and looking up a request's key cost. */
+/** Prints the cost of counting and looking up a request's key. */
 void printLookupCost();
 
 } // namespace bulrush::bench
--- a/bench/ownership/simulation.cpp
+++ b/bench/ownership/simulation.cpp
@@ -49,7 +49,7 @@
     void shift();
     /** Draws the requests of a round, plans, and applies the plan. */
     void runRound();
-    /** The daemons' counts, on the slices as they are. */
+    /** \returns the daemons' counts for the current slices. */
     LoadReport counts();
     void apply(const Plan &plan);
     std::vector<double> serverLoads() const;
@@ -63,7 +63,7 @@
     double keysMoved = 0;
     double trafficMoved = 0;
     std::size_t moves = 0;
-    /** Changes the counts before they are planned with. */
+    /** Changes the counts before the planner uses them. */
     std::function<void(Cluster &, LoadReport &)> distort;
 
 private:
@@ -171,7 +171,8 @@
 }
 
 /**
- * Stands for a long run before: leaves the even start behind under a planner without a budget.
+ * Simulates a long earlier run, so that measurements do not start from even slices. The planner has
+ * no move budget in it.
  */
 void settleFreely(Cluster &cluster)
 {
@@ -220,7 +221,7 @@
     return outcome;
 }
 
-/** Every seventh server reports a tenth of its load, and the one after it three times it. */
+/** Every seventh server reports a tenth of its load, and the one after it three times its load. */
 double lieFactor(std::size_t server)
 {
     if (server % 7 == 0)
--- a/bench/ownership/simulation.h
+++ b/bench/ownership/simulation.h
@@ -9,7 +9,7 @@
 
 namespace bulrush::bench {
 
-/** A service at a size. */
+/** The size of a service. */
 struct Deployment
 {
     std::string name;
@@ -19,27 +19,31 @@
     std::size_t hotKeys = 8;
 };
 
-/** What happens to one service in a run. */
+/** The parameters of a run with one service. */
 struct Scenario
 {
     Deployment deployment;
     double exponent = 1.0;
-    /** Whether the hottest keys are cut so that none exceeds a server's fair share. */
+    /** Whether the shares of the hottest keys are limited so that none exceeds a server's fair
+     * share. */
     bool isCapped = true;
     std::size_t shifts = 10;
     std::size_t roundsPerShift = 18;
-    /** Shifts under a planner without a budget, before any are counted. */
+    /** Shifts under a planner without a move budget, before measurements start. */
     std::size_t shiftsBefore = 3;
     PlannerOptions options;
     std::uint64_t seed = 1;
 };
 
-/** Load on the servers at one moment, as the true rates have it. */
+/** Load on the servers at one moment, computed from the true rates. */
 struct Balance
 {
-    /** Busiest over mean server. */
+    /** Ratio of the highest load of a server to the mean. */
     double imbalance = 0;
-    /** Share of traffic above 1.25 times the mean: what a server that is 80% busy can't take. */
+    /**
+     * Share of traffic above 1.25 times the mean: the excess over the capacity of servers that are
+     * 80% busy on average.
+     */
     double overCapacity = 0;
 };
 
@@ -52,7 +56,7 @@
     Balance mean;
     /** At the end of a shift. */
     Balance settled;
-    /** The worst end of a shift. */
+    /** The highest imbalance at the end of any shift. */
     double worstSettled = 0;
     /** Share of the keys that changed owner in a shift. */
     double keysMoved = 0;
@@ -60,24 +64,27 @@
     double trafficMoved = 0;
     /** The least traffic that must move to bring every server under the target after a shift. */
     double trafficToMove = 0;
-    /** Slices that changed owner in a shift. */
+    /** Number of slices that changed owner in a shift. */
     double moves = 0;
-    /** Slices at the end, for each server. */
+    /** Number of slices per server at the end of the run. */
     double slicesPerServer = 0;
-    /** The hottest key over the mean server: no placement has less imbalance. */
+    /**
+     * Ratio of the load of the hottest key to the mean load of a server: no placement has less
+     * imbalance.
+     */
     double hottestKey = 0;
 };
 
 /** \returns the server names "s0000", "s0001" and so on as states. */
 std::vector<ServerState> namedServers(std::size_t count);
 
-/** \returns the balance of \a loads, one a server. */
+/** \returns the balance of \a loads, which has one entry per server. */
 Balance balanceOf(const std::vector<double> &loads);
 
-/** Runs the planner fed by counts that the daemons took of drawn requests. */
+/** Runs the planner on the daemons' counts of randomly drawn requests. */
 Outcome runPlanner(const Scenario &scenario);
 
-/** The end of one shift of a run that begins with even slices. */
+/** The state at the end of one shift of a run that begins with even slices. */
 struct StartShift
 {
     double imbalance = 0;
@@ -85,23 +92,26 @@
     double slicesPerServer = 0;
 };
 
-/** Runs the planner from even slices on, with its budget from the first. */
+/** Runs the planner from even slices on, with its move budget in force from the start. */
 std::vector<StartShift> runStart(const Scenario &scenario);
 
-/** One round of the run in which a server is lost and comes back cold. */
+/** One round of the run in which a server is lost and returns with a cold cache. */
 struct ReturnRound
 {
     std::size_t round = 0;
     double imbalance = 0;
-    /** Load of the server that came back, over the mean. */
+    /** Ratio of the load of the returned server to the mean. */
     double returnedRatio = 0;
     double keysMoved = 0;
 };
 
-/** Runs the planner through the loss of a server and its return with nothing warm. */
+/** Runs the planner through the loss of a server and its return with a cold cache. */
 std::vector<ReturnRound> runReturn(const Scenario &scenario);
 
-/** Settled balance where servers lie about their load, if they are believed or not. */
+/**
+ * Results with servers that report wrong loads, with a planner that uses these reports (believed)
+ * or the daemons' counts (counted).
+ */
 struct LieOutcome
 {
     Outcome believed;
--- a/bench/ownership/workload.cpp
+++ b/bench/ownership/workload.cpp
@@ -8,7 +8,10 @@
 
 namespace {
 
-/** Cuts the largest shares, already in falling order, and spreads the rest in proportion. */
+/**
+ * Limits shares, given in descending order, to \a largest; spreads the excess over the others in
+ * proportion.
+ */
 void capShares(std::vector<double> &shares, double largest)
 {
     double rest = std::accumulate(shares.begin(), shares.end(), 0.0);
--- a/bench/ownership/workload.h
+++ b/bench/ownership/workload.h
@@ -11,7 +11,7 @@
 namespace bulrush::bench {
 
 /**
- * Keys of one service and how often each is asked for: Zipf by rank, with the hottest keys
+ * Keys of one service and their request rates: Zipf by rank, with the hottest keys
  * replaced at each shift. Keys are held in the order of their hashes.
  */
 class Workload
@@ -19,7 +19,7 @@
 public:
     /**
      * Rates are shares of all traffic. If \a largestShare is below 1, no key has more than it;
-     * what is cut off is spread over the others.
+     * the excess is spread over the others.
      */
     Workload(std::size_t keyCount, double exponent, double largestShare, std::uint64_t seed);
 
@@ -44,9 +44,9 @@
         return m_shareOfRank.front();
     }
 
-    /** \returns how many of the keys lie in \a range, as a share of all. */
+    /** \returns the share of all keys that are in \a range. */
     double keyShare(SliceRange range) const;
-    /** \returns the share of traffic that goes to \a range. */
+    /** \returns the share of traffic for keys in \a range. */
     double trafficShare(SliceRange range) const;
 
 private:
--- a/bench/ownership_unavailable/bookcost.cpp
+++ b/bench/ownership_unavailable/bookcost.cpp
@@ -50,7 +50,7 @@
     return wanted;
 }
 
-/** A steward's two parts, driven by answers that come at once. */
+/** A domain leader's lease table and handover; all orders are answered immediately. */
 class Steward
 {
 public:
--- a/bench/ownership_unavailable/bookcost.h
+++ b/bench/ownership_unavailable/bookcost.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /**
- * Prints the processor time and the bytes that the steward's book and handover cost at three
- * sizes, and the slope for each slice.
+ * Prints the processor time and the memory that a domain leader's lease table and handover use at
+ * three sizes, and the increase per slice.
  */
 void printBookCost();
--- a/bench/ownership_unavailable/countingallocator.h
+++ b/bench/ownership_unavailable/countingallocator.h
@@ -2,5 +2,5 @@
 
 #include <cstddef>
 
-/** \returns how many bytes the program holds from operator new. */
+/** \returns the number of bytes that are allocated by operator new and not freed. */
 std::size_t allocatedBytes();
--- a/bench/ratelimit/limitedfleet.cpp
+++ b/bench/ratelimit/limitedfleet.cpp
@@ -17,7 +17,7 @@
 constexpr Instant cutFrom{20s};
 constexpr Instant daemonCutUntil{40s};
 constexpr Instant domainCutUntil{50s};
-/** Figures are counted by tenths of a second. */
+/** Width of the time bins in which requests are counted. */
 constexpr Duration bin = 100ms;
 constexpr std::size_t binCount = 600;
 constexpr std::size_t windowBins = 100;
--- a/bench/ratelimit/limitedfleet.h
+++ b/bench/ratelimit/limitedfleet.h
@@ -13,7 +13,7 @@
 struct EvenSplit
 { };
 
-/** Shares by demand, given by the steward of each failure domain, with loans between domains. */
+/** Shares by demand, granted by the leader of each failure domain, with loans between domains. */
 struct DemandShares
 {
     bulrush::Duration renewal = std::chrono::milliseconds{500};
@@ -27,39 +27,40 @@
 
 using LimitWay = std::variant<EvenSplit, DemandShares, Credits>;
 
-/** Where demand arises, and who can't reach whom. */
+/** The distribution of demand over the daemons, and the simulated faults. */
 struct LimitScenario
 {
     std::string name;
-    /** All arrivals over the limit. */
+    /** Ratio of the rate of all arrivals to the limit. */
     double demand = 1.5;
-    /** Share of the arrivals that come to the hot daemon. */
+    /** Share of the arrivals that the hot daemon receives. */
     double hotShare = 1.0 / 12.0;
-    /** Whether all arrivals come to the first failure domain. */
+    /** Whether the first failure domain receives all arrivals. */
     bool isOneDomain = false;
-    /** How often the hot daemon changes. */
+    /** Interval at which the hot daemon changes. */
     std::optional<bulrush::Duration> hotMoves;
-    /** Whether the first daemon can't reach its steward from 20 s to 40 s. */
+    /** Whether the first daemon can't reach its domain leader from 20 s to 40 s. */
     bool isDaemonCut = false;
     /** Whether the first domain can't reach the others from 20 s to 50 s. */
     bool isDomainCut = false;
-    /** How often a daemon is replaced by a fresh one. */
+    /** Interval at which a daemon is replaced by a new one without state. */
     std::optional<bulrush::Duration> replaced;
 };
 
-/** What a run gave. */
+/** Results of a run. */
 struct LimitFigures
 {
-    /** Most that was let pass in any 10 s, over the limit. */
+    /** Ratio of the most requests admitted in any 10 s to the limit. */
     double most = 0.0;
-    /** Let pass over the smaller of demand and limit, after the first 5 s. */
+    /** Ratio of admitted requests to the smaller of demand and limit, after the first 5 s. */
     double usable = 0.0;
-    /** Messages a second for each daemon. */
+    /** Messages per second and daemon. */
     double messages = 0.0;
 };
 
 /**
- * One organisation with a limit of 1000 requests a second over 12 daemons in three domains.
+ * Simulates one organisation with a limit of 1000 requests per second over 12 daemons in three
+ * domains.
  */
 class LimitedFleet
 {
--- a/bench/ratelimit/main.cpp
+++ b/bench/ratelimit/main.cpp
@@ -47,9 +47,10 @@
 } // namespace
 
 /**
- * Prints, for each way to keep an organisation to its rate over 12 daemons, the most that passed in
- * any 10 s over the limit, the part of the possible that passed, and messages a second for each
- * daemon. The seed is the first argument.
+ * Compares methods that limit the request rate of an organisation over 12 daemons. Prints for each
+ * the ratio of the most requests admitted in any 10 s to the limit, the ratio of admitted requests
+ * to those that could be admitted, and the messages per second and daemon. The seed is the first
+ * argument.
  */
 int main(int argc, char **argv)
 {
--- a/bench/requestpath/echoserver.h
+++ b/bench/requestpath/echoserver.h
@@ -14,7 +14,7 @@
 #include <string_view>
 #include <utility>
 
-/** Stands in for a backend server: answers each request without a body, its id carried back. */
+/** Simulates a backend server: answers each request, which must have no body, with its id. */
 class EchoServer
 {
 public:
@@ -43,7 +43,7 @@
         try {
             co_await answerAll(socket);
         } catch (const std::system_error &) {
-            // the client is done
+            // The client has closed the connection.
         }
     }
 
--- a/bench/requestpath/loadcallers.h
+++ b/bench/requestpath/loadcallers.h
@@ -15,14 +15,14 @@
 #include <string>
 #include <vector>
 
-/** What a number of callers saw. */
+/** Latencies and failures that a number of callers measured. */
 struct LoadResult
 {
     std::vector<std::chrono::nanoseconds> latencies;
     std::chrono::nanoseconds elapsed{};
     std::size_t failures = 0;
 
-    /** \returns the latency that \a share of the requests met. */
+    /** \returns the latency that \a share of the requests did not exceed. */
     std::chrono::nanoseconds quantile(double share)
     {
         if (latencies.empty())
@@ -34,11 +34,12 @@
     }
 };
 
-/** Callers that each send a request as soon as the answer to the last one has come. */
+/** Callers that each send a request as soon as the answer to the previous one has arrived. */
 class LoadCallers
 {
 public:
-    /** Sends \a requests over \a callers kept connections. The answers have to end in "echo". */
+    /** Sends \a requests over \a callers persistent connections. The answers have to end in "echo".
+     */
     static LoadResult run(std::uint16_t port, std::size_t callers, std::size_t requests)
     {
         LoadCallers load{requests};
--- a/bench/requestpath/loopthread.h
+++ b/bench/requestpath/loopthread.h
@@ -7,7 +7,7 @@
 #include <ctime>
 #include <thread>
 
-/** A loop on a thread of its own, whose processor time can be read. */
+/** An event loop on its own thread, whose processor time can be read. */
 class LoopThread
 {
 public:
--- a/bench/requestpath/requestpath.cpp
+++ b/bench/requestpath/requestpath.cpp
@@ -37,7 +37,7 @@
 struct BareTraits : public restinio::default_single_thread_traits_t
 { };
 
-/** RESTinio alone, answering at once. */
+/** A RESTinio server that answers immediately, without any code of the daemon. */
 class BareServer
 {
 public:
@@ -65,7 +65,7 @@
     restinio::http_server_t<BareTraits> m_server;
 };
 
-/** The way through a daemon, without its decisions. */
+/** Forwards requests as a daemon does, but without its decisions. */
 class ProxyServer
 {
 public:
--- a/bench/simulation/simulation.h
+++ b/bench/simulation/simulation.h
@@ -8,8 +8,8 @@
 #include <vector>
 
 /**
- * Virtual time: handlers run in the order of their instants, those of one instant in the order in
- * which they were asked for. The same seed gives the same run.
+ * Virtual time: handlers run in the order of their due times, and those with the same due time in
+ * the order in which they were scheduled. The same seed gives the same run.
  */
 class Simulation
 {
--- a/bench/stewardship/bench_stewardship.cpp
+++ b/bench/stewardship/bench_stewardship.cpp
@@ -1,5 +1,5 @@
-// What the length of the promise trades, and what stewardship costs, on the virtual clock: the
-// figures are exact and the same in each run.
+// Measures the effects of the promise length, and the cost of domain leadership, on a virtual
+// clock. The figures are exact and the same in each run.
 
 #include "leaderelectionsimulation.h"
 
@@ -35,7 +35,7 @@
     world.runUntil(faultAt);
 }
 
-/** Kills the holder. \returns how long it takes until another may grant. */
+/** Kills the leader. \returns the time until another daemon may grant leases. */
 Duration loseHolder(LeaderElectionSimulation &world)
 {
     const TrueTime lostAt = world.now();
@@ -46,7 +46,10 @@
     return world.now() - lostAt;
 }
 
-/** How long the holder goes on in an outage after one candidate has fallen silent. */
+/**
+ * \returns how long the leader keeps its leadership in a platform outage after it has lost the
+ * connection to one candidate.
+ */
 Duration timeWithASilentCandidate(const LeaderElectionTimings &timings)
 {
     LeaderElectionSimulation world(timings);
@@ -60,7 +63,10 @@
     return world.now() - silentAt;
 }
 
-/** How long a holder's loss takes to mend that alone had lost the platform. */
+/**
+ * \returns the time until another daemon may grant leases, if the leader is killed after only it
+ * was cut off from the platform.
+ */
 Duration lossWhileCutFromThePlatform(const LeaderElectionTimings &timings)
 {
     LeaderElectionSimulation world(timings);
@@ -70,7 +76,10 @@
     return loseHolder(world);
 }
 
-/** How long a holder's loss takes to mend \a later than the end of an outage. */
+/**
+ * \returns the time until another daemon may grant leases, if the leader is killed \a later than
+ * the end of a platform outage.
+ */
 Duration lossAfterAnOutage(const LeaderElectionTimings &timings, Duration later)
 {
     LeaderElectionSimulation world(timings);
--- a/src/bulrushctl/commitwithretries.h
+++ b/src/bulrushctl/commitwithretries.h
@@ -7,7 +7,7 @@
 
 namespace bulrush::ctl {
 
-/** How often a transaction is sent until its outcome is known. */
+/** Limits how often a transaction is sent while its outcome is unknown. */
 struct RetryPolicy
 {
     int maxAttempts = 5;
--- a/src/bulrushswitchd/leaseservice.h
+++ b/src/bulrushswitchd/leaseservice.h
@@ -16,7 +16,7 @@
 struct ControlContext;
 class DispatchGate;
 
-/** The latest leader of a failure domain that this daemon has been told of. */
+/** The latest leader of a failure domain that this daemon has recorded. */
 struct KnownLeader
 {
     std::string address;
