--- a/bench/membership/bench_membership.cpp
+++ b/bench/membership/bench_membership.cpp
@@ -1,7 +1,9 @@
 /**
  * Measures in virtual time the cost of membership for a daemon, and the time until a change is in
  * force at all daemons, for several numbers of daemons. Compares it with other methods, and fits
- * the growth per daemon. Usage: bench_membership [largest number of daemons]
+ * the growth per daemon. Exits by itself when it is done.
+ *
+ * Usage: bench_membership [largest number of daemons]
  */
 #include "otherways.h"
 #include "process/peermessagecodec.h"
--- a/bench/membership/otherways.h
+++ b/bench/membership/otherways.h
@@ -27,8 +27,10 @@
 /**
  * A tree by failure domain: members send heartbeats to their domain's relay, which answers them;
  * relays do the same with each other. A lost message is repeated with the next heartbeat. The cost
- * is that of a relay. \param isRelayLost whether one relay crashes just before the change, which is
- * detected after three missed heartbeats.
+ * is that of a relay.
+ *
+ * \param isRelayLost whether one relay crashes just before the change, which is detected after
+ * three missed heartbeats.
  */
 WayCost costOfTree(std::size_t daemons, double loss, bool isRelayLost);
 
--- a/bench/ownership/baselines.h
+++ b/bench/ownership/baselines.h
@@ -14,8 +14,8 @@
 Outcome runBoundedConsistentHashing(const Scenario &scenario);
 
 /**
- * Places all slices and hot keys again after each shift, by their true rates: the one with the most
- * load first, each on the server with the least load.
+ * Places all slices and hot keys again after each shift, by their true rates: in descending order
+ * of load, each on the server with the least load.
  */
 Outcome runFullReplan(const Scenario &scenario);
 
--- a/bench/ownership/simulation.h
+++ b/bench/ownership/simulation.h
@@ -24,8 +24,10 @@
 {
     Deployment deployment;
     double exponent = 1.0;
-    /** Whether the shares of the hottest keys are limited so that none exceeds a server's fair
-     * share. */
+    /**
+     * Whether the shares of the hottest keys are limited so that none exceeds a server's fair
+     * share.
+     */
     bool isCapped = true;
     std::size_t shifts = 10;
     std::size_t roundsPerShift = 18;
@@ -95,7 +97,7 @@
 /** Runs the planner from even slices on, with its move budget in force from the start. */
 std::vector<StartShift> runStart(const Scenario &scenario);
 
-/** One round of the run in which a server is lost and returns with a cold cache. */
+/** One round of the run in which a server is lost and returns cold. */
 struct ReturnRound
 {
     std::size_t round = 0;
@@ -105,7 +107,7 @@
     double keysMoved = 0;
 };
 
-/** Runs the planner through the loss of a server and its return with a cold cache. */
+/** Runs the planner through the loss of a server and its return as a cold server. */
 std::vector<ReturnRound> runReturn(const Scenario &scenario);
 
 /**
--- a/bench/ownership_unavailable/unavailability.cpp
+++ b/bench/ownership_unavailable/unavailability.cpp
@@ -23,7 +23,7 @@
     Duration oneWay;
 };
 
-/** The services divided by key. One failure domain holds all servers, which is the worst case. */
+/** The services divided by key. One failure domain holds all their servers: the harder case. */
 constexpr std::array deployments{Deployment{"Leuvensport", 14, 12, 500us},
                                  Deployment{"Hinokuni", 19, 12, 1500us}};
 
--- a/bench/requestpath/echoserver.h
+++ b/bench/requestpath/echoserver.h
@@ -14,7 +14,10 @@
 #include <string_view>
 #include <utility>
 
-/** Simulates a backend server: answers each request, which must have no body, with its id. */
+/**
+ * Simulates a backend server: answers each request with "echo" and the id of the request. Requests
+ * must have no body.
+ */
 class EchoServer
 {
 public:
--- a/bench/requestpath/loadcallers.h
+++ b/bench/requestpath/loadcallers.h
@@ -38,7 +38,8 @@
 class LoadCallers
 {
 public:
-    /** Sends \a requests over \a callers persistent connections. The answers have to end in "echo".
+    /**
+     * Sends \a requests over \a callers persistent connections. The answers have to end in "echo".
      */
     static LoadResult run(std::uint16_t port, std::size_t callers, std::size_t requests)
     {
--- a/src/bulrushswitchd/domainleader.cpp
+++ b/src/bulrushswitchd/domainleader.cpp
@@ -109,7 +109,7 @@
 
 CommitOutcome outcomeOf(const io::Refused & /*outcome*/)
 {
-    // Nothing was written; this equals a lost answer to a write that never takes effect.
+    // Nothing was written. Unknown covers this: such a write may also never take effect.
     return CommitOutcome::Unknown;
 }
 
--- a/src/bulrushswitchd/leaseservice.h
+++ b/src/bulrushswitchd/leaseservice.h
@@ -42,7 +42,10 @@
     LeaseService(const LeaseService &) = delete;
     LeaseService &operator=(const LeaseService &) = delete;
 
-    /** Sets the leader of \a domain. A leader of an older or the same epoch is ignored. */
+    /**
+     * Sets the leader of \a domain. Ignores a leader of the same or an older epoch, and one without
+     * an address.
+     */
     void setLeader(const DomainName &domain, const KnownLeader &leader);
 
     /**
--- a/src/bulrushswitchd/servercontrol.cpp
+++ b/src/bulrushswitchd/servercontrol.cpp
@@ -38,7 +38,10 @@
     return request;
 }
 
-/** Reads a load report. The clock is taken as of the answer's arrival, later than it was read. */
+/**
+ * Applies a load report. Its clock reading is dated as of the answer's arrival, although the server
+ * read its clock earlier.
+ */
 void applyLoadReport(ServerStatus &status, const io::HttpResult &result, Instant arrivedAt)
 {
     const Json::Value json = io::parseJson(result.response.body);
--- a/src/bulrushswitchd/shareservice.h
+++ b/src/bulrushswitchd/shareservice.h
@@ -42,7 +42,11 @@
     Json::Value answer(const DomainName &domain, const Json::Value &parameters,
                        const ContractMap &contracts, Instant now);
 
-    /** \returns whether valid shares of all known organisations have been received. */
+    /**
+     * \returns whether shares are valid at \a now and a complete reply confirmed them: every
+     * organisation with a contract can send requests, or emptyShareTimeout has passed since the
+     * first complete reply.
+     */
     bool hasValidShares(Instant now) const;
 
 private:
@@ -58,7 +62,7 @@
     KnownLeader m_leader;
     std::vector<OrganisationName> m_organisations;
     std::optional<Instant> m_sentAt;
-    /** When a leader whose shares are settled first answered for all organisations. */
+    /** When the first complete reply since the shares last expired arrived; see isComplete(). */
     std::optional<Instant> m_firstReplyAt;
     bool m_hasShares = false;
     Instant m_validUntil{};
--- a/tests/burnrate/test_burnrate.cpp
+++ b/tests/burnrate/test_burnrate.cpp
@@ -41,7 +41,9 @@
     return burnReport(snapshots, {}).rows.at(0);
 }
 
-/** Two daemons, one of them young, of three that are expected. */
+/**
+ * \returns the report on two daemons, one of which started recently, of three that are expected.
+ */
 BurnReport sessionReport()
 {
     Instant now{};
--- a/tests/entryfleet/test_entryshutdown.cpp
+++ b/tests/entryfleet/test_entryshutdown.cpp
@@ -148,8 +148,8 @@
     BOOST_TEST(exchange("before").starts_with("HTTP/1.1 200"));
     ::kill(daemon("a1").pid(), SIGTERM);
     std::this_thread::sleep_for(1s);
-    // The connection was open and idle. The answer announces its end to the caller; it is not
-    // closed without an answer.
+    // The connection was open and idle. The daemon must not close it without an answer: it answers
+    // the next request and announces that it closes the connection.
     const std::string last = exchange("after");
     BOOST_TEST(last.starts_with("HTTP/1.1 200"));
     BOOST_TEST(last.find("Connection: close") != std::string::npos, last);
--- a/tests/fleet/fleet.h
+++ b/tests/fleet/fleet.h
@@ -72,7 +72,7 @@
     /** \returns the assignment of \a domain that \a host's daemon has; null if it has none. */
     Json::Value assignment(const std::string &host, const std::string &domain);
 
-    /** \returns the host of the leader of \a domain by the status of host \a asked, or "". */
+    /** \returns the host of \a domain's leader according to the status of host \a asked, or "". */
     std::string leaderOf(const std::string &domain, const std::string &asked);
 
     /** Sets the platform's faults for the calls of one domain, or of all domains for "*". */
@@ -94,7 +94,8 @@
     /** \returns how often requests with \a idempotencyKey were started at all servers. */
     int runCountOf(const std::string &idempotencyKey);
 
-    /** \returns a description of the first requests for one key that overlap at two servers, or "".
+    /**
+     * \returns a description of the first requests for one key that overlap at two servers, or "".
      */
     std::string firstOverlap();
 
--- a/tests/keyworld/keysimulation.h
+++ b/tests/keyworld/keysimulation.h
@@ -24,7 +24,7 @@
     ForgetsGrants,         ///< daemons answer that they have sent no grants lately
     DelayedBytesArrive,    ///< a grant delayed by a partition arrives after its call timed out
     FenceNotRaised,        ///< a new owner gets a grant under the old fencing token
-    RenewsOtherRun,        ///< daemons do not notice that a server has restarted
+    RenewsOtherRun,        ///< daemons do not detect that a server has restarted
 };
 
 /** Result of a simulation. */
--- a/tests/loadworld/loadsimulation.cpp
+++ b/tests/loadworld/loadsimulation.cpp
@@ -12,7 +12,7 @@
 constexpr Duration step = 5ms;
 constexpr Duration planInterval = 500ms;
 constexpr Duration shareInterval = 600ms;
-/** Time for running requests of a range to end, and for all daemons to learn of the move. */
+/** Time for running requests of a range to end, and for all daemons to receive the move. */
 constexpr Duration moveDuration = 400ms;
 constexpr std::uint32_t slots = 3;
 constexpr std::size_t queueLimit = 12;
--- a/tests/platformclient/test_platformclient.cpp
+++ b/tests/platformclient/test_platformclient.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-/** The client, a platform to talk to, and calls that wait. */
+/** The client, a platform process that it calls, and calls that block until their result. */
 struct Fixture
 {
     void faults(const std::string &body)
@@ -24,7 +24,9 @@
         BOOST_REQUIRE(http.post(process.address("a") + "/_faults", body).status == 200);
     }
 
-    /** Runs the loop until \a start, which takes a handler, has brought its result. */
+    /**
+     * Calls \a start with a handler, and runs the loop until the handler has received the result.
+     */
     template<typename Result, typename Start>
     Result await(Start start)
     {
--- a/tests/platformclient/test_platformoutcome.cpp
+++ b/tests/platformclient/test_platformoutcome.cpp
@@ -129,7 +129,7 @@
 {
     BOOST_TEST(settled(transaction(0), TableRow{place, 0, {}}) == "unknown");
     BOOST_TEST(settled(transaction(0), row(1, "you", "r1")) == "other");
-    // The row may have been made, by us, deleted and made again.
+    // This write may have created the row, which was then deleted and created again.
     BOOST_TEST(settled(transaction(0), row(3, "you", "r1")) == "overwritten");
 
     const Transaction deletion = transaction(4, Json::nullValue);
