--- a/bench/requestpath/echoserver.h
+++ b/bench/requestpath/echoserver.h
@@ -14,7 +14,10 @@
 #include <string_view>
 #include <utility>
 
-/** Stands in for a backend server: answers each request without a body, its id carried back. */
+/**
+ * Simulates a backend server: answers each request with "echo" and the id of the request. Requests
+ * must have no body.
+ */
 class EchoServer
 {
 public:
@@ -43,7 +46,7 @@
         try {
             co_await answerAll(socket);
         } catch (const std::system_error &) {
-            // the client is done
+            // The client has closed the connection.
         }
     }
 
