--- a/bench/ownership_unavailable/unavailability.cpp
+++ b/bench/ownership_unavailable/unavailability.cpp
@@ -27,7 +27,7 @@
 constexpr std::array deployments{Deployment{"Leuvensport", 14, 12, 500us},
                                  Deployment{"Hinokuni", 19, 12, 1500us}};
 
-using Fault = void (*)(OwnershipSimulation &world);
+using Fault = void (*)(OwnershipSimulation &simulation);
 
 struct Trial
 {
@@ -36,41 +36,41 @@
     Fault fault;
 };
 
-void moveOne(OwnershipSimulation &world)
+void moveOne(OwnershipSimulation &simulation)
 {
-    world.moveSlice(0, 1);
+    simulation.moveSlice(0, 1);
 }
 
-void killServer(OwnershipSimulation &world)
+void killServer(OwnershipSimulation &simulation)
 {
-    world.killServer(0);
+    simulation.killServer(0);
 }
 
-void freezeServer(OwnershipSimulation &world)
+void freezeServer(OwnershipSimulation &simulation)
 {
-    world.freezeServer(0);
+    simulation.freezeServer(0);
 }
 
-void killServerManager(OwnershipSimulation &world)
+void killServerManager(OwnershipSimulation &simulation)
 {
-    world.killDaemon(0);
+    simulation.killDaemon(0);
 }
 
-void leaveServerManager(OwnershipSimulation &world)
+void leaveServerManager(OwnershipSimulation &simulation)
 {
-    world.scheduleDeparture(0);
+    simulation.scheduleDeparture(0);
 }
 
-void killBoth(OwnershipSimulation &world)
+void killBoth(OwnershipSimulation &simulation)
 {
-    world.killDaemon(0);
-    world.killServer(0);
+    simulation.killDaemon(0);
+    simulation.killServer(0);
 }
 
-void killLeader(OwnershipSimulation &world)
+void killLeader(OwnershipSimulation &simulation)
 {
-    world.killLeader();
-    world.startSuccessorAfterTerm();
+    simulation.killLeader();
+    simulation.startSuccessorAfterTerm();
 }
 
 constexpr std::array trials{Trial{"planned move of a slice", false, moveOne},
@@ -102,16 +102,16 @@
 /** \returns the longest time that a traced key of server 0 went unserved. */
 Duration worstOf(const Deployment &deployment, const Trial &trial, int factor, std::uint64_t seed)
 {
-    OwnershipSimulation world(settingsFor(deployment, trial, factor, seed));
+    OwnershipSimulation simulation(settingsFor(deployment, trial, factor, seed));
     const Duration phase = 1ms * static_cast<int>(seed * 37 % 300);
-    world.at(2s + phase, [&] { trial.fault(world); });
-    world.runUntil(trialEnd);
+    simulation.at(2s + phase, [&] { trial.fault(simulation); });
+    simulation.runUntil(trialEnd);
     Duration worst{0};
     for (int i = 0; i < tracedKeys; ++i) {
         const int key = i * deployment.servers * factor;
-        worst = std::max(worst, world.unavailable(key, 1s, trialEnd - 500ms));
+        worst = std::max(worst, simulation.unavailable(key, 1s, trialEnd - 500ms));
     }
-    if (!world.observer().overlaps().empty() || world.uncoveredGrants() > 0)
+    if (!simulation.observer().overlaps().empty() || simulation.uncoveredGrants() > 0)
         std::printf("  seed %llu: ownership was broken\n", static_cast<unsigned long long>(seed));
     return worst;
 }
--- a/bench/ratelimit/limitedfleet.cpp
+++ b/bench/ratelimit/limitedfleet.cpp
@@ -145,9 +145,9 @@
     if (!isCutOff(daemon)) {
         m_messages += 2;
         m_simulation.after(hop, [=, this, name = asking.incarnation] {
-            ShareAllocator &ledger = m_domains[domainOf(daemon)].ledger;
+            ShareAllocator &allocator = m_domains[domainOf(daemon)].allocator;
             const ShareGrant grant =
-                ledger.renew(name, demand, m_daemons[daemon].grant.amount, m_simulation.now());
+                allocator.renew(name, demand, m_daemons[daemon].grant.amount, m_simulation.now());
             m_simulation.after(hop, [=, this] {
                 Daemon &asked = m_daemons[daemon];
                 if (asked.incarnation != name)
@@ -167,11 +167,11 @@
         if (lender == borrower || isDomainCut(lender) || isDomainCut(borrower))
             continue;
         m_messages += 2;
-        ShareAllocator &ledger = m_domains[borrower].ledger;
-        const ShareDemand demand = ledger.loanDemand(nameOfDomain(lender), requestedAt);
+        ShareAllocator &allocator = m_domains[borrower].allocator;
+        const ShareDemand demand = allocator.loanDemand(nameOfDomain(lender), requestedAt);
         const ShareGrant loan =
-            m_domains[lender].ledger.lend(nameOfDomain(borrower), demand, requestedAt);
-        ledger.applyLoanGrant(nameOfDomain(lender), loan, requestedAt);
+            m_domains[lender].allocator.lend(nameOfDomain(borrower), demand, requestedAt);
+        allocator.applyLoanGrant(nameOfDomain(lender), loan, requestedAt);
     }
     m_simulation.after(std::get<DemandShares>(m_way).renewal,
                        [this, borrower] { borrow(borrower); });
--- a/bench/ratelimit/limitedfleet.h
+++ b/bench/ratelimit/limitedfleet.h
@@ -82,7 +82,7 @@
 
     struct Domain
     {
-        bulrush::ShareAllocator ledger;
+        bulrush::ShareAllocator allocator;
         double pool = 0.0;
         bulrush::Instant filledAt{};
     };
--- a/bench/stewardship/bench_stewardship.cpp
+++ b/bench/stewardship/bench_stewardship.cpp
@@ -26,24 +26,24 @@
     return static_cast<double>(count) / seconds(countedSpan);
 }
 
-void startAll(LeaderElectionSimulation &world)
+void startAll(LeaderElectionSimulation &simulation)
 {
-    world.start("a1");
-    world.run(100ms);
+    simulation.start("a1");
+    simulation.run(100ms);
     for (const char *name : {"a2", "a3", "b1", "c1"})
-        world.start(name);
-    world.runUntil(faultAt);
+        simulation.start(name);
+    simulation.runUntil(faultAt);
 }
 
 /** Kills the leader. \returns the time until another daemon may grant leases. */
-Duration loseHolder(LeaderElectionSimulation &world)
+Duration loseHolder(LeaderElectionSimulation &simulation)
 {
-    const TrueTime lostAt = world.now();
-    world.kill("a1");
-    while (world.steward().empty()
-           || !world.election(world.steward()).mayGrantAt(Instant(world.now())))
-        world.run(10ms);
-    return world.now() - lostAt;
+    const TrueTime lostAt = simulation.now();
+    simulation.kill("a1");
+    while (simulation.steward().empty()
+           || !simulation.election(simulation.steward()).mayGrantAt(Instant(simulation.now())))
+        simulation.run(10ms);
+    return simulation.now() - lostAt;
 }
 
 /**
@@ -52,15 +52,15 @@
  */
 Duration timeWithASilentCandidate(const LeaderElectionTimings &timings)
 {
-    LeaderElectionSimulation world(timings);
-    startAll(world);
-    world.setPlatformUp(false);
-    world.run(outage);
-    const TrueTime silentAt = world.now();
-    world.setCut("a1", "c1", true);
-    while (!world.steward().empty())
-        world.run(10ms);
-    return world.now() - silentAt;
+    LeaderElectionSimulation simulation(timings);
+    startAll(simulation);
+    simulation.setPlatformUp(false);
+    simulation.run(outage);
+    const TrueTime silentAt = simulation.now();
+    simulation.setCut("a1", "c1", true);
+    while (!simulation.steward().empty())
+        simulation.run(10ms);
+    return simulation.now() - silentAt;
 }
 
 /**
@@ -69,11 +69,11 @@
  */
 Duration lossWhileCutFromThePlatform(const LeaderElectionTimings &timings)
 {
-    LeaderElectionSimulation world(timings);
-    startAll(world);
-    world.setPlatformCut("a1", true);
-    world.run(outage);
-    return loseHolder(world);
+    LeaderElectionSimulation simulation(timings);
+    startAll(simulation);
+    simulation.setPlatformCut("a1", true);
+    simulation.run(outage);
+    return loseHolder(simulation);
 }
 
 /**
@@ -82,13 +82,13 @@
  */
 Duration lossAfterAnOutage(const LeaderElectionTimings &timings, Duration later)
 {
-    LeaderElectionSimulation world(timings);
-    startAll(world);
-    world.setPlatformUp(false);
-    world.run(outage);
-    world.setPlatformUp(true);
-    world.run(later);
-    return loseHolder(world);
+    LeaderElectionSimulation simulation(timings);
+    startAll(simulation);
+    simulation.setPlatformUp(false);
+    simulation.run(outage);
+    simulation.setPlatformUp(true);
+    simulation.run(later);
+    return loseHolder(simulation);
 }
 
 void showPromiseLengths()
@@ -108,13 +108,13 @@
 
 void showCost(const char *when, bool isPlatformUp)
 {
-    LeaderElectionSimulation world({});
-    startAll(world);
-    world.setPlatformUp(isPlatformUp);
-    world.run(10s);
-    const SimulationCounts before = world.counts();
-    world.run(countedSpan);
-    const SimulationCounts after = world.counts();
+    LeaderElectionSimulation simulation({});
+    startAll(simulation);
+    simulation.setPlatformUp(isPlatformUp);
+    simulation.run(10s);
+    const SimulationCounts before = simulation.counts();
+    simulation.run(countedSpan);
+    const SimulationCounts after = simulation.counts();
     std::printf("%-16s %8.2f %9.2f %11.2f\n", when, perSecond(after.reads - before.reads),
                 perSecond(after.writes - before.writes),
                 perSecond(after.messages - before.messages));
--- a/src/bulrushctl/operatorcommands.cpp
+++ b/src/bulrushctl/operatorcommands.cpp
@@ -30,7 +30,7 @@
 constexpr const char *departureTable = "departure";
 constexpr const char *leaderTable = "steward";
 constexpr const char *requestIdField = "requestId";
-/** The field of a leader row, as written by io::encodeStewardRow(), with the id of its write. */
+/** The field of a leader row, as written by io::encodeLeaderRow(), with the id of its write. */
 constexpr const char *leaderWriteIdField = "writeId";
 
 std::string hostsText(const HostsResult &hosts,
@@ -263,14 +263,14 @@
     if (before.version == 0)
         return refuse("there is no steward row for " + domain.value());
 
-    const auto row = io::decodeStewardRow(before.value);
+    const auto row = io::decodeLeaderRow(before.value);
     if (!row)
         return refuse("the steward row of " + domain.value()
                       + " is not of the form that this bulrushctl knows");
     const LeaderRow released =
         releasedByOperator(*row, Incarnation{m_context.writer}, LeaderWriteId{m_context.requestId});
     const CommitResult result = changeRow(
-        m_table, {before, io::encodeStewardRow(released), leaderWriteIdField, m_context.writer},
+        m_table, {before, io::encodeLeaderRow(released), leaderWriteIdField, m_context.writer},
         m_context.policy);
     return report(result,
                   "released: the stewardship of " + domain.value()
--- a/src/bulrushswitchd/leadershipservice.cpp
+++ b/src/bulrushswitchd/leadershipservice.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-const char *const stewardTable = "steward";
+const char *const leaderTable = "steward";
 
 LeaderCandidate candidateOf(const MemberRecord &member)
 {
@@ -28,7 +28,7 @@
     if (row.value.isNull())
         return VersionedLeaderRow{row.version, {}};
 
-    auto decoded = io::decodeStewardRow(row.value);
+    auto decoded = io::decodeLeaderRow(row.value);
     if (!decoded)
         return std::nullopt;
     return VersionedLeaderRow{row.version, *std::move(decoded)};
@@ -125,7 +125,7 @@
 
 void LeadershipService::performAction(const ReadLeaderRow & /*action*/)
 {
-    m_context.platform.read({{stewardTable, m_domain.value()}}, [this](const io::RowsResult &read) {
+    m_context.platform.read({{leaderTable, m_domain.value()}}, [this](const io::RowsResult &read) {
         const auto row =
             read.error || read.rows.empty() ? std::nullopt : versionedRow(read.rows.front());
         if (row)
@@ -137,12 +137,12 @@
 
 void LeadershipService::performAction(const WriteLeaderRow &action)
 {
-    const io::RowId id{stewardTable, m_domain.value()};
+    const io::RowId id{leaderTable, m_domain.value()};
     io::Transaction transaction;
     transaction.id = io::TransactionId{action.row.writeId.value()};
     transaction.writer = m_context.self.incarnation;
     transaction.conditions = {{id, action.expectedVersion}};
-    transaction.writes = {{id, io::encodeStewardRow(action.row)}};
+    transaction.writes = {{id, io::encodeLeaderRow(action.row)}};
     const WriteAttemptId attempt = action.attempt;
     m_context.platform.transact(transaction, [this, attempt](const io::TransactOutcome &outcome) {
         const bool hasAnswered = std::holds_alternative<io::Committed>(outcome)
--- a/src/libbulrushio/process/stewardcodec.cpp
+++ b/src/libbulrushio/process/stewardcodec.cpp
@@ -44,7 +44,7 @@
 
 } // namespace
 
-Json::Value encodeStewardRow(const LeaderRow &row)
+Json::Value encodeLeaderRow(const LeaderRow &row)
 {
     Json::Value json{Json::objectValue};
     json["holder"] = row.holder.value();
@@ -65,7 +65,7 @@
     return json;
 }
 
-std::optional<LeaderRow> decodeStewardRow(const Json::Value &json)
+std::optional<LeaderRow> decodeLeaderRow(const Json::Value &json)
 {
     JsonReader reader{json};
     LeaderRow row;
--- a/src/libbulrushio/process/stewardcodec.h
+++ b/src/libbulrushio/process/stewardcodec.h
@@ -11,10 +11,10 @@
 namespace bulrush::io {
 
 /** \returns \a row in the JSON format of the platform's table. */
-Json::Value encodeStewardRow(const LeaderRow &row);
+Json::Value encodeLeaderRow(const LeaderRow &row);
 
 /** \returns the row in \a json, or nothing if a field is missing or of another type. */
-std::optional<LeaderRow> decodeStewardRow(const Json::Value &json);
+std::optional<LeaderRow> decodeLeaderRow(const Json::Value &json);
 
 /** \returns a promise request encoded as the parameters of a remote call. */
 Json::Value encodePromiseRequest(const DomainName &domain, const Incarnation &from,
--- a/tests/bulrushctl/test_operatorcommands.cpp
+++ b/tests/bulrushctl/test_operatorcommands.cpp
@@ -52,12 +52,12 @@
     row.candidates = {{Incarnation{"ghent-1/3"}, DomainName{"ghent"}, "127.0.0.21:8081"}};
     row.writer = row.holder;
     row.writeId = LeaderWriteId{"w1"};
-    return io::encodeStewardRow(row);
+    return io::encodeLeaderRow(row);
 }
 
 LeaderRow leaderRowOf(const FakePlatform &platform)
 {
-    const auto row = io::decodeStewardRow(platform.row(leaderRowId).value);
+    const auto row = io::decodeLeaderRow(platform.row(leaderRowId).value);
     BOOST_REQUIRE(row);
     return *row;
 }
--- a/tests/limits/test_limitboard.cpp
+++ b/tests/limits/test_limitboard.cpp
@@ -36,93 +36,93 @@
 }
 
 /** Performs one renewal of shares at \a now, without a network. */
-ShareReply renew(LimitRegistry &board, DomainShares &shares, const Incarnation &daemon,
+ShareReply renew(LimitRegistry &registry, DomainShares &shares, const Incarnation &daemon,
                  const ContractMap &known, Instant now)
 {
     const ShareReply reply =
-        shares.renew({daemon, board.demands(std::vector{organisation}, now)}, known, now);
-    board.applyGrants(reply.organisations, now, now);
+        shares.renew({daemon, registry.demands(std::vector{organisation}, now)}, known, now);
+    registry.applyGrants(reply.organisations, now, now);
     return reply;
 }
 
-void grantShares(LimitRegistry &board, double rate, double concurrency, Instant now)
+void grantShares(LimitRegistry &registry, double rate, double concurrency, Instant now)
 {
     OrganisationGrant grant;
     grant.organisation = organisation;
     grant.rate = {{1, 1}, rate, std::chrono::seconds{6}};
     grant.concurrency = {{1, 1}, concurrency, std::chrono::seconds{6}};
-    board.applyGrants(std::vector{grant}, now, now);
+    registry.applyGrants(std::vector{grant}, now, now);
 }
 
-FailurePoint refusalOf(LimitRegistry &board, Instant now)
+FailurePoint refusalOf(LimitRegistry &registry, Instant now)
 {
-    const auto admission = board.admit(organisation, now);
+    const auto admission = registry.admit(organisation, now);
     const auto *refusal = std::get_if<LimitRefusal>(&admission);
     BOOST_REQUIRE(refusal);
     BOOST_CHECK(refusal->retryAfter > Duration{});
     return refusal->reason;
 }
 
-double concurrencyOf(const LimitRegistry &board, Instant now)
+double concurrencyOf(const LimitRegistry &registry, Instant now)
 {
-    return board.status(now)[organisation.value()]["concurrency"].asDouble();
+    return registry.status(now)[organisation.value()]["concurrency"].asDouble();
 }
 
-int inFlight(const LimitRegistry &board, Instant now)
+int inFlight(const LimitRegistry &registry, Instant now)
 {
-    return board.status(now)[organisation.value()]["inFlight"].asInt();
+    return registry.status(now)[organisation.value()]["inFlight"].asInt();
 }
 
 } // namespace
 
 BOOST_AUTO_TEST_CASE(nothingIsAdmittedWithoutAShare)
 {
-    LimitRegistry board{defaultDriftPpm};
-    BOOST_TEST(!board.canAdmit(organisation, at(0)));
-    BOOST_CHECK(refusalOf(board, at(0)) == FailurePoint::Overloaded);
-    BOOST_TEST(inFlight(board, at(0)) == 0);
+    LimitRegistry registry{defaultDriftPpm};
+    BOOST_TEST(!registry.canAdmit(organisation, at(0)));
+    BOOST_CHECK(refusalOf(registry, at(0)) == FailurePoint::Overloaded);
+    BOOST_TEST(inFlight(registry, at(0)) == 0);
 }
 
 BOOST_AUTO_TEST_CASE(ticketsCountFromAdmissionToRelease)
 {
-    LimitRegistry board{defaultDriftPpm};
-    grantShares(board, 1000.0, 2.0, at(0));
-    BOOST_TEST(board.canAdmit(organisation, at(0)));
+    LimitRegistry registry{defaultDriftPpm};
+    grantShares(registry, 1000.0, 2.0, at(0));
+    BOOST_TEST(registry.canAdmit(organisation, at(0)));
     {
-        auto first = board.admit(organisation, at(100));
+        auto first = registry.admit(organisation, at(100));
         BOOST_REQUIRE(std::holds_alternative<LimitTicket>(first));
         const LimitTicket moved{std::get<LimitTicket>(std::move(first))};
-        const auto second = board.admit(organisation, at(100));
+        const auto second = registry.admit(organisation, at(100));
         BOOST_TEST(std::holds_alternative<LimitTicket>(second));
-        BOOST_CHECK(refusalOf(board, at(100)) == FailurePoint::Overloaded);
-        BOOST_TEST(inFlight(board, at(100)) == 2);
+        BOOST_CHECK(refusalOf(registry, at(100)) == FailurePoint::Overloaded);
+        BOOST_TEST(inFlight(registry, at(100)) == 2);
     }
-    BOOST_TEST(inFlight(board, at(100)) == 0);
-    const auto again = board.admit(organisation, at(100));
+    BOOST_TEST(inFlight(registry, at(100)) == 0);
+    const auto again = registry.admit(organisation, at(100));
     BOOST_TEST(std::holds_alternative<LimitTicket>(again));
 }
 
 BOOST_AUTO_TEST_CASE(refusedByRateLeavesNothingInFlight)
 {
-    LimitRegistry board{defaultDriftPpm};
-    grantShares(board, 10.0, 100.0, at(0));
+    LimitRegistry registry{defaultDriftPpm};
+    grantShares(registry, 10.0, 100.0, at(0));
     int passed = 0;
     for (int i = 0; i < 50; ++i) {
-        const auto admission = board.admit(organisation, at(500));
+        const auto admission = registry.admit(organisation, at(500));
         passed += std::holds_alternative<LimitTicket>(admission) ? 1 : 0;
     }
     BOOST_TEST(passed == 5);
-    BOOST_CHECK(refusalOf(board, at(500)) == FailurePoint::RateLimited);
-    BOOST_TEST(inFlight(board, at(500)) == 0);
+    BOOST_CHECK(refusalOf(registry, at(500)) == FailurePoint::RateLimited);
+    BOOST_TEST(inFlight(registry, at(500)) == 0);
 }
 
 BOOST_AUTO_TEST_CASE(sharesExpire)
 {
-    LimitRegistry board{defaultDriftPpm};
-    grantShares(board, 1000.0, 10.0, at(0));
-    BOOST_TEST(board.canAdmit(organisation, at(5900)));
-    BOOST_TEST(!board.canAdmit(organisation, at(6000)));
-    BOOST_CHECK(refusalOf(board, at(6000)) == FailurePoint::Overloaded);
+    LimitRegistry registry{defaultDriftPpm};
+    grantShares(registry, 1000.0, 10.0, at(0));
+    BOOST_TEST(registry.canAdmit(organisation, at(5900)));
+    BOOST_TEST(!registry.canAdmit(organisation, at(6000)));
+    BOOST_CHECK(refusalOf(registry, at(6000)) == FailurePoint::Overloaded);
 }
 
 BOOST_AUTO_TEST_CASE(domainsPartsAddUpToTheLimit)
@@ -130,9 +130,9 @@
     double sum = 0.0;
     double concurrency = 0.0;
     for (const char *name : {"a", "b", "c"}) {
-        LimitRegistry board{defaultDriftPpm};
+        LimitRegistry registry{defaultDriftPpm};
         DomainShares shares{threeDomains(), DomainName{name}, 1, at(0)};
-        const ShareReply reply = renew(board, shares, daemonA, contracts(100, 8), at(0));
+        const ShareReply reply = renew(registry, shares, daemonA, contracts(100, 8), at(0));
         BOOST_TEST(reply.isSettled);
         BOOST_REQUIRE(reply.organisations.size() == 1U);
         sum += reply.organisations.front().rate.amount;
@@ -182,8 +182,8 @@
 
 BOOST_AUTO_TEST_CASE(unknownContractGetsNothing)
 {
-    LimitRegistry board{defaultDriftPpm};
+    LimitRegistry registry{defaultDriftPpm};
     DomainShares shares{threeDomains(), DomainName{"a"}, 1, at(0)};
-    BOOST_TEST(renew(board, shares, daemonA, {}, at(0)).organisations.empty());
-    BOOST_TEST(!board.canAdmit(organisation, at(0)));
+    BOOST_TEST(renew(registry, shares, daemonA, {}, at(0)).organisations.empty());
+    BOOST_TEST(!registry.canAdmit(organisation, at(0)));
 }
--- a/tests/loads/test_loads.cpp
+++ b/tests/loads/test_loads.cpp
@@ -76,21 +76,21 @@
 BOOST_AUTO_TEST_CASE(latestReportsOfAllDaemonsAreSummed)
 {
     const std::vector<SliceRange> slices{{0, 99}, {100, 100}};
-    LoadReportTable ledger{10s};
-    BOOST_TEST((ledger.merged(catalogue, slices, 0) == LoadReport{}));
-    ledger.note(d1, {{catalogue, {{{{0, 99}, 500.0}}, {}}}}, start);
-    ledger.note(d1, {{catalogue, smallReport()}}, start + 2s);
-    ledger.note(d2, {{catalogue, smallReport()}}, start + 4s);
-    const LoadReport sum = ledger.merged(catalogue, slices, 82.0);
+    LoadReportTable reportTable{10s};
+    BOOST_TEST((reportTable.merged(catalogue, slices, 0) == LoadReport{}));
+    reportTable.note(d1, {{catalogue, {{{{0, 99}, 500.0}}, {}}}}, start);
+    reportTable.note(d1, {{catalogue, smallReport()}}, start + 2s);
+    reportTable.note(d2, {{catalogue, smallReport()}}, start + 4s);
+    const LoadReport sum = reportTable.merged(catalogue, slices, 82.0);
     BOOST_REQUIRE_EQUAL(sum.slices.size(), 2U);
     BOOST_TEST(sum.slices[1].load == 80.0);
     BOOST_TEST(sum.hotKeys.at(0).load == 79.0);
-    BOOST_TEST((ledger.merged(catalogue, slices, 83.0) == LoadReport{}));
+    BOOST_TEST((reportTable.merged(catalogue, slices, 83.0) == LoadReport{}));
 
-    ledger.expire(start + 12s);
-    BOOST_TEST(ledger.merged(catalogue, slices, 0).slices[1].load == 40.0);
-    ledger.expire(start + 14s);
-    BOOST_TEST((ledger.merged(catalogue, slices, 0) == LoadReport{}));
+    reportTable.expire(start + 12s);
+    BOOST_TEST(reportTable.merged(catalogue, slices, 0).slices[1].load == 40.0);
+    reportTable.expire(start + 14s);
+    BOOST_TEST((reportTable.merged(catalogue, slices, 0) == LoadReport{}));
 }
 
 BOOST_AUTO_TEST_CASE(metersCountAgainAfterHoursWithoutRequests)
